--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -11,7 +11,7 @@
 const PEERS_MOST: usize = 9;
 /// The most bytes of a cluster's name.
 const NAME_MOST: usize = 64;
-/// The most bytes that a command may be allowed: twice this fits in a body of [`crate::BODY_MOST`] with all round it.
+/// The most bytes that a command may be allowed: twice this fits in a body of [`crate::MAX_BODY_BYTES`] with all round it.
 const COMMAND_MOST: usize = 2 << 20;
 
 /// What a replica is started with. [`ReplicaConfig::new`] has the defaults; all durations are in milliseconds.
@@ -39,14 +39,14 @@
     /// A snapshot is taken after as many entries.
     pub snapshot_after: u64,
     /// Entries that are kept behind the snapshot, so that a replica that was away a little needs no snapshot.
-    pub kept: u64,
+    pub retained_entries: u64,
     /// The most bytes of a snapshot.
-    pub snapshot_most: usize,
+    pub max_snapshot_bytes: usize,
     /// The most writes under way at a time.
-    pub writes_most: usize,
+    pub max_concurrent_writes: usize,
     /// The most bytes of a command as JSON. It must reach a replica and its disk within a heartbeat's time, or it is
     /// never acknowledged: raise the heartbeat with it.
-    pub command_most: usize,
+    pub max_command_bytes: usize,
 }
 
 impl ReplicaConfig {
@@ -63,16 +63,16 @@
             write_ms: 5000,
             catch_up_ms: 30_000,
             snapshot_after: 5000,
-            kept: 1000,
-            snapshot_most: 16 << 20,
-            writes_most: 256,
-            command_most: 1 << 20,
+            retained_entries: 1000,
+            max_snapshot_bytes: 16 << 20,
+            max_concurrent_writes: 256,
+            max_command_bytes: 1 << 20,
         }
     }
 
     /// The library's configuration, after a check of each field.
     pub(crate) fn library(&self) -> Result<openraft::Config, ConsensusError> {
-        let bad = |field, why: String| Err(ConsensusError::Config { field, why });
+        let bad = |field, reason: String| Err(ConsensusError::Config { field, reason });
         if self.cluster.is_empty() || self.cluster.len() > NAME_MOST {
             return bad("cluster", format!("a name of 1 to {NAME_MOST} bytes is needed"));
         }
@@ -99,14 +99,14 @@
             ("snapshot_after", self.snapshot_after),
             ("write_ms", self.write_ms),
             ("catch_up_ms", self.catch_up_ms),
-            ("writes_most", self.writes_most as u64),
+            ("max_concurrent_writes", self.max_concurrent_writes as u64),
         ] {
             if value == 0 {
                 return bad(field, "it must be above 0".to_owned());
             }
         }
-        if self.command_most == 0 || self.command_most > COMMAND_MOST {
-            return bad("command_most", format!("1 to {COMMAND_MOST} bytes are possible"));
+        if self.max_command_bytes == 0 || self.max_command_bytes > COMMAND_MOST {
+            return bad("max_command_bytes", format!("1 to {COMMAND_MOST} bytes are possible"));
         }
         let config = openraft::Config {
             cluster_name: self.cluster.clone(),
@@ -115,10 +115,10 @@
             election_timeout_max: high,
             install_snapshot_timeout: 5000,
             max_payload_entries: 300,
-            replication_lag_threshold: self.snapshot_after.saturating_add(self.kept),
+            replication_lag_threshold: self.snapshot_after.saturating_add(self.retained_entries),
             snapshot_policy: SnapshotPolicy::LogsSinceLast(self.snapshot_after),
             snapshot_max_chunk_size: crate::wire::CHUNK,
-            max_in_snapshot_log_to_keep: self.kept,
+            max_in_snapshot_log_to_keep: self.retained_entries,
             purge_batch_size: 64,
             ..Default::default()
         };
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -8,23 +8,23 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConsensusError {
     /// The configuration.
-    #[error("{field}: {why}")]
+    #[error("{field}: {reason}")]
     Config {
         /// Which field.
         field: &'static str,
         /// What about it.
-        why: String,
+        reason: String,
     },
     /// The disk.
     #[error(transparent)]
     Store(#[from] StoreError),
     /// What the disk holds can't be read by this program.
-    #[error("the replica's {what} can't be read: {why}")]
-    Unreadable {
+    #[error("the replica's {item} can't be read: {reason}")]
+    Decode {
         /// Which part.
-        what: &'static str,
+        item: &'static str,
         /// What is wrong.
-        why: String,
+        reason: String,
     },
     /// The consensus library.
     #[error("the consensus core did not start: {0}")]
@@ -37,7 +37,7 @@
         match self {
             Self::Config { .. } => "mend this field of the configuration",
             Self::Store(e) => e.advice(),
-            Self::Unreadable { .. } => {
+            Self::Decode { .. } => {
                 "start the version of the program that wrote it, or replace this replica by a new one under a new id"
             }
             Self::Core(_) => "check the replica's disk, then start it again",
@@ -55,33 +55,33 @@
         leader: Option<(u64, SocketAddr)>,
     },
     /// As many writes as are allowed are under way. Nothing was written.
-    #[error("{most} writes are under way, as many as may be at a time")]
+    #[error("{max} writes are under way, as many as may be at a time")]
     Busy {
         /// The bound.
-        most: usize,
+        max: usize,
     },
     /// The command is too large. Nothing was written.
-    #[error("a command of {size} bytes, and at most {most} are taken")]
+    #[error("a command of {size} bytes, and at most {max} are taken")]
     TooLarge {
         /// Its size as JSON.
         size: usize,
         /// The bound.
-        most: usize,
+        max: usize,
     },
     /// No majority has answered, or leadership was lost meanwhile. A write may have been taken, or may be yet.
-    #[error("{why}")]
+    #[error("{reason}")]
     Unavailable {
         /// What was missing.
-        why: &'static str,
+        reason: &'static str,
     },
     /// The replica has stopped for good. A write may have been taken.
     #[error(transparent)]
-    Failed(#[from] Failure),
+    Fatal(#[from] FatalError),
     /// A change of the group that is not possible. Nothing was written.
-    #[error("{why}")]
-    Refused {
+    #[error("{reason}")]
+    InvalidChange {
         /// Why.
-        why: String,
+        reason: String,
     },
 }
 
@@ -96,18 +96,18 @@
             Self::Unavailable { .. } => {
                 "look whether it was taken before asking again; check that a majority of replicas runs"
             }
-            Self::Failed(failure) => failure.advice,
-            Self::Refused { .. } => "look at the replicas' status, and mend the call",
+            Self::Fatal(error) => error.advice,
+            Self::InvalidChange { .. } => "look at the replicas' status, and mend the call",
         }
     }
 }
 
 /// Why a replica can't go on. Its process ends with this as one line, and is started again by its supervisor.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("the replica can't go on: {what}")]
-pub struct Failure {
+#[error("the replica can't go on: {reason}")]
+pub struct FatalError {
     /// What failed.
-    pub what: String,
+    pub reason: String,
     /// What an operator can do about it: one line.
     pub advice: &'static str,
 }
--- a/crates/consensus/src/identity.rs
+++ b/crates/consensus/src/identity.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use store::StoreError;
 
-use crate::disk::{encode, Disk};
+use crate::storage::{encode, Disk};
 use crate::{ConsensusError, ReplicaConfig};
 
 const RECORD: &str = "identity";
@@ -61,8 +61,8 @@
     Forgot(u64),
     #[error("more than {KNOWN_MOST} ids of replicas were used: replica {0} is not taken")]
     TooMany(u64),
-    #[error("who replica {id} is can't be kept: {why}")]
-    Disk { id: u64, why: String },
+    #[error("who replica {id} is can't be kept: {reason}")]
+    Disk { id: u64, reason: String },
 }
 
 /// Who this replica is, and whom it knows.
@@ -87,9 +87,9 @@
     /// Reads the disk, and draws the disk's id at its first start.
     pub(crate) async fn load(disk: Arc<Disk>, config: &ReplicaConfig) -> Result<Self, ConsensusError> {
         let record = match disk.run(|store| store.get(RECORD)).await? {
-            Some(bytes) => serde_json::from_slice(&bytes).map_err(|e| ConsensusError::Unreadable {
-                what: "record of its identity",
-                why: e.to_string(),
+            Some(bytes) => serde_json::from_slice(&bytes).map_err(|e| ConsensusError::Decode {
+                item: "record of its identity",
+                reason: e.to_string(),
             })?,
             None => {
                 let draw = || RandomState::new().hash_one(std::process::id());
@@ -164,7 +164,7 @@
         let Some(sender) = news else { return Ok(()) };
         let record =
             Record { disk: sender.disk.clone(), group: sender.group.clone(), known: sender.known.clone() };
-        let failed = |why: String| Stranger::Disk { id: from.id, why };
+        let failed = |reason: String| Stranger::Disk { id: from.id, reason };
         let disk = self.disk.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let disk = disk.ok_or_else(|| failed("the replica is stopping".to_owned()))?;
         keep(&disk, &record).await.map_err(|e| failed(e.to_string()))?;
--- a/crates/consensus/src/confirm.rs
+++ b/crates/consensus/src/leadership.rs
@@ -11,8 +11,8 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{timeout, Instant};
 
-use crate::machine::Types;
-use crate::{Machine, WriteError};
+use crate::state_machine::Types;
+use crate::{StateMachine, WriteError};
 
 /// The most callers that wait for rounds; all of them share the next one.
 pub(crate) const WAITING_MOST: usize = 8192;
@@ -23,7 +23,7 @@
 pub(crate) type Waiting = oneshot::Sender<Result<(), WriteError>>;
 
 /// Runs rounds as long as any may ask for one.
-pub(crate) async fn rounds<M: Machine>(
+pub(crate) async fn rounds<M: StateMachine>(
     raft: Raft<Types<M>>,
     mut asked: mpsc::Receiver<Waiting>,
     applied: watch::Receiver<u64>,
@@ -33,7 +33,7 @@
     while asked.recv_many(&mut waiting, WAITING_MOST).await > 0 {
         let result = match timeout(bound, round(&raft, applied.clone(), bound)).await {
             Ok(result) => result,
-            Err(_) => Err(WriteError::Unavailable { why: "no majority of replicas answered in time" }),
+            Err(_) => Err(WriteError::Unavailable { reason: "no majority of replicas answered in time" }),
         };
         for caller in waiting.drain(..) {
             // A caller that has gone needs no answer.
@@ -42,7 +42,7 @@
     }
 }
 
-async fn round<M: Machine>(
+async fn round<M: StateMachine>(
     raft: &Raft<Types<M>>,
     mut applied: watch::Receiver<u64>,
     bound: Duration,
@@ -52,7 +52,7 @@
         match raft.get_read_log_id().await {
             Ok((read, _)) => {
                 let version = read.map_or(0, |read| read.index);
-                let ended = WriteError::Unavailable { why: "the replica is stopping" };
+                let ended = WriteError::Unavailable { reason: "the replica is stopping" };
                 return applied.wait_for(|applied| *applied >= version).await.map(drop).map_err(|_| ended);
             }
             Err(RaftError::APIError(CheckIsLeaderError::ForwardToLeader(to))) => {
@@ -64,10 +64,10 @@
                 tokio::time::sleep(PAUSE).await;
             }
             Err(RaftError::APIError(CheckIsLeaderError::QuorumNotEnough(_))) => {
-                return Err(WriteError::Unavailable { why: "no majority of replicas answers" });
+                return Err(WriteError::Unavailable { reason: "no majority of replicas answers" });
             }
             Err(RaftError::Fatal(_)) => {
-                return Err(WriteError::Unavailable { why: "the replica has stopped" })
+                return Err(WriteError::Unavailable { reason: "the replica has stopped" })
             }
         }
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Need: what the fleet agrees on (its roster and policy; later votes, the list, the catalog) must survive replicas
 //! that are killed, stopped or cut off, and be acknowledged only once it is on the disks of a majority. Shape: the
-//! consensus library's protocol core, a [`Machine`] that it feeds, `store` below for log, vote and snapshot, and
+//! consensus library's protocol core, a [`StateMachine`] that it feeds, `store` below for log, vote and snapshot, and
 //! messages as JSON over HTTP/1.1, as the discovery protocol has it. All that runs on the log is one machine made of
 //! modules; adding one is adding its commands.
 //!
@@ -12,10 +12,10 @@
 //! | `identity` | whose disk answers: a replica that lost its disk is a stranger |
 //! | `wire` | what replicas say to each other, and who may say it |
 //! | `network` | kept connections to the other replicas |
-//! | `disk` | log and vote on the store, off the event loop, through a full disk |
-//! | `machine` | commands into the [`Machine`], its snapshots |
-//! | `confirm` | leadership made sure, one round for all who wait |
-//! | `members` | replicas added and removed one at a time |
+//! | `storage` | log and vote on the store, off the event loop, through a full disk |
+//! | `state_machine` | commands into the [`StateMachine`], its snapshots |
+//! | `leadership` | leadership made sure, one round for all who wait |
+//! | `membership` | replicas added and removed one at a time |
 //! | `replica` | all of it together |
 //!
 //! The library is `openraft` in its stable line 0.9: the protocol core alone, with storage and transport left to the
@@ -37,14 +37,14 @@
 //! What this can't see is a majority that was wiped before the rest ever spoke to it: that is a new group.
 
 mod config;
-mod confirm;
-mod disk;
 mod error;
 mod identity;
-mod machine;
-mod members;
+mod leadership;
+mod membership;
 mod network;
 mod replica;
+mod state_machine;
+mod storage;
 mod wire;
 
 use std::fmt::Debug;
@@ -53,13 +53,13 @@
 use serde::Serialize;
 
 pub use config::ReplicaConfig;
-pub use error::{ConsensusError, Failure, WriteError};
-pub use replica::{Leading, PeerStatus, Replica, Status};
-pub use wire::BODY_MOST;
+pub use error::{ConsensusError, FatalError, WriteError};
+pub use replica::{Leadership, PeerStatus, Replica, Status};
+pub use wire::MAX_BODY_BYTES;
 
 /// What the log drives: the same commands in the same order make the same state at every replica. It reads no clock
 /// and draws no random numbers.
-pub trait Machine: Send + Sync + 'static {
+pub trait StateMachine: Send + Sync + 'static {
     /// What the log holds.
     type Command: Clone + Debug + DeserializeOwned + PartialEq + Send + Serialize + Sync + 'static;
     /// What comes of a command; given to whoever wrote it.
@@ -71,7 +71,7 @@
     /// All state as bytes, for a snapshot.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// The state that was written by [`Machine::snapshot`], of this or an earlier version of the program.
+    /// The state that was written by [`StateMachine::snapshot`], of this or an earlier version of the program.
     ///
     /// # Errors
     /// One line that says what can't be read.
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/membership.rs
@@ -14,18 +14,18 @@
 use openraft::{ChangeMembers, LogId};
 use tokio::time::timeout;
 
-use crate::machine::{Place, Types};
-use crate::{Machine, Replica, WriteError};
+use crate::state_machine::{Place, Types};
+use crate::{Replica, StateMachine, WriteError};
 
 type Changed<M> = Result<ClientWriteResponse<Types<M>>, RaftError<u64, ClientWriteError<u64, Place>>>;
 
-impl<M: Machine> Replica<M> {
+impl<M: StateMachine> Replica<M> {
     /// Adds replica `id`, reached at `address`, and waits until it is up to date and counts; for a replica that is
     /// there already, changes its address. At the leader only. Add and remove one replica at a time; a replica that
     /// lost its disk is removed and added under an id that was never used.
     ///
     /// # Errors
-    /// [`WriteError::Refused`] for an id that was used before. [`WriteError::Unavailable`] when the new replica is not
+    /// [`WriteError::InvalidChange`] for an id that was used before. [`WriteError::Unavailable`] when the new replica is not
     /// up to date in time: it stays a learner, and the call can be made again.
     pub async fn set_peer(&self, id: u64, address: SocketAddr) -> Result<(), WriteError> {
         let metrics = self.raft().metrics().borrow().clone();
@@ -35,10 +35,10 @@
             Some(known) if *known == place => {}
             Some(_) => self.change(ChangeMembers::SetNodes(BTreeMap::from([(id, place)])), true).await?,
             None if self.knows(id) => {
-                let why = format!(
+                let reason = format!(
                     "replica {id} was in use before: add the new one under an id that was never used"
                 );
-                return Err(WriteError::Refused { why });
+                return Err(WriteError::InvalidChange { reason });
             }
             None => self.change(ChangeMembers::AddNodes(BTreeMap::from([(id, place)])), true).await?,
         }
@@ -52,14 +52,14 @@
     /// Removes replica `id`, which may be this one: then another leads from the end of the call on. At the leader only.
     ///
     /// # Errors
-    /// [`WriteError::Refused`] for the last replica.
+    /// [`WriteError::InvalidChange`] for the last replica.
     pub async fn remove_peer(&self, id: u64) -> Result<(), WriteError> {
         let metrics = self.raft().metrics().borrow().clone();
         let members = metrics.membership_config.membership();
         let voters: BTreeSet<u64> = members.voter_ids().collect();
         if voters.contains(&id) {
             if voters.len() == 1 {
-                return Err(WriteError::Refused { why: format!("replica {id} is the last one") });
+                return Err(WriteError::InvalidChange { reason: format!("replica {id} is the last one") });
             }
             return self.change(ChangeMembers::RemoveVoters(BTreeSet::from([id])), false).await;
         }
@@ -81,14 +81,14 @@
                 Err(WriteError::NotLeader { leader: to.leader_id.zip(to.leader_node.map(|place| place.0)) })
             }
             Ok(Err(RaftError::APIError(ClientWriteError::ChangeMembershipError(e)))) => match e {
-                ChangeMembershipError::InProgress(_) => {
-                    Err(WriteError::Refused { why: "another change of the group is under way".to_owned() })
-                }
-                e => Err(WriteError::Refused { why: e.to_string() }),
+                ChangeMembershipError::InProgress(_) => Err(WriteError::InvalidChange {
+                    reason: "another change of the group is under way".to_owned(),
+                }),
+                e => Err(WriteError::InvalidChange { reason: e.to_string() }),
             },
             Ok(Err(RaftError::Fatal(_))) => Err(self.stopped()),
             Err(_) => Err(WriteError::Unavailable {
-                why: "no majority of replicas took the change of the group in time",
+                reason: "no majority of replicas took the change of the group in time",
             }),
         }
     }
@@ -106,10 +106,10 @@
         };
         match timeout(Duration::from_millis(self.config().catch_up_ms), reached).await {
             Ok(Ok(true)) => Ok(()),
-            Ok(Ok(false)) => Err(WriteError::NotLeader { leader: self.leading().borrow().leader }),
+            Ok(Ok(false)) => Err(WriteError::NotLeader { leader: self.watch_leadership().borrow().leader }),
             Ok(Err(_)) => Err(self.stopped()),
             Err(_) => Err(WriteError::Unavailable {
-                why: "the new replica is not up to date yet: it goes on, ask again",
+                reason: "the new replica is not up to date yet: it goes on, ask again",
             }),
         }
     }
--- a/crates/consensus/src/network.rs
+++ b/crates/consensus/src/network.rs
@@ -28,11 +28,11 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use crate::disk::encode;
 use crate::identity::Identity;
-use crate::machine::{Place, Types};
+use crate::state_machine::{Place, Types};
+use crate::storage::encode;
 use crate::wire::{Letter, Refusal, Reply, APPEND, SNAPSHOT, VOTE};
-use crate::Machine;
+use crate::StateMachine;
 
 /// The most bytes of an answer.
 const ANSWER_MOST: usize = 256 << 10;
@@ -43,11 +43,11 @@
 
 /// Why there is no answer.
 #[derive(Debug, thiserror::Error)]
-#[error("replica {replica} at {address}: {why}")]
+#[error("replica {replica} at {address}: {reason}")]
 struct NoAnswer {
     replica: u64,
     address: SocketAddr,
-    why: String,
+    reason: String,
 }
 
 struct Connection {
@@ -102,7 +102,7 @@
         path: &str,
         message: T,
     ) -> Result<A, NoAnswer> {
-        let no = |why: &dyn Display| NoAnswer { replica, address, why: why.to_string() };
+        let no = |reason: &dyn Display| NoAnswer { replica, address, reason: reason.to_string() };
         let body = Bytes::from(encode(&Letter { from: self.me.sender(), to: replica, message }));
         let (status, answer) = loop {
             let kept = self.take(address);
@@ -122,9 +122,9 @@
             }
         };
         if status != StatusCode::OK {
-            let why = serde_json::from_slice(&answer)
+            let reason = serde_json::from_slice(&answer)
                 .map_or_else(|_| status.to_string(), |Refusal { error }| error);
-            return Err(no(&why));
+            return Err(no(&reason));
         }
         let reply: Reply<A> = serde_json::from_slice(&answer).map_err(|e| no(&e))?;
         if reply.from.id != replica {
@@ -176,7 +176,7 @@
     }
 }
 
-impl<M: Machine> RaftNetworkFactory<Types<M>> for Links<M> {
+impl<M: StateMachine> RaftNetworkFactory<Types<M>> for Links<M> {
     type Network = Link<M>;
 
     async fn new_client(&mut self, target: u64, node: &Place) -> Link<M> {
@@ -194,7 +194,7 @@
 
 type Sent<A, E = openraft::error::Infallible> = Result<A, RPCError<u64, Place, RaftError<u64, E>>>;
 
-impl<M: Machine> Link<M> {
+impl<M: StateMachine> Link<M> {
     async fn ask<T: Serialize, A: DeserializeOwned, E: std::error::Error + DeserializeOwned>(
         &self,
         path: &str,
@@ -210,7 +210,7 @@
     }
 }
 
-impl<M: Machine> RaftNetwork<Types<M>> for Link<M> {
+impl<M: StateMachine> RaftNetwork<Types<M>> for Link<M> {
     async fn append_entries(
         &mut self,
         rpc: AppendEntriesRequest<Types<M>>,
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -14,13 +14,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use crate::confirm::{rounds, Waiting, WAITING_MOST};
-use crate::disk::{encode, Disk, LogStore};
 use crate::identity::Identity;
-use crate::machine::{Logged, Place, Shared, StateMachine, Types};
+use crate::leadership::{rounds, Waiting, WAITING_MOST};
 use crate::network::{Links, Network};
-use crate::wire::{open, refuse, Reply, APPEND, BODY_MOST, SNAPSHOT, VOTE};
-use crate::{ConsensusError, Failure, Machine, ReplicaConfig, WriteError};
+use crate::state_machine::{Logged, Place, RaftStateMachineAdapter, Shared, Types};
+use crate::storage::{encode, Disk, LogStore};
+use crate::wire::{open, refuse, Reply, APPEND, MAX_BODY_BYTES, SNAPSHOT, VOTE};
+use crate::{ConsensusError, FatalError, ReplicaConfig, StateMachine, WriteError};
 
 /// The most messages of other replicas that are taken at a time.
 const MESSAGES_MOST: usize = 64;
@@ -30,15 +30,16 @@
 const STOP_BOUND: Duration = Duration::from_secs(10);
 
 /// Who leads, as this replica knows it; a leader that was cut off learns late that it leads no more
-/// ([`Replica::confirm`] makes sure).
+/// ([`Replica::confirm_leadership`] makes sure).
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Leading {
+pub struct Leadership {
     /// The term; grows, and has one leader at the most.
     pub term: u64,
     /// Who, and where it is reached.
     pub leader: Option<(u64, SocketAddr)>,
     /// This replica.
-    pub me: bool,
+    #[serde(rename = "me")]
+    pub is_local: bool,
 }
 
 /// How a replica fares, for operators.
@@ -55,25 +56,34 @@
     /// Who leads, as far as it is known here.
     pub leader: Option<u64>,
     /// At a leader, milliseconds since a majority last answered it.
-    pub majority_ms: Option<u64>,
+    #[serde(rename = "majority_ms")]
+    pub since_quorum_ack_ms: Option<u64>,
     /// The last entry of its log.
-    pub last: Option<u64>,
+    #[serde(rename = "last")]
+    pub last_log_index: Option<u64>,
     /// The last entry that is applied here.
-    pub applied: u64,
+    #[serde(rename = "applied")]
+    pub applied_index: u64,
     /// The last entry in its snapshot.
-    pub snapshot: Option<u64>,
+    #[serde(rename = "snapshot")]
+    pub snapshot_index: Option<u64>,
     /// The last entry that is no longer in its log.
-    pub purged: Option<u64>,
+    #[serde(rename = "purged")]
+    pub purged_index: Option<u64>,
     /// A change of the group is half done; make the same call again.
-    pub changing: bool,
+    #[serde(rename = "changing")]
+    pub membership_changing: bool,
     /// The group.
     pub replicas: Vec<PeerStatus>,
     /// Why its disk takes no writes at the moment; it neither leads nor votes then.
-    pub stalled: Option<String>,
+    #[serde(rename = "stalled")]
+    pub stall_reason: Option<String>,
     /// Why it can't go on.
-    pub failure: Option<String>,
+    #[serde(rename = "failure")]
+    pub fatal_error: Option<String>,
     /// The last message or answer that did not count, as it came from a stranger.
-    pub refused: Option<String>,
+    #[serde(rename = "refused")]
+    pub last_refusal: Option<String>,
 }
 
 /// A replica of the group.
@@ -86,25 +96,26 @@
     /// It counts.
     pub voter: bool,
     /// At a leader, the last entry that it is known to have.
-    pub matched: Option<u64>,
+    #[serde(rename = "matched")]
+    pub matched_index: Option<u64>,
 }
 
 /// One replica of the log. Clones are the same replica.
-pub struct Replica<M: Machine>(Arc<Inner<M>>);
+pub struct Replica<M: StateMachine>(Arc<Inner<M>>);
 
-impl<M: Machine> Clone for Replica<M> {
+impl<M: StateMachine> Clone for Replica<M> {
     fn clone(&self) -> Self {
         Self(Arc::clone(&self.0))
     }
 }
 
-struct Inner<M: Machine> {
+struct Inner<M: StateMachine> {
     config: ReplicaConfig,
     raft: Raft<Types<M>>,
     identity: Arc<Identity>,
     shared: Arc<Shared<M>>,
-    leading: watch::Receiver<Leading>,
-    failure: watch::Receiver<Option<Failure>>,
+    leading: watch::Receiver<Leadership>,
+    failure: watch::Receiver<Option<FatalError>>,
     confirm: mpsc::Sender<Waiting>,
     writes: Arc<Semaphore>,
     messages: Semaphore,
@@ -114,7 +125,7 @@
     tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
-impl<M: Machine> Drop for Inner<M> {
+impl<M: StateMachine> Drop for Inner<M> {
     fn drop(&mut self) {
         self.stopping.send_replace(true);
         for task in self.tasks.get_mut().unwrap_or_else(PoisonError::into_inner).drain(..) {
@@ -123,7 +134,7 @@
     }
 }
 
-impl<M: Machine> Replica<M> {
+impl<M: StateMachine> Replica<M> {
     /// Starts a replica on its disk, with the machine's first state.
     ///
     /// The first start of the replicas in `config.peers` forms the group. No order of their starts matters: each writes
@@ -139,7 +150,8 @@
         let (disk, gone) = Disk::new(store);
         let identity = Arc::new(Identity::load(Arc::clone(&disk), &config).await?);
         let (state, shared) =
-            StateMachine::load(Arc::clone(&disk), machine, config.id, config.snapshot_most).await?;
+            RaftStateMachineAdapter::load(Arc::clone(&disk), machine, config.id, config.max_snapshot_bytes)
+                .await?;
         let network =
             Arc::new(Network::new(Arc::clone(&identity), Duration::from_millis(config.heartbeat_ms)));
         let log = LogStore::new(Arc::clone(&disk));
@@ -160,7 +172,7 @@
         }
 
         let stopping = watch::Sender::new(false);
-        let (leading_sender, leading) = watch::channel(Leading::default());
+        let (leading_sender, leading) = watch::channel(Leadership::default());
         let (failure_sender, failure) = watch::channel(None);
         let (confirm, asked) = mpsc::channel(WAITING_MOST);
         let bound = Duration::from_millis(config.election_ms.1);
@@ -177,7 +189,7 @@
             )),
         ];
         Ok(Self(Arc::new(Inner {
-            writes: Arc::new(Semaphore::new(config.writes_most)),
+            writes: Arc::new(Semaphore::new(config.max_concurrent_writes)),
             messages: Semaphore::new(MESSAGES_MOST),
             config,
             raft,
@@ -199,7 +211,7 @@
     /// [`WriteError::NotLeader`], [`WriteError::Busy`] and [`WriteError::TooLarge`] say that nothing was written; after
     /// the others it may have been, or may be yet.
     pub async fn write(&self, command: M::Command) -> Result<(u64, M::Reply), WriteError> {
-        let void = WriteError::Unavailable { why: "the log took it as something else" };
+        let void = WriteError::Unavailable { reason: "the log took it as something else" };
         let (version, reply) = self.log(command, None).await?;
         Ok((version, reply.ok_or(void)?))
     }
@@ -209,7 +221,7 @@
     ///
     /// # Errors
     /// As [`Replica::write`]; [`WriteError::NotLeader`] for a void entry, too.
-    pub async fn write_in(&self, term: u64, command: M::Command) -> Result<(u64, M::Reply), WriteError> {
+    pub async fn write_in_term(&self, term: u64, command: M::Command) -> Result<(u64, M::Reply), WriteError> {
         let (version, reply) = self.log(command, Some(term)).await?;
         Ok((version, reply.ok_or(WriteError::NotLeader { leader: None })?))
     }
@@ -222,11 +234,11 @@
     ) -> Result<(u64, Option<M::Reply>), WriteError> {
         let inner = &self.0;
         let size = encode(&command).len();
-        if size > inner.config.command_most {
-            return Err(WriteError::TooLarge { size, most: inner.config.command_most });
+        if size > inner.config.max_command_bytes {
+            return Err(WriteError::TooLarge { size, max: inner.config.max_command_bytes });
         }
         let Ok(permit) = Arc::clone(&inner.writes).try_acquire_owned() else {
-            return Err(WriteError::Busy { most: inner.config.writes_most });
+            return Err(WriteError::Busy { max: inner.config.max_concurrent_writes });
         };
         let (logged, taken) = Logged::new(command, term);
         let raft = inner.raft.clone();
@@ -236,20 +248,20 @@
             drop(permit);
             result
         });
-        let late = WriteError::Unavailable { why: "no majority of replicas took it in time" };
+        let late = WriteError::Unavailable { reason: "no majority of replicas took it in time" };
         let result = timeout(self.write_bound(), written).await.map_err(|_| late)?;
         match result {
             Ok(Ok(response)) => Ok((response.log_id.index, response.data)),
             Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(to)))) => {
                 if taken.load(std::sync::atomic::Ordering::Acquire) {
                     return Err(WriteError::Unavailable {
-                        why: "another replica leads since it was written here",
+                        reason: "another replica leads since it was written here",
                     });
                 }
                 Err(WriteError::NotLeader { leader: to.leader_id.zip(to.leader_node.map(|place| place.0)) })
             }
             Ok(Err(RaftError::APIError(ClientWriteError::ChangeMembershipError(_)))) => {
-                Err(WriteError::Unavailable { why: "the log took it as something else" })
+                Err(WriteError::Unavailable { reason: "the log took it as something else" })
             }
             Ok(Err(RaftError::Fatal(_))) | Err(_) => Err(self.stopped()),
         }
@@ -260,8 +272,8 @@
     ///
     /// # Errors
     /// [`WriteError::NotLeader`], or [`WriteError::Unavailable`] if no majority answered in time.
-    pub async fn confirm(&self) -> Result<(), WriteError> {
-        let busy = WriteError::Busy { most: WAITING_MOST };
+    pub async fn confirm_leadership(&self) -> Result<(), WriteError> {
+        let busy = WriteError::Busy { max: WAITING_MOST };
         let (caller, answer) = oneshot::channel();
         self.0.confirm.try_send(caller).map_err(|e| match e {
             mpsc::error::TrySendError::Full(_) => busy,
@@ -274,13 +286,13 @@
     }
 
     /// Who leads, as this replica knows it.
-    pub fn leading(&self) -> watch::Receiver<Leading> {
+    pub fn watch_leadership(&self) -> watch::Receiver<Leadership> {
         self.0.leading.clone()
     }
 
     /// The version that is applied here. It changes with each entry applied and each snapshot installed; after a restart
     /// it starts at the snapshot and comes back with the first word of a leader.
-    pub fn applied(&self) -> watch::Receiver<u64> {
+    pub fn watch_applied(&self) -> watch::Receiver<u64> {
         self.0.shared.version()
     }
 
@@ -291,7 +303,7 @@
 
     /// Returns once this replica can't go on; the process should end with the failure as its one line. While the
     /// replica works, or after [`Replica::stop`], it waits for ever.
-    pub async fn failure(&self) -> Failure {
+    pub async fn fatal_error(&self) -> FatalError {
         let mut failure = self.0.failure.clone();
         let failed = failure.wait_for(Option::is_some).await.ok().and_then(|failure| failure.clone());
         match failed {
@@ -301,16 +313,16 @@
     }
 
     /// Takes a message of another replica: `POST path` with `body`, for the paths `/raft/append`, `/raft/vote` and
-    /// `/raft/snapshot`. Bodies above [`BODY_MOST`] are refused; an edge does so before it reads them.
-    pub async fn serve(&self, path: &str, body: Bytes) -> (StatusCode, Bytes) {
+    /// `/raft/snapshot`. Bodies above [`MAX_BODY_BYTES`] are refused; an edge does so before it reads them.
+    pub async fn handle_message(&self, path: &str, body: Bytes) -> (StatusCode, Bytes) {
         let inner = &self.0;
-        if body.len() > BODY_MOST {
-            let why = format!("a message of {} bytes, and at most {BODY_MOST} are taken", body.len());
-            return refuse(StatusCode::PAYLOAD_TOO_LARGE, &why);
+        if body.len() > MAX_BODY_BYTES {
+            let reason = format!("a message of {} bytes, and at most {MAX_BODY_BYTES} are taken", body.len());
+            return refuse(StatusCode::PAYLOAD_TOO_LARGE, &reason);
         }
         let stalled = inner.stalled.borrow().clone();
-        if let Some(why) = stalled {
-            return refuse(StatusCode::SERVICE_UNAVAILABLE, &why);
+        if let Some(reason) = stalled {
+            return refuse(StatusCode::SERVICE_UNAVAILABLE, &reason);
         }
         let Ok(_permit) = inner.messages.try_acquire() else {
             return refuse(StatusCode::SERVICE_UNAVAILABLE, &"too many messages at a time");
@@ -336,10 +348,10 @@
             SNAPSHOT => match open::<openraft::raft::InstallSnapshotRequest<Types<M>>>(me, body).await {
                 Ok(rpc)
                     if rpc.offset.saturating_add(rpc.data.len() as u64)
-                        > self.0.config.snapshot_most as u64 =>
+                        > self.0.config.max_snapshot_bytes as u64 =>
                 {
-                    let why = format!("a snapshot above {} bytes", self.0.config.snapshot_most);
-                    refuse(StatusCode::PAYLOAD_TOO_LARGE, &why)
+                    let reason = format!("a snapshot above {} bytes", self.0.config.max_snapshot_bytes);
+                    refuse(StatusCode::PAYLOAD_TOO_LARGE, &reason)
                 }
                 Ok(rpc) => self.answer(raft.install_snapshot(rpc).await),
                 Err(refusal) => refusal,
@@ -375,7 +387,7 @@
                 id: *id,
                 address: place.0,
                 voter: voters.contains(id),
-                matched: matched(id),
+                matched_index: matched(id),
             })
             .collect();
         let role = match metrics.state {
@@ -392,16 +404,16 @@
             role: role.to_owned(),
             term: metrics.current_term,
             leader: metrics.current_leader,
-            majority_ms: metrics.millis_since_quorum_ack,
-            last: metrics.last_log_index,
-            applied: *inner.shared.version().borrow(),
-            snapshot: metrics.snapshot.map(|log| log.index),
-            purged: metrics.purged.map(|log| log.index),
-            changing: members.get_joint_config().len() > 1,
+            since_quorum_ack_ms: metrics.millis_since_quorum_ack,
+            last_log_index: metrics.last_log_index,
+            applied_index: *inner.shared.version().borrow(),
+            snapshot_index: metrics.snapshot.map(|log| log.index),
+            purged_index: metrics.purged.map(|log| log.index),
+            membership_changing: members.get_joint_config().len() > 1,
             replicas,
-            stalled: inner.stalled.borrow().clone(),
-            failure: inner.failure.borrow().as_ref().map(ToString::to_string),
-            refused: inner.identity.refused(),
+            stall_reason: inner.stalled.borrow().clone(),
+            fatal_error: inner.failure.borrow().as_ref().map(ToString::to_string),
+            last_refusal: inner.identity.refused(),
         }
     }
 
@@ -437,8 +449,8 @@
     /// Why nothing is written any more.
     pub(crate) fn stopped(&self) -> WriteError {
         match &*self.0.failure.borrow() {
-            Some(failure) => WriteError::Failed(failure.clone()),
-            None => WriteError::Unavailable { why: "the replica has stopped" },
+            Some(failure) => WriteError::Fatal(failure.clone()),
+            None => WriteError::Unavailable { reason: "the replica has stopped" },
         }
     }
 }
@@ -448,8 +460,8 @@
     mut metrics: watch::Receiver<RaftMetrics<u64, Place>>,
     disk: Arc<Disk>,
     network: Arc<Network>,
-    leading: watch::Sender<Leading>,
-    failure: watch::Sender<Option<Failure>>,
+    leading: watch::Sender<Leadership>,
+    failure: watch::Sender<Option<FatalError>>,
     mut stopping: watch::Receiver<bool>,
 ) {
     let mut stalled = disk.stalled();
@@ -464,13 +476,13 @@
         }
         let ended = now.running_state.is_err() || metrics.has_changed().is_err();
         let aside = ended || stalled.borrow_and_update().is_some() || *stopping.borrow_and_update();
-        let word = Leading {
+        let word = Leadership {
             term: now.current_term,
             leader: now
                 .current_leader
                 .filter(|_| !aside)
                 .and_then(|id| Some((id, now.membership_config.membership().get_node(&id)?.0))),
-            me: !aside && now.state == ServerState::Leader,
+            is_local: !aside && now.state == ServerState::Leader,
         };
         leading.send_if_modified(|leading| {
             let changed = *leading != word;
@@ -482,12 +494,12 @@
             return;
         }
         if ended {
-            let why = match now.running_state {
+            let reason = match now.running_state {
                 Err(e) => e.to_string(),
                 Ok(()) => "the consensus core has ended".to_owned(),
             };
             let advice = "start it again; if it ends again, report it with its log";
-            let failed = disk.failure().cloned().unwrap_or(Failure { what: why, advice });
+            let failed = disk.fatal_error().cloned().unwrap_or(FatalError { reason, advice });
             tracing::error!("{failed}: {}", failed.advice);
             failure.send_replace(Some(failed));
             return;
--- a/crates/consensus/src/machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! Commands into the [`Machine`], and its snapshots.
+//! Commands into the [`StateMachine`], and its snapshots.
 
 use std::fmt::{self, Debug};
 use std::io::Cursor;
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-use crate::disk::{encode, Disk};
-use crate::{ConsensusError, Machine};
+use crate::storage::{encode, Disk};
+use crate::{ConsensusError, StateMachine};
 
 /// The library's types for a machine.
 pub(crate) struct Types<M>(PhantomData<fn() -> M>);
@@ -55,7 +55,7 @@
     }
 }
 
-impl<M: Machine> RaftTypeConfig for Types<M> {
+impl<M: StateMachine> RaftTypeConfig for Types<M> {
     type D = Logged<M::Command>;
     type R = Option<M::Reply>;
     type NodeId = u64;
@@ -130,27 +130,27 @@
 }
 
 /// The library's state machine: the machine, and what it was last given.
-pub(crate) struct StateMachine<M> {
+pub(crate) struct RaftStateMachineAdapter<M> {
     shared: Arc<Shared<M>>,
     disk: Arc<Disk>,
     replica: u64,
-    snapshot_most: usize,
+    max_snapshot_bytes: usize,
     last: Option<LogId<u64>>,
     members: Members,
 }
 
-impl<M: Machine> StateMachine<M> {
+impl<M: StateMachine> RaftStateMachineAdapter<M> {
     /// The state of the disk's snapshot, or `machine` if there is none.
     pub(crate) async fn load(
         disk: Arc<Disk>,
         machine: M,
         replica: u64,
-        snapshot_most: usize,
+        max_snapshot_bytes: usize,
     ) -> Result<(Self, Arc<Shared<M>>), ConsensusError> {
         let (machine, last, members) = match disk.run(|store| store.snapshot()).await? {
             None => (machine, None, Members::default()),
             Some(snapshot) => {
-                let unreadable = |why| ConsensusError::Unreadable { what: "snapshot", why };
+                let unreadable = |reason| ConsensusError::Decode { item: "snapshot", reason };
                 let meta: Meta =
                     serde_json::from_slice(&snapshot.meta).map_err(|e| unreadable(e.to_string()))?;
                 (M::restore(&snapshot.data).map_err(unreadable)?, meta.last_log_id, meta.last_membership)
@@ -159,11 +159,11 @@
         let version = last.map_or(0, |last| last.index);
         let shared =
             Arc::new(Shared { state: RwLock::new((machine, version)), version: watch::Sender::new(version) });
-        Ok((Self { shared: Arc::clone(&shared), disk, replica, snapshot_most, last, members }, shared))
+        Ok((Self { shared: Arc::clone(&shared), disk, replica, max_snapshot_bytes, last, members }, shared))
     }
 }
 
-impl<M: Machine> RaftStateMachine<Types<M>> for StateMachine<M> {
+impl<M: StateMachine> RaftStateMachine<Types<M>> for RaftStateMachineAdapter<M> {
     type SnapshotBuilder = Capture<M>;
 
     async fn applied_state(&mut self) -> Result<(Option<LogId<u64>>, Members), StorageError<u64>> {
@@ -212,7 +212,7 @@
             },
             data: self.shared.read(|machine, _| machine.snapshot()),
             disk: Arc::clone(&self.disk),
-            most: self.snapshot_most,
+            most: self.max_snapshot_bytes,
             machine: PhantomData,
         }
     }
@@ -228,8 +228,8 @@
     ) -> Result<(), StorageError<u64>> {
         let data = data.into_inner();
         let subject = || ErrorSubject::Snapshot(Some(meta.signature()));
-        let machine = M::restore(&data).map_err(|why| {
-            let what = ConsensusError::Unreadable { what: "leader's snapshot", why };
+        let machine = M::restore(&data).map_err(|reason| {
+            let what = ConsensusError::Decode { item: "leader's snapshot", reason };
             self.disk.broken(
                 what,
                 "bring all replicas to one version of the program",
@@ -269,7 +269,7 @@
     machine: PhantomData<fn() -> M>,
 }
 
-impl<M: Machine> RaftSnapshotBuilder<Types<M>> for Capture<M> {
+impl<M: StateMachine> RaftSnapshotBuilder<Types<M>> for Capture<M> {
     async fn build_snapshot(&mut self) -> Result<Snapshot<Types<M>>, StorageError<u64>> {
         let subject = || ErrorSubject::Snapshot(Some(self.meta.signature()));
         if self.data.len() > self.most {
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/storage.rs
@@ -22,8 +22,8 @@
 use store::{Store, StoreError};
 use tokio::sync::watch;
 
-use crate::machine::{LogEntry, Types};
-use crate::{Failure, Machine};
+use crate::state_machine::{LogEntry, Types};
+use crate::{FatalError, StateMachine};
 
 /// The time between tries on a full disk.
 const FULL_RETRY: Duration = Duration::from_millis(250);
@@ -41,7 +41,7 @@
     store: Store,
     /// Why nothing can be written at the moment.
     stalled: watch::Sender<Option<String>>,
-    failure: OnceLock<Failure>,
+    failure: OnceLock<FatalError>,
     closing: watch::Sender<bool>,
     /// Closed when the last user of the disk has let it go.
     _open: watch::Sender<()>,
@@ -67,7 +67,7 @@
     }
 
     /// Why the disk failed for good, if it did.
-    pub(crate) fn failure(&self) -> Option<&Failure> {
+    pub(crate) fn fatal_error(&self) -> Option<&FatalError> {
         self.failure.get()
     }
 
@@ -85,7 +85,9 @@
         match tokio::task::spawn_blocking(move || work(&disk.store)).await {
             Ok(result) => result,
             // The runtime is ending, or the store panicked.
-            Err(e) => Err(StoreError::Io { place: "the disk".to_owned(), source: std::io::Error::other(e) }),
+            Err(e) => {
+                Err(StoreError::Io { location: "the disk".to_owned(), source: std::io::Error::other(e) })
+            }
         }
     }
 
@@ -124,7 +126,7 @@
         subject: ErrorSubject<u64>,
         verb: ErrorVerb,
     ) -> StorageError<u64> {
-        let _ = self.failure.set(Failure { what: what.to_string(), advice });
+        let _ = self.failure.set(FatalError { reason: what.to_string(), advice });
         StorageIOError::new(subject, verb, AnyError::new(&what)).into()
     }
 
@@ -193,7 +195,7 @@
     }
 }
 
-impl<M: Machine> LogStore<M> {
+impl<M: StateMachine> LogStore<M> {
     async fn read<T: Send + 'static>(
         &self,
         work: impl FnOnce(&Store) -> Result<T, StoreError> + Send + 'static,
@@ -238,7 +240,7 @@
     }
 }
 
-impl<M: Machine> RaftLogReader<Types<M>> for LogStore<M> {
+impl<M: StateMachine> RaftLogReader<Types<M>> for LogStore<M> {
     async fn try_get_log_entries<RB: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self,
         range: RB,
@@ -265,7 +267,7 @@
     }
 }
 
-impl<M: Machine> RaftLogStorage<Types<M>> for LogStore<M> {
+impl<M: StateMachine> RaftLogStorage<Types<M>> for LogStore<M> {
     type LogReader = Self;
 
     async fn get_log_state(&mut self) -> Result<LogState<Types<M>>, StorageError<u64>> {
@@ -281,7 +283,7 @@
             })
             .await?;
         }
-        let last = match self.read(Store::last).await? {
+        let last = match self.read(Store::last_entry).await? {
             Some(entry) => {
                 let entry: LogEntry<M> =
                     self.disk.decode(&entry.bytes, ErrorSubject::LogIndex(entry.index))?;
@@ -325,7 +327,7 @@
         async move {
             self.write(move |store| {
                 // A try on a full disk may have been kept after all.
-                let done = match store.last()? {
+                let done = match store.last_entry()? {
                     Some(last) => batch.iter().take_while(|entry| entry.index <= last.index).count(),
                     None => 0,
                 };
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -4,11 +4,11 @@
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 
-use crate::disk::encode;
 use crate::identity::{Identity, Sender, Stranger};
+use crate::storage::encode;
 
 /// The most bytes of a message's body; an edge cuts off what is larger.
-pub const BODY_MOST: usize = 8 << 20;
+pub const MAX_BODY_BYTES: usize = 8 << 20;
 /// The bytes of a snapshot in one message; as JSON they are up to four times as many.
 pub(crate) const CHUNK: u64 = 512 << 10;
 
@@ -65,6 +65,6 @@
 }
 
 /// A refusal, as it goes out.
-pub(crate) fn refuse(status: StatusCode, why: &impl ToString) -> (StatusCode, Bytes) {
-    (status, encode(&Refusal { error: why.to_string() }).into())
+pub(crate) fn refuse(status: StatusCode, reason: &impl ToString) -> (StatusCode, Bytes) {
+    (status, encode(&Refusal { error: reason.to_string() }).into())
 }
--- a/crates/consensus/tests/disks.rs
+++ b/crates/consensus/tests/disks.rs
@@ -7,14 +7,14 @@
 use std::time::{Duration, Instant};
 
 use consensus::WriteError;
-use store::faults::{Disk, Kept};
+use store::faults::{FaultyDisk, UnsyncedWrites};
 use store::Store;
 use support::{Group, Note};
 
 /// A group on disks in memory.
 struct Disks {
     group: Group,
-    disks: BTreeMap<u64, Arc<Mutex<Disk>>>,
+    disks: BTreeMap<u64, Arc<Mutex<FaultyDisk>>>,
 }
 
 impl Disks {
@@ -22,11 +22,11 @@
         let mut group = Group::new(3, |config| {
             config.write_ms = 1000;
             config.snapshot_after = 30;
-            config.kept = 5;
+            config.retained_entries = 5;
         });
         let mut disks = BTreeMap::new();
         for (id, place) in &mut group.places {
-            let disk = Arc::new(Mutex::new(Disk::new()));
+            let disk = Arc::new(Mutex::new(FaultyDisk::new()));
             let current = Arc::clone(&disk);
             place.disk = Arc::new(move |owner| {
                 let disk = current.lock().expect("no test panics with it").clone();
@@ -38,24 +38,24 @@
         Self { group, disks }
     }
 
-    fn disk(&self, id: u64) -> Disk {
+    fn disk(&self, id: u64) -> FaultyDisk {
         self.disks[&id].lock().expect("no test panics with it").clone()
     }
 
     /// The power of these replicas goes at one moment; they are left with what a crash keeps.
     fn lose_power(&self, ids: &[u64], seed: u64) {
         for id in ids {
-            self.disk(*id).cut();
+            self.disk(*id).power_off();
         }
         for id in ids {
             self.group.place(*id).kill();
             let kept = match seed % 4 {
-                0 => Kept::Synced,
-                1 => Kept::All,
-                2 => Kept::First { seed: seed + id },
-                _ => Kept::Any { seed: seed + id },
+                0 => UnsyncedWrites::Lost,
+                1 => UnsyncedWrites::Kept,
+                2 => UnsyncedWrites::PrefixKept { seed: seed + id },
+                _ => UnsyncedWrites::SubsetKept { seed: seed + id },
             };
-            let left = self.disk(*id).crashed(kept);
+            let left = self.disk(*id).after_crash(kept);
             *self.disks[id].lock().expect("no test panics with it") = left;
         }
     }
@@ -117,11 +117,11 @@
     for leads in [true, false] {
         let mut leader = group.leader().await;
         let full = if leads { leader } else { leader % 3 + 1 };
-        disks.disk(full).set_room(Some(0));
+        disks.disk(full).set_capacity(Some(0));
         // What was written before has room; something large has not.
         let replica = group.place(full).replica().expect("it runs");
         let end = Instant::now() + support::PATIENCE;
-        while replica.status().stalled.is_none() {
+        while replica.status().stall_reason.is_none() {
             assert!(Instant::now() < end, "its disk does not fill up: {:?}", replica.status());
             let note = Note { number: group.number(), bytes: "x".repeat(100 << 10) };
             let number = note.number;
@@ -137,18 +137,19 @@
                 Err(e) => assert!(matches!(e, WriteError::Unavailable { .. }), "{e:?}"),
             }
         }
-        let why = replica.status().stalled;
+        let why = replica.status().stall_reason;
         assert!(why.as_ref().is_some_and(|why| why.contains("full")), "{why:?}");
-        let mut leading = group.place(full).replica().expect("it runs").leading();
-        let aside =
-            tokio::time::timeout(support::PATIENCE, leading.wait_for(|leading| !leading.me)).await.is_ok();
+        let mut leading = group.place(full).replica().expect("it runs").watch_leadership();
+        let aside = tokio::time::timeout(support::PATIENCE, leading.wait_for(|leading| !leading.is_local))
+            .await
+            .is_ok();
         assert!(aside, "it says that it leads");
         for _ in 0..5 {
             acknowledged.push(group.write().await);
         }
         assert_ne!(group.leader().await, full);
-        disks.disk(full).set_room(None);
-        group.status(full, |status| status.stalled.is_none()).await;
+        disks.disk(full).set_capacity(None);
+        group.status(full, |status| status.stall_reason.is_none()).await;
         group.applied(full, acknowledged.last().expect("some").1).await;
     }
     group.agree(&acknowledged).await;
@@ -162,15 +163,15 @@
     let mut acknowledged = vec![group.write().await];
     let leader = group.leader().await;
     let replica = group.place(leader).replica().expect("it runs");
-    disks.disk(leader).cut();
+    disks.disk(leader).power_off();
     let written = group.place(leader).write(group.number()).await.expect("it runs");
     // One that has just lost the lead meets its disk with the next leader's entry.
-    assert!(matches!(written, Err(WriteError::Failed(_) | WriteError::NotLeader { .. })), "{written:?}");
+    assert!(matches!(written, Err(WriteError::Fatal(_) | WriteError::NotLeader { .. })), "{written:?}");
     acknowledged.push(group.write().await);
-    let failure = tokio::time::timeout(support::PATIENCE, replica.failure()).await.expect("it ends");
+    let failure = tokio::time::timeout(support::PATIENCE, replica.fatal_error()).await.expect("it ends");
     let line = format!("{failure}: {}", failure.advice);
     assert!(line.starts_with("the replica can't go on: the disk") && !line.contains('\n'), "{line}");
-    assert!(!replica.leading().borrow().me);
+    assert!(!replica.watch_leadership().borrow().is_local);
     assert_eq!(replica.status().role, "stopped");
     drop(replica);
     disks.lose_power(&[leader], 0);
@@ -184,13 +185,13 @@
     let disks = Disks::started();
     let mut acknowledged = vec![disks.group.write().await];
     for id in [1, 2, 3] {
-        disks.disk(id).set_slow(Duration::from_millis(60));
+        disks.disk(id).set_sync_delay(Duration::from_millis(60));
     }
     for _ in 0..5 {
         acknowledged.push(disks.group.write().await);
     }
     for id in [1, 2, 3] {
-        disks.disk(id).set_slow(Duration::ZERO);
+        disks.disk(id).set_sync_delay(Duration::ZERO);
     }
     disks.group.agree(&acknowledged).await;
 }
--- a/crates/consensus/tests/group.rs
+++ b/crates/consensus/tests/group.rs
@@ -72,8 +72,11 @@
         matches!(refused, Err(WriteError::Unavailable { .. } | WriteError::NotLeader { .. })),
         "{refused:?}"
     );
-    let refused =
-        group.place(leader).call(|replica| async move { replica.confirm().await }).await.expect("it runs");
+    let refused = group
+        .place(leader)
+        .call(|replica| async move { replica.confirm_leadership().await })
+        .await
+        .expect("it runs");
     assert!(
         matches!(refused, Err(WriteError::Unavailable { .. } | WriteError::NotLeader { .. })),
         "{refused:?}"
@@ -97,7 +100,7 @@
 async fn a_leader_alone_takes_few_writes() {
     let group = Group::started(3, |config| {
         config.write_ms = 200;
-        config.writes_most = 4;
+        config.max_concurrent_writes = 4;
     });
     group.write().await;
     let leader = group.leader().await;
@@ -110,7 +113,7 @@
     for number in 100..110 {
         match group.place(leader).write(number).await.expect("it runs") {
             Err(WriteError::Unavailable { .. }) => late += 1,
-            Err(WriteError::Busy { most: 4 } | WriteError::NotLeader { .. }) => {}
+            Err(WriteError::Busy { max: 4 } | WriteError::NotLeader { .. }) => {}
             other => panic!("{other:?}"),
         }
     }
@@ -140,7 +143,7 @@
 async fn a_replica_that_was_away_gets_the_snapshot() {
     let group = Group::started(3, |config| {
         config.snapshot_after = 20;
-        config.kept = 5;
+        config.retained_entries = 5;
     });
     let mut acknowledged = vec![group.write().await];
     let leader = group.leader().await;
@@ -155,7 +158,7 @@
     group.snapshots_beyond(acknowledged.last().expect("some").1).await;
     group.place(away).start().expect("it starts again");
     group.applied(away, acknowledged.last().expect("some").1).await;
-    group.status(away, |status| status.snapshot.is_some()).await;
+    group.status(away, |status| status.snapshot_index.is_some()).await;
     assert!(group.place(away).book().bytes.len() >= 700 << 10);
 
     // What was applied outlives another start of all, from the snapshots and the rest of the logs.
@@ -174,7 +177,7 @@
 async fn a_history_is_linear() {
     let group = std::sync::Arc::new(Group::started(3, |config| {
         config.snapshot_after = 50;
-        config.kept = 10;
+        config.retained_entries = 10;
         config.write_ms = 1000;
     }));
     group.write().await;
@@ -201,7 +204,7 @@
                     let begun = clock.elapsed();
                     let read = place
                         .call(|replica| async move {
-                            replica.confirm().await.map(|()| replica.read(|_, version| version))
+                            replica.confirm_leadership().await.map(|()| replica.read(|_, version| version))
                         })
                         .await;
                     if let Some(Ok(version)) = read {
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -14,7 +14,7 @@
 async fn replicas_are_replaced_one_at_a_time() {
     let mut group = Group::started(3, |config| {
         config.snapshot_after = 40;
-        config.kept = 5;
+        config.retained_entries = 5;
     });
     let mut config = group.place(1).config.clone();
     for id in 4..=6 {
@@ -45,8 +45,9 @@
     }
     done.store(true, Ordering::Relaxed);
     let acknowledged = writer.await.expect("the writer ends");
-    let status =
-        group.status(6, |status| status.replicas.iter().all(|peer| peer.voter) && !status.changing).await;
+    let status = group
+        .status(6, |status| status.replicas.iter().all(|peer| peer.voter) && !status.membership_changing)
+        .await;
     assert_eq!(status.replicas.iter().map(|peer| peer.id).collect::<Vec<_>>(), [4, 5, 6], "{status:?}");
     group.agree(&acknowledged).await;
 
@@ -100,7 +101,7 @@
     let status = group.status(1, |status| status.replicas.len() == 2).await;
     assert!(!status.replicas[1].voter, "{status:?}");
     let last = group.place(1).call(|replica| async move { replica.remove_peer(1).await }).await;
-    assert!(matches!(last, Some(Err(WriteError::Refused { .. }))), "{last:?}");
+    assert!(matches!(last, Some(Err(WriteError::InvalidChange { .. }))), "{last:?}");
     group.at_leader(|replica| async move { replica.remove_peer(2).await }).await;
     group.agree(&[first]).await;
 }
--- a/crates/consensus/tests/still.rs
+++ b/crates/consensus/tests/still.rs
@@ -21,7 +21,7 @@
     // These wait in its queues; the ones in its listen queue come after them.
     let confirm = tokio::spawn({
         let replica = replica.clone();
-        async move { replica.confirm().await }
+        async move { replica.confirm_leadership().await }
     });
     let number = group.number();
     let write = tokio::spawn({
@@ -30,7 +30,7 @@
     });
     let others: Vec<u64> = group.places.keys().copied().filter(|id| *id != old).collect();
     acknowledged.push(group.write_at(&others).await);
-    assert!(replica.leading().borrow().me, "it does not know yet, or the test shows nothing");
+    assert!(replica.watch_leadership().borrow().is_local, "it does not know yet, or the test shows nothing");
     drop(frozen);
 
     let confirmed = confirm.await.expect("no panic");
@@ -40,9 +40,9 @@
         matches!(written, Err(WriteError::Unavailable { .. } | WriteError::NotLeader { .. })),
         "{written:?}"
     );
-    let mut leading = replica.leading();
+    let mut leading = replica.watch_leadership();
     let knows =
-        tokio::time::timeout(support::PATIENCE, leading.wait_for(|leading| !leading.me)).await.is_ok();
+        tokio::time::timeout(support::PATIENCE, leading.wait_for(|leading| !leading.is_local)).await.is_ok();
     assert!(knows, "it still thinks that it leads");
     group.agree(&acknowledged).await;
     assert!(
@@ -63,17 +63,17 @@
     let (timely, version) = loop {
         assert!(Instant::now() < end, "no replica leads for two calls");
         let replica = group.place(group.leader().await).replica().expect("it runs");
-        let term = replica.leading().borrow().term;
+        let term = replica.watch_leadership().borrow().term;
         // Neither one before it nor one that the group never comes to.
         for other in [term - 1, term + 1_000_000] {
-            let written = replica.write_in(other, note(late)).await;
+            let written = replica.write_in_term(other, note(late)).await;
             assert!(
                 matches!(written, Err(WriteError::NotLeader { .. } | WriteError::Unavailable { .. })),
                 "term {other}: {written:?}"
             );
         }
         let timely = group.number();
-        if let Ok((version, _)) = replica.write_in(term, note(timely)).await {
+        if let Ok((version, _)) = replica.write_in_term(term, note(timely)).await {
             break (timely, version);
         }
     };
--- a/crates/consensus/tests/strangers.rs
+++ b/crates/consensus/tests/strangers.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use consensus::{WriteError, BODY_MOST};
+use consensus::{WriteError, MAX_BODY_BYTES};
 use hyper::StatusCode;
 use serde_json::{json, Value};
 use support::{free, letter, Group, Place};
@@ -21,8 +21,10 @@
 }
 
 async fn ask(place: &Place, path: &'static str, body: Bytes) -> (StatusCode, String) {
-    let (status, body) =
-        place.call(move |replica| async move { replica.serve(path, body).await }).await.expect("it runs");
+    let (status, body) = place
+        .call(move |replica| async move { replica.handle_message(path, body).await })
+        .await
+        .expect("it runs");
     (status, String::from_utf8_lossy(&body).into_owned())
 }
 
@@ -51,7 +53,7 @@
             "not a message",
         ),
         (Bytes::from_static(b"\xff{"), StatusCode::BAD_REQUEST, "not a message"),
-        (vec![b' '; BODY_MOST + 1].into(), StatusCode::PAYLOAD_TOO_LARGE, "at most"),
+        (vec![b' '; MAX_BODY_BYTES + 1].into(), StatusCode::PAYLOAD_TOO_LARGE, "at most"),
     ] {
         let (got, answer) = ask(place, "/raft/vote", body.clone()).await;
         assert_eq!(got, status, "{answer}");
@@ -76,8 +78,9 @@
     });
     group.place(1).start().expect("it starts");
     group.place(3).start().expect("it starts");
-    let refused =
-        |status: &consensus::Status| status.refused.as_ref().is_some_and(|line| line.contains("cluster"));
+    let refused = |status: &consensus::Status| {
+        status.last_refusal.as_ref().is_some_and(|line| line.contains("cluster"))
+    };
     group.status(1, refused).await;
     group.status(3, refused).await;
     assert_eq!(group.place(1).replica().expect("it runs").status().leader, None);
@@ -109,11 +112,12 @@
     group.place(behind).start().expect("it starts again");
     group.place(lost).start().expect("it starts on an empty disk");
     let refused =
-        |status: &consensus::Status| status.refused.as_ref().is_some_and(|line| line.contains("disk"));
+        |status: &consensus::Status| status.last_refusal.as_ref().is_some_and(|line| line.contains("disk"));
     group.status(behind, refused).await;
     group.status(lost, refused).await;
     for id in [behind, lost] {
-        let confirmed = group.place(id).call(|replica| async move { replica.confirm().await }).await;
+        let confirmed =
+            group.place(id).call(|replica| async move { replica.confirm_leadership().await }).await;
         assert!(matches!(confirmed, Some(Err(_))), "{confirmed:?}");
     }
 
@@ -132,7 +136,7 @@
     let place = group.place(group.leader().await);
     let again = place.call(move |replica| async move { replica.set_peer(lost, address).await }).await;
     assert!(
-        matches!(&again, Some(Err(WriteError::Refused { why })) if why.contains("never used")),
+        matches!(&again, Some(Err(WriteError::InvalidChange { reason })) if reason.contains("never used")),
         "{again:?}"
     );
     group.agree(&acknowledged).await;
@@ -151,7 +155,9 @@
         place.start().expect("it starts");
     }
     let first = group.write().await;
-    group.status(3, |status| status.refused.as_ref().is_some_and(|line| line.contains("formed by"))).await;
+    group
+        .status(3, |status| status.last_refusal.as_ref().is_some_and(|line| line.contains("formed by")))
+        .await;
     assert_eq!(group.place(3).book().notes, []);
     group.place(3).kill();
     group.agree(&[first]).await;
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use consensus::{ConsensusError, Machine, Replica, ReplicaConfig, Status, WriteError};
+use consensus::{ConsensusError, Replica, ReplicaConfig, StateMachine, Status, WriteError};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
@@ -38,7 +38,7 @@
     pub bytes: String,
 }
 
-impl Machine for Book {
+impl StateMachine for Book {
     type Command = Note;
     type Reply = usize;
 
@@ -203,7 +203,7 @@
                 async move {
                     let path = request.uri().path().to_owned();
                     let body = request.into_body().collect().await?.to_bytes();
-                    let (status, body) = replica.serve(&path, body).await;
+                    let (status, body) = replica.handle_message(&path, body).await;
                     let mut response = Response::new(Full::new(body));
                     *response.status_mut() = status;
                     Ok::<_, hyper::Error>(response)
@@ -280,7 +280,9 @@
         let end = Instant::now() + PATIENCE;
         loop {
             for (id, place) in &self.places {
-                if place.call(|replica| async move { replica.confirm().await }).await == Some(Ok(())) {
+                if place.call(|replica| async move { replica.confirm_leadership().await }).await
+                    == Some(Ok(()))
+                {
                     return *id;
                 }
             }
@@ -308,7 +310,7 @@
     /// Waits until the replica has applied `version`.
     pub async fn applied(&self, id: u64, version: u64) {
         let replica = self.place(id).replica().expect("it runs");
-        let mut applied = replica.applied();
+        let mut applied = replica.watch_applied();
         let reached = tokio::time::timeout(PATIENCE, applied.wait_for(|applied| *applied >= version)).await;
         if reached.is_err() {
             let all: Vec<_> =
@@ -334,7 +336,9 @@
     pub async fn snapshots_beyond(&self, version: u64) {
         let behind = |place: &Place| {
             let replica = place.replica();
-            replica.is_some_and(|replica| replica.status().snapshot.is_none_or(|snapshot| snapshot < version))
+            replica.is_some_and(|replica| {
+                replica.status().snapshot_index.is_none_or(|snapshot| snapshot < version)
+            })
         };
         let end = Instant::now() + PATIENCE;
         while self.places.values().any(behind) {
--- a/crates/control/examples/fleet/sim.rs
+++ b/crates/control/examples/fleet/sim.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use consensus::Machine as _;
+use consensus::StateMachine as _;
 use control::command::{Command, PolicyCommand};
 use control::leader::{Effect, Input, Leader, Terms};
 use control::machine::Agreement;
--- a/crates/control/examples/votes/sim.rs
+++ b/crates/control/examples/votes/sim.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 
-use consensus::Machine as _;
+use consensus::StateMachine as _;
 use control::command::{Command, PolicyCommand, RosterCommand, VerdictCommand};
 use control::machine::Agreement;
 use control::tally::{Input, Tally};
--- a/crates/control/src/edge/actor.rs
+++ b/crates/control/src/edge/actor.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use consensus::{Leading, Replica};
+use consensus::{Leadership, Replica};
 use member::{Answer, Beat, Epoch, Millis, Process, Word};
 use serde::Serialize;
 use tokio::net::TcpStream;
@@ -148,8 +148,8 @@
 impl Actor {
     /// Leads whenever this replica does; ends at the stop.
     pub async fn run(mut self, mut stopping: watch::Receiver<bool>) {
-        let mut leading = self.replica.leading();
-        let mut applied = self.replica.applied();
+        let mut leading = self.replica.watch_leadership();
+        let mut applied = self.replica.watch_applied();
         let mut term: Option<Term> = None;
         loop {
             let led = leading.borrow_and_update().clone();
@@ -157,7 +157,7 @@
                 tracing::info!(term = led.term, "leads no more");
                 term = None;
             }
-            if led.me && term.is_none() {
+            if led.is_local && term.is_none() {
                 tracing::info!(term = led.term, "leads");
                 term = Some(Term::new(&self, led.term));
             }
@@ -266,8 +266,8 @@
         ms(self.start.elapsed())
     }
 
-    fn goes_on(&self, leading: &Leading) -> bool {
-        leading.me && leading.term == self.number
+    fn goes_on(&self, leading: &Leadership) -> bool {
+        leading.is_local && leading.term == self.number
     }
 
     /// An event with those that have come besides: the leader looks through all members once for all of them, so that
@@ -374,7 +374,7 @@
                 let term = self.number;
                 self.tasks.spawn(async move {
                     // What was decided in this term is void in the log of another one.
-                    let written = replica.write_in(term, command.clone()).await;
+                    let written = replica.write_in_term(term, command.clone()).await;
                     let outcome = written.map(|(_, outcome)| outcome);
                     if let Err(error) = &outcome {
                         tracing::debug!(%error, ?command, "a write of the leader failed");
@@ -385,7 +385,7 @@
             Effect::Confirm => {
                 let term = self.number;
                 self.tasks.spawn(async move {
-                    let confirmed = replica.confirm().await.is_ok();
+                    let confirmed = replica.confirm_leadership().await.is_ok();
                     // The word of who leads comes by way of a task; this is the core's own. A replica that was deposed
                     // and has come back would confirm its next term.
                     let status = replica.status();
--- a/crates/control/src/edge/answer.rs
+++ b/crates/control/src/edge/answer.rs
@@ -85,11 +85,11 @@
         let advice = error.advice();
         match error {
             WriteError::NotLeader { leader } => Self::not_leader(leader.map(|(_, address)| address)),
-            WriteError::Busy { .. } | WriteError::Unavailable { .. } | WriteError::Failed(_) => {
+            WriteError::Busy { .. } | WriteError::Unavailable { .. } | WriteError::Fatal(_) => {
                 Self::unavailable(error, advice)
             }
             WriteError::TooLarge { .. } => Self::new(StatusCode::PAYLOAD_TOO_LARGE, error, advice),
-            WriteError::Refused { .. } => Self::conflict(error, advice),
+            WriteError::InvalidChange { .. } => Self::conflict(error, advice),
         }
     }
 }
--- a/crates/control/src/edge/calls.rs
+++ b/crates/control/src/edge/calls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use consensus::{WriteError, BODY_MOST};
+use consensus::{WriteError, MAX_BODY_BYTES};
 use http_body_util::{BodyExt, Either, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -122,8 +122,8 @@
         match place {
             Place::Letter => {
                 let _pass = self.letters.enter().map_err(shut)?;
-                let body = whole(body, BODY_MOST).await?;
-                let (status, answer) = self.replica.serve(path, body).await;
+                let body = whole(body, MAX_BODY_BYTES).await?;
+                let (status, answer) = self.replica.handle_message(path, body).await;
                 Ok(raw(status, answer))
             }
             Place::Session => self.beat(peer, parse(&whole(body, BEAT_MOST).await?)?).await,
@@ -199,7 +199,7 @@
     /// What is on the log, and at the leader what it knows of votes besides.
     async fn verdicts(&self) -> Answered {
         let votes = self.actor.votes().await;
-        let leading = self.replica.leading().borrow().clone();
+        let leading = self.replica.watch_leadership().borrow().clone();
         let leader = leading.leader.map(|(_, address)| address);
         let (leads, votes) = (votes.is_ok(), votes.ok().flatten());
         let in_touch = *self.in_touch.borrow();
@@ -241,7 +241,7 @@
         let terms = &self.config.terms;
         let most = terms.stage_ms + 2.0 * terms.promise_ms.max(terms.lease_ms) + terms.session_ms;
         let end = Instant::now() + Duration::from_secs_f64(most / 1000.0) + MARGIN;
-        let mut applied = self.replica.applied();
+        let mut applied = self.replica.watch_applied();
         let mut stopping = self.stopping.subscribe();
         let ended = loop {
             applied.borrow_and_update();
@@ -279,7 +279,7 @@
         let change = self.replica.read(|agreement, _| agreement.book().change().map(|change| change.id));
         let Some(change) = change else {
             // What this replica knows may be old.
-            self.replica.confirm().await?;
+            self.replica.confirm_leadership().await?;
             return Err(none());
         };
         match self.write(Command::Policy(PolicyCommand::Abort { change, why: Abort::Operator })).await? {
@@ -319,7 +319,7 @@
 
     async fn status(&self) -> serde_json::Value {
         let store = self.store.clone();
-        let disk_bytes = tokio::task::spawn_blocking(move || store.size().ok()).await.ok().flatten();
+        let disk_bytes = tokio::task::spawn_blocking(move || store.file_size().ok()).await.ok().flatten();
         let (epoch, members) =
             self.replica.read(|agreement, _| (agreement.book().epoch(), agreement.roster().len()));
         json!({
@@ -366,8 +366,8 @@
     fn unanswered(&self, unanswered: Unanswered) -> Refused {
         match unanswered {
             Unanswered::NotLeader => {
-                let leading = self.replica.leading().borrow().clone();
-                Refused::not_leader(leading.leader.filter(|_| !leading.me).map(|(_, address)| address))
+                let leading = self.replica.watch_leadership().borrow().clone();
+                Refused::not_leader(leading.leader.filter(|_| !leading.is_local).map(|(_, address)| address))
             }
             Unanswered::Busy => Refused::unavailable("too many calls at a time", "ask again soon"),
             Unanswered::Refused(why) => {
--- a/crates/control/src/edge/mod.rs
+++ b/crates/control/src/edge/mod.rs
@@ -24,7 +24,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::{ConsensusError, Failure, Replica, ReplicaConfig};
+use consensus::{ConsensusError, FatalError, Replica, ReplicaConfig};
 use member::News;
 use store::{Owner, Store, StoreError};
 use tokio::signal::unix::{signal, SignalKind};
@@ -77,7 +77,7 @@
     Start(#[from] ConsensusError),
     /// It can't go on.
     #[error("{0}; {advice}", advice = .0.advice)]
-    Failed(Failure),
+    Failed(FatalError),
     /// A part of it has ended.
     #[error("the part that {0} has ended; start the replica again, and report it with its log")]
     Ended(&'static str),
@@ -104,8 +104,10 @@
     /// It has applied what it had on its disk, and knows a leader. What it had may be cut off by a leader.
     fn is_ready(&self) -> bool {
         let status = self.replica.status();
-        let had = self.begun_with.min(status.last.unwrap_or_default());
-        self.replica.leading().borrow().leader.is_some() && status.applied >= had && !*self.stopping.borrow()
+        let had = self.begun_with.min(status.last_log_index.unwrap_or_default());
+        self.replica.watch_leadership().borrow().leader.is_some()
+            && status.applied_index >= had
+            && !*self.stopping.borrow()
     }
 }
 
@@ -135,7 +137,7 @@
         place.election_ms = config.election.after_ms;
         let starts = count_start(&store).await?;
         let replica = Replica::start(place, store.clone(), Agreement::new()).await?;
-        let begun_with = replica.status().last.unwrap_or_default();
+        let begun_with = replica.status().last_log_index.unwrap_or_default();
 
         let (stopping, _) = channel(false);
         let (touch, in_touch) = channel(false);
@@ -189,9 +191,9 @@
     pub async fn failed(&mut self) -> ControlError {
         let replica = &self.edge.replica;
         tokio::select! {
-            failure = replica.failure() => ControlError::Failed(failure),
+            failure = replica.fatal_error() => ControlError::Failed(failure),
             // The replica's failure may be what ended it.
-            Some(ended) = self.tasks.join_next() => match timeout(STOP, replica.failure()).await {
+            Some(ended) = self.tasks.join_next() => match timeout(STOP, replica.fatal_error()).await {
                 Ok(failure) => ControlError::Failed(failure),
                 Err(_) => ControlError::Ended(ended.unwrap_or("panicked")),
             }
@@ -252,7 +254,7 @@
 
 /// Shows each change of policy and of verdicts to whoever watches, and each change of policy to the log.
 async fn follow(replica: Replica<Agreement>, hub: Hub) {
-    let mut applied = replica.applied();
+    let mut applied = replica.watch_applied();
     let mut shown = None;
     loop {
         applied.borrow_and_update();
@@ -297,13 +299,13 @@
 
 /// Follows whether this replica is in touch with a leader that a majority follows; ends watches where it is not.
 async fn keep_touch(replica: Replica<Agreement>, hub: Hub, touch: Sender<bool>) {
-    let mut leading = replica.leading();
+    let mut leading = replica.watch_leadership();
     let mut heard: Option<Instant> = None;
     loop {
         let led = leading.borrow_and_update().clone();
         let began = Instant::now();
-        let known = match led.me {
-            true => matches!(timeout(OUT_OF_TOUCH, replica.confirm()).await, Ok(Ok(()))),
+        let known = match led.is_local {
+            true => matches!(timeout(OUT_OF_TOUCH, replica.confirm_leadership()).await, Ok(Ok(()))),
             false => led.leader.is_some(),
         };
         if known {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -6,7 +6,7 @@
 //! | [`roster`] | which processes are members: join, leave, proven ended, removed |
 //! | [`policy`] | the agreed epoch, the change under way, how changes ended |
 //! | [`verdicts`] | servers that are removed by votes, and the caps |
-//! | [`machine`] | all three on the log: [`consensus::Machine`] |
+//! | [`machine`] | all three on the log: [`consensus::StateMachine`] |
 //! | [`leader`] | pure too, but not on the log: sessions, promises and leases by one leader's monotonic clock; what it would have written, answered and asked |
 //! | [`tally`] | as the leader, beside it: ballots on servers, and the verdicts that follow from them |
 //! | [`config`] | one replica's configuration, checked whole |
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,6 +1,6 @@
 //! Roster, policy and verdicts on the log: what [`consensus`] drives.
 
-use consensus::Machine;
+use consensus::StateMachine;
 use member::Agreed;
 use serde::{Deserialize, Serialize};
 
@@ -71,7 +71,7 @@
     }
 }
 
-impl Machine for Agreement {
+impl StateMachine for Agreement {
     type Command = Command;
     type Reply = Outcome;
 
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use consensus::Machine as _;
+use consensus::StateMachine as _;
 use control::command::{Command, Outcome, PolicyCommand, Proof, RosterCommand};
 use control::leader::{Effect, Input, Leader, Refusal, Terms, Unreachable};
 use control::machine::Agreement;
--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -13,7 +13,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Instant;
 
-use consensus::Machine as _;
+use consensus::StateMachine as _;
 use control::command::{Command, Outcome, PolicyCommand};
 use control::leader::{Effect, Input, Leader, Terms, Unreachable};
 use control::machine::Agreement;
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -1,6 +1,6 @@
 //! What the log makes of verdicts, and the rules of the tally that need no other order of events than the one here.
 
-use consensus::Machine as _;
+use consensus::StateMachine as _;
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand, VerdictCommand};
 use control::machine::Agreement;
 use control::tally::{Input, Tally};
--- a/crates/control/tests/votes_model.rs
+++ b/crates/control/tests/votes_model.rs
@@ -9,7 +9,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Instant;
 
-use consensus::Machine as _;
+use consensus::StateMachine as _;
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand, VerdictCommand};
 use control::machine::Agreement;
 use control::tally::{Input, Tally};
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -2,24 +2,24 @@
 //!
 //! Both ends use them: the node reads, the lab's discovery (and the list service to come) writes. Field names on the
 //! wire are the platform's; unknown fields are ignored. How a node follows the list is here too, without its sockets:
-//! [`Follower`] says when to call and when to give a call up, [`Book`] what to believe of what comes.
+//! [`ListWatcher`] says when to call and when to give a call up, [`ListState`] what to believe of what comes.
 
-mod book;
-mod follower;
+mod list_state;
+mod list_watcher;
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-pub use book::{Book, Taken, CONFIRM, CONFIRM_MOVED};
-pub use follower::{Action, CallId, Event, Follower, Mode, Trouble};
+pub use list_state::{ListState, UpdateOutcome, ROLLBACK_CONFIRM_AFTER_MOVE_MS, ROLLBACK_CONFIRM_MS};
+pub use list_watcher::{Action, CallFailure, CallId, DeliveryMode, Event, ListWatcher};
 
 /// A time in ms, on a monotonic clock that begins anywhere.
 pub type Ms = u64;
 
 /// The longest line that is taken, in bytes.
-pub const LINE_MOST: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// One line of discovery.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -78,28 +78,28 @@
 
 /// What can't be read as the protocol requires.
 #[derive(Debug)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// Not the JSON of a line.
     Json(serde_json::Error),
     /// A server that is not gone says nowhere to reach it.
-    NoDial(String),
+    MissingDial(String),
     /// More bytes than a line may have.
     TooLong,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Json(error) => error.fmt(f),
-            Self::NoDial(host) => write!(f, "{host}: dial is missing"),
+            Self::MissingDial(host) => write!(f, "{host}: dial is missing"),
             Self::TooLong => f.write_str("longer than a line may be"),
         }
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for DecodeError {}
 
-impl From<serde_json::Error> for Unreadable {
+impl From<serde_json::Error> for DecodeError {
     fn from(error: serde_json::Error) -> Self {
         Self::Json(error)
     }
@@ -110,17 +110,17 @@
     ///
     /// # Errors
     /// Names what is missing or malformed.
-    pub fn read(line: &[u8]) -> Result<Self, Unreadable> {
-        serde_json::from_slice::<Self>(line)?.checked()
+    pub fn parse(line: &[u8]) -> Result<Self, DecodeError> {
+        serde_json::from_slice::<Self>(line)?.validated()
     }
 
     /// The update, if every server that is not gone says where it listens.
     ///
     /// # Errors
     /// Names the first server that does not.
-    pub fn checked(self) -> Result<Self, Unreadable> {
+    pub fn validated(self) -> Result<Self, DecodeError> {
         match self.hosts.iter().find(|h| h.dial.is_none() && h.health != Health::Left) {
-            Some(host) => Err(Unreadable::NoDial(host.host.clone())),
+            Some(host) => Err(DecodeError::MissingDial(host.host.clone())),
             None => Ok(self),
         }
     }
@@ -129,7 +129,7 @@
 /// Cuts a stream into messages: a line each, or a JSON object that stands over several. An object is whole with its last
 /// brace, whatever comes of the line's end; what is no object, or has a line's end in a string, ends with its line.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct MessageSplitter {
     held: Vec<u8>,
     /// Where the message that is coming begins, and up to where it has been looked at.
     start: usize,
@@ -177,26 +177,26 @@
     }
 }
 
-impl Lines {
+impl MessageSplitter {
     /// Takes in what came.
     ///
     /// # Errors
-    /// Where a message would be longer than [`LINE_MOST`].
-    pub fn push(&mut self, data: &[u8]) -> Result<(), Unreadable> {
-        if self.held.len() + data.len() > LINE_MOST {
-            return Err(Unreadable::TooLong);
+    /// Where a message would be longer than [`MAX_MESSAGE_BYTES`].
+    pub fn push(&mut self, data: &[u8]) -> Result<(), DecodeError> {
+        if self.held.len() + data.len() > MAX_MESSAGE_BYTES {
+            return Err(DecodeError::TooLong);
         }
         self.held.extend_from_slice(data);
         Ok(())
     }
 
     /// What came and is no whole message yet.
-    pub fn rest(&self) -> &[u8] {
+    pub fn remainder(&self) -> &[u8] {
         &self.held[self.start..]
     }
 }
 
-impl Iterator for Lines {
+impl Iterator for MessageSplitter {
     type Item = Vec<u8>;
 
     /// The next whole message, without the end of its line.
@@ -234,7 +234,7 @@
         };
         let update = Update { version: 41, whole: true, hosts: vec![host] };
         let line = serde_json::to_vec(&update).expect("plain data");
-        assert_eq!(Update::read(&line).expect("readable"), update);
+        assert_eq!(Update::parse(&line).expect("readable"), update);
         assert!(String::from_utf8(line).expect("text").contains("\"seq\":41"));
     }
 
@@ -243,23 +243,23 @@
         let line = |health: &str| {
             format!(r#"{{"seq":1,"whole":false,"more":7,"hosts":[{{"host":"s","health":"{health}"}}]}}"#)
         };
-        assert!(Update::read(line("left").as_bytes()).is_ok());
+        assert!(Update::parse(line("left").as_bytes()).is_ok());
         for health in ["active", "leaving"] {
-            let words = Update::read(line(health).as_bytes()).expect_err("no address").to_string();
+            let words = Update::parse(line(health).as_bytes()).expect_err("no address").to_string();
             assert_eq!(words, "s: dial is missing");
         }
-        assert!(matches!(Update::read(b"{\"seq\":"), Err(Unreadable::Json(_))));
+        assert!(matches!(Update::parse(b"{\"seq\":"), Err(DecodeError::Json(_))));
     }
 
     #[test]
     fn lines_come_whole_however_they_were_cut() {
-        let mut lines = Lines::default();
+        let mut lines = MessageSplitter::default();
         let mut seen = Vec::new();
         for piece in b"ab\r\n\nc".chunks(1) {
             lines.push(piece).expect("short");
             seen.extend(lines.by_ref());
         }
-        assert_eq!((seen, lines.rest()), (vec![b"ab".to_vec(), Vec::new()], &b"c"[..]));
-        assert!(matches!(lines.push(&vec![0; LINE_MOST]), Err(Unreadable::TooLong)));
+        assert_eq!((seen, lines.remainder()), (vec![b"ab".to_vec(), Vec::new()], &b"c"[..]));
+        assert!(matches!(lines.push(&vec![0; MAX_MESSAGE_BYTES]), Err(DecodeError::TooLong)));
     }
 }
--- a/crates/endpoints/src/follower.rs
+++ b/crates/endpoints/src/list_watcher.rs
@@ -8,7 +8,7 @@
 
 use thiserror::Error;
 
-use crate::{Book, Lines, Ms, Unreadable, Update};
+use crate::{DecodeError, ListState, MessageSplitter, Ms, Update};
 
 /// A call's number.
 pub type CallId = u64;
@@ -45,76 +45,76 @@
 
 /// How the list comes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Mode {
+pub enum DeliveryMode {
     /// Unprompted: a watch is kept up for good.
-    Pushed,
-    /// To whom asks: a watch is begun when the owner asks, and at the latest when the clock wants it.
-    Asked,
+    Push,
+    /// On demand: a watch is begun when the owner asks, and at the latest when the clock wants it.
+    OnDemand,
 }
 
 /// What happens to a follower.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// Time has passed, see [`Follower::next`].
+    /// Time has passed, see [`ListWatcher::next_deadline`].
     Tick,
     /// The owner asks for the list.
-    Ask,
+    RefreshRequested,
     /// The service is at another address now.
-    Moved,
+    ServiceMoved,
     /// A call is connected, and its question written.
     Connected(CallId),
     /// Its answer begins, with this status.
-    Head(CallId, u16),
+    ResponseHead(CallId, u16),
     /// Some of its answer.
-    Bytes(CallId, &'a [u8]),
+    ResponseBytes(CallId, &'a [u8]),
     /// Its answer has ended as it should.
-    Ended(CallId),
+    ResponseEnded(CallId),
     /// It has failed, for this reason.
-    Broke(CallId, &'a str),
+    CallFailed(CallId, &'a str),
 }
 
 /// What a follower wants done.
 #[derive(Debug)]
 pub enum Action {
     /// Connect to the service on a new connection, and ask for this path.
-    Call(CallId, String),
+    StartCall(CallId, String),
     /// End this call and its connection.
-    Drop(CallId),
+    CancelCall(CallId),
     /// This is the list, or its changes, from now on.
-    Take(Update),
+    ApplyUpdate(Update),
     /// The service speaks, and has no news.
-    Alive,
+    NoChanges,
     /// A call failed.
-    Failed(Trouble),
+    ReportFailure(CallFailure),
 }
 
 /// Why a call came to nothing.
 #[derive(Debug, Error)]
-pub enum Trouble {
+pub enum CallFailure {
     /// No connection came up.
     #[error("no connection")]
-    NoConnection,
+    ConnectTimeout,
     /// It stayed unanswered.
     #[error("no answer")]
-    NoAnswer,
+    ResponseTimeout,
     /// It fell silent.
     #[error("silent")]
-    Silent,
+    IdleTimeout,
     /// Bytes came, and no whole line.
     #[error("a line that does not end")]
-    Unended,
+    MessageTimeout,
     /// It was answered, but not by the list.
     #[error("status {0}")]
     Status(u16),
     /// Its answer ended.
     #[error("the answer ended")]
-    Ended,
+    ResponseEnded,
     /// Its connection failed.
     #[error("{0}")]
-    Broken(String),
+    Transport(String),
     /// It brought what can't be read; the whole list is asked for next.
     #[error("unreadable line dropped: {0}")]
-    Unreadable(#[from] Unreadable),
+    Decode(#[from] DecodeError),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -135,7 +135,7 @@
     whole: bool,
     begun: Ms,
     stage: Stage,
-    lines: Lines,
+    lines: MessageSplitter,
     /// Since when nothing of use has come.
     silent: Ms,
     heard: bool,
@@ -143,23 +143,25 @@
 
 impl Call {
     /// When it is given up, and for what.
-    fn due(&self, mode: Mode) -> (Ms, Trouble) {
+    fn due(&self, mode: DeliveryMode) -> (Ms, CallFailure) {
         match (self.stage, mode) {
-            (Stage::Connecting, Mode::Pushed) => (self.begun + AGENT, Trouble::NoConnection),
-            (Stage::Connecting, Mode::Asked) => (self.begun + CONNECT, Trouble::NoConnection),
-            (Stage::Asked(_), Mode::Pushed) => (self.begun + AGENT, Trouble::NoAnswer),
-            (Stage::Asked(at), Mode::Asked) => (at + QUEUE, Trouble::NoAnswer),
-            (Stage::Open { byte, line }, _) if byte <= line => (byte, Trouble::Silent),
-            (Stage::Open { line, .. }, _) => (line, Trouble::Unended),
+            (Stage::Connecting, DeliveryMode::Push) => (self.begun + AGENT, CallFailure::ConnectTimeout),
+            (Stage::Connecting, DeliveryMode::OnDemand) => {
+                (self.begun + CONNECT, CallFailure::ConnectTimeout)
+            }
+            (Stage::Asked(_), DeliveryMode::Push) => (self.begun + AGENT, CallFailure::ResponseTimeout),
+            (Stage::Asked(at), DeliveryMode::OnDemand) => (at + QUEUE, CallFailure::ResponseTimeout),
+            (Stage::Open { byte, line }, _) if byte <= line => (byte, CallFailure::IdleTimeout),
+            (Stage::Open { line, .. }, _) => (line, CallFailure::MessageTimeout),
         }
     }
 }
 
 /// Follows the list for one node.
 #[derive(Debug)]
-pub struct Follower {
-    mode: Mode,
-    book: Book,
+pub struct ListWatcher {
+    mode: DeliveryMode,
+    list: ListState,
     calls: Vec<Call>,
     last_id: CallId,
     /// When the last call was begun.
@@ -177,16 +179,16 @@
     actions: Vec<Action>,
 }
 
-impl Follower {
+impl ListWatcher {
     /// A follower that begins with a saved list.
-    pub fn new(mode: Mode, saved: Option<&Update>, now: Ms) -> Self {
+    pub fn new(mode: DeliveryMode, saved: Option<&Update>, now: Ms) -> Self {
         Self {
             mode,
-            book: Book::new(saved),
+            list: ListState::new(saved),
             calls: Vec::new(),
             last_id: 0,
             begun: now,
-            again: (mode == Mode::Pushed).then_some(now),
+            again: (mode == DeliveryMode::Push).then_some(now),
             whole: false,
             moved: false,
             tell: 0,
@@ -196,34 +198,34 @@
     }
 
     /// Is this call still out?
-    pub fn knows(&self, id: CallId) -> bool {
+    pub fn is_call_open(&self, id: CallId) -> bool {
         self.calls.iter().any(|c| c.id == id)
     }
 
     /// The version that counts.
     pub fn version(&self) -> u64 {
-        self.book.version()
+        self.list.version()
     }
 
     /// When the service last said something, if it ever did.
-    pub fn heard(&self) -> Option<Ms> {
+    pub fn last_received(&self) -> Option<Ms> {
         self.heard
     }
 
     /// When time alone next calls for something.
-    pub fn next(&self) -> Option<Ms> {
+    pub fn next_deadline(&self) -> Option<Ms> {
         let due = self.calls.iter().map(|c| c.due(self.mode).0);
-        due.chain(self.begin_at()).chain(self.confirm_at()).min()
+        due.chain(self.begin_at()).chain(self.rollback_confirm_at()).min()
     }
 
     /// Takes in what happened; what to do comes in its order.
     pub fn handle(&mut self, now: Ms, event: Event<'_>) -> Vec<Action> {
         match event {
             Event::Tick => {}
-            Event::Ask if self.calls.is_empty() => self.again = Some(now),
-            Event::Ask => {}
-            Event::Moved => {
-                self.book.moved();
+            Event::RefreshRequested if self.calls.is_empty() => self.again = Some(now),
+            Event::RefreshRequested => {}
+            Event::ServiceMoved => {
+                self.list.service_moved();
                 (self.moved, self.whole) = (true, true);
                 self.restart(now);
             }
@@ -232,11 +234,11 @@
                     call.stage = Stage::Asked(now);
                 }
             }
-            Event::Head(id, 200) => self.open(now, id),
-            Event::Head(id, status) => self.fail(now, id, Trouble::Status(status)),
-            Event::Bytes(id, bytes) => self.read(now, id, bytes),
-            Event::Ended(id) => self.end(now, id),
-            Event::Broke(id, words) => self.fail(now, id, Trouble::Broken(words.into())),
+            Event::ResponseHead(id, 200) => self.open(now, id),
+            Event::ResponseHead(id, status) => self.fail(now, id, CallFailure::Status(status)),
+            Event::ResponseBytes(id, bytes) => self.read(now, id, bytes),
+            Event::ResponseEnded(id) => self.end(now, id),
+            Event::CallFailed(id, words) => self.fail(now, id, CallFailure::Transport(words.into())),
         }
         self.follow_clock(now);
         std::mem::take(&mut self.actions)
@@ -253,8 +255,8 @@
         }
         let open = self.calls.iter().any(|c| matches!(c.stage, Stage::Open { .. }));
         let beside = match self.mode {
-            Mode::Pushed => Some(BESIDE),
-            Mode::Asked => self.moved.then_some(BESIDE_MOVED),
+            DeliveryMode::Push => Some(BESIDE),
+            DeliveryMode::OnDemand => self.moved.then_some(BESIDE_MOVED),
         };
         // One that was refused is not the newest any more: its time counts all the same, or the next would be begun at
         // once, and refused at once.
@@ -263,8 +265,8 @@
     }
 
     /// When an older list is to be confirmed, if the whole list is not being asked for anyway.
-    fn confirm_at(&self) -> Option<Ms> {
-        self.book.confirm_at().filter(|_| !self.whole)
+    fn rollback_confirm_at(&self) -> Option<Ms> {
+        self.list.rollback_confirm_at().filter(|_| !self.whole)
     }
 
     fn follow_clock(&mut self, now: Ms) {
@@ -273,7 +275,7 @@
         while let Some((id, why)) = self.calls.iter().find_map(over) {
             self.fail(now, id, why);
         }
-        if self.confirm_at().is_some_and(|at| now >= at) {
+        if self.rollback_confirm_at().is_some_and(|at| now >= at) {
             self.whole = true;
             self.restart(now);
         }
@@ -283,7 +285,7 @@
     }
 
     fn restart(&mut self, now: Ms) {
-        self.actions.extend(self.calls.drain(..).map(|c| Action::Drop(c.id)));
+        self.actions.extend(self.calls.drain(..).map(|c| Action::CancelCall(c.id)));
         self.again = Some(now);
     }
 
@@ -291,13 +293,13 @@
         self.last_id += 1;
         (self.begun, self.again) = (now, None);
         let (id, whole) = (self.last_id, self.whole);
-        let (stage, lines) = (Stage::Connecting, Lines::default());
+        let (stage, lines) = (Stage::Connecting, MessageSplitter::default());
         self.calls.push(Call { id, whole, begun: now, stage, lines, silent: now, heard: false });
         let path = match whole {
             true => "/v1/endpoints".to_string(),
             false => format!("/v1/endpoints?watch=1&from={}", self.version()),
         };
-        self.actions.push(Action::Call(id, path));
+        self.actions.push(Action::StartCall(id, path));
     }
 
     /// A call is answered: the others are of no more use.
@@ -309,13 +311,13 @@
                 let due = (call.begun + SILENCE).max(now + MOVED);
                 Stage::Open { byte: due, line: due }
             }
-            Stage::Asked(at) if mode == Mode::Asked => {
+            Stage::Asked(at) if mode == DeliveryMode::OnDemand => {
                 Stage::Open { byte: (at + QUEUE).max(now + SILENCE), line: now + LINE }
             }
             _ => Stage::Open { byte: now + SILENCE, line: now + LINE },
         };
         call.silent = now;
-        let others = self.calls.iter().filter(|c| c.id != id).map(|c| Action::Drop(c.id));
+        let others = self.calls.iter().filter(|c| c.id != id).map(|c| Action::CancelCall(c.id));
         self.actions.extend(others);
         self.calls.retain(|c| c.id == id);
     }
@@ -344,12 +346,12 @@
         let heard = std::mem::replace(&mut call.heard, true);
         self.heard = Some(now);
         if !line.is_empty() {
-            match Update::read(line) {
+            match Update::parse(line) {
                 Ok(update) => self.take(now, id, update),
                 Err(error) => self.fail(now, id, error.into()),
             }
         } else if !heard {
-            self.actions.push(Action::Alive);
+            self.actions.push(Action::NoChanges);
         }
     }
 
@@ -357,49 +359,51 @@
         if let Some(place) = self.calls.iter().position(|c| c.id == id && c.whole) {
             // Whole with its last brace: what ends the answer may come late, or not at all.
             self.calls.remove(place);
-            self.actions.push(Action::Drop(id));
+            self.actions.push(Action::CancelCall(id));
             (self.whole, self.moved, self.again) = (false, false, Some(now));
         }
-        let taken = self.book.take(update, id, now);
-        self.actions.push(taken.news.map_or(Action::Alive, Action::Take));
-        if self.calls.is_empty() && self.book.confirm_at().is_some() {
+        let outcome = self.list.apply(update, id, now);
+        self.actions.push(outcome.accepted.map_or(Action::NoChanges, Action::ApplyUpdate));
+        if self.calls.is_empty() && self.list.rollback_confirm_at().is_some() {
             // Where watches are as new as ours, and whole lists lag, each would have the other asked for at once.
             self.again = Some(now + self.pause());
         }
-        if taken.ask_whole {
+        if outcome.needs_full_list {
             self.whole = true;
             self.restart(now);
         }
     }
 
     fn end(&mut self, now: Ms, id: CallId) {
-        let Some(call) = self.call(id).filter(|c| c.whole) else { return self.fail(now, id, Trouble::Ended) };
-        let cut_off = Update::read(call.lines.rest()).err();
-        self.fail(now, id, cut_off.map_or(Trouble::Ended, Trouble::Unreadable));
+        let Some(call) = self.call(id).filter(|c| c.whole) else {
+            return self.fail(now, id, CallFailure::ResponseEnded);
+        };
+        let cut_off = Update::parse(call.lines.remainder()).err();
+        self.fail(now, id, cut_off.map_or(CallFailure::ResponseEnded, CallFailure::Decode));
     }
 
     /// How long after a call has ended the next may be begun.
     fn pause(&self) -> Ms {
         match self.mode {
-            Mode::Pushed => AGAIN,
-            Mode::Asked => PAUSE,
+            DeliveryMode::Push => AGAIN,
+            DeliveryMode::OnDemand => PAUSE,
         }
     }
 
     /// A call is over, and has to be made again.
-    fn fail(&mut self, now: Ms, id: CallId, why: Trouble) {
+    fn fail(&mut self, now: Ms, id: CallId, why: CallFailure) {
         let Some(place) = self.calls.iter().position(|c| c.id == id) else { return };
         let call = self.calls.remove(place);
-        self.actions.push(Action::Drop(id));
-        self.whole |= matches!(why, Trouble::Unreadable(_));
+        self.actions.push(Action::CancelCall(id));
+        self.whole |= matches!(why, CallFailure::Decode(_));
         let soon = now + self.pause();
         self.again = Some(match self.mode {
-            Mode::Asked if !self.moved => soon.max(call.silent + LATEST),
-            Mode::Asked | Mode::Pushed => soon,
+            DeliveryMode::OnDemand if !self.moved => soon.max(call.silent + LATEST),
+            DeliveryMode::OnDemand | DeliveryMode::Push => soon,
         });
-        if self.mode == Mode::Asked || now >= self.tell {
+        if self.mode == DeliveryMode::OnDemand || now >= self.tell {
             self.tell = now + TELL;
-            self.actions.push(Action::Failed(why));
+            self.actions.push(Action::ReportFailure(why));
         }
     }
 }
--- a/crates/endpoints/tests/clock.rs
+++ b/crates/endpoints/tests/clock.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use endpoints::{Action, CallId, Event, Follower, Health, Host, Mode, Ms, Update};
+use endpoints::{Action, CallId, DeliveryMode, Event, Health, Host, ListWatcher, Ms, Update};
 
 /// What a service does on a call.
 #[derive(Clone, Copy, Debug)]
@@ -44,7 +44,7 @@
 /// A follower and its service, which is well until [`BAD`], and for calls that begin from `good` on. Then it tells of
 /// a drain.
 struct Play {
-    follower: Follower,
+    follower: ListWatcher,
     now: Ms,
     way: Way,
     good: Ms,
@@ -68,10 +68,10 @@
 }
 
 impl Play {
-    fn new(mode: Mode, way: Way, good: Ms) -> Self {
+    fn new(mode: DeliveryMode, way: Way, good: Ms) -> Self {
         let saved = list(1, true, &[host("s0", Health::Active, 0.0)]);
         Self {
-            follower: Follower::new(mode, Some(&saved), 0),
+            follower: ListWatcher::new(mode, Some(&saved), 0),
             now: 0,
             way,
             good,
@@ -92,7 +92,7 @@
     fn event(&mut self, event: Event<'_>) {
         for action in self.follower.handle(self.now, event) {
             match action {
-                Action::Call(id, path) => {
+                Action::StartCall(id, path) => {
                     self.silence = self.silence.max(self.now - self.useful);
                     self.useful = self.now;
                     let well = if path.contains("watch") { WATCH } else { WHOLE };
@@ -104,15 +104,15 @@
                         self.comes(at, id, *say);
                     }
                 }
-                Action::Drop(id) => self.to_come.retain(|_, (call, _)| *call != id),
-                Action::Take(update) => {
+                Action::CancelCall(id) => self.to_come.retain(|_, (call, _)| *call != id),
+                Action::ApplyUpdate(update) => {
                     let drains = |h: &Host| h.health != Health::Active;
                     if update.hosts.iter().any(drains) {
                         self.drained.get_or_insert(self.now);
                     }
                 }
                 // An owner that never asks again: the clock alone has to do it.
-                Action::Failed(_) | Action::Alive => {}
+                Action::ReportFailure(_) | Action::NoChanges => {}
             }
         }
     }
@@ -120,7 +120,7 @@
     fn run(&mut self, until: Ms) {
         for _ in 0..100_000 {
             let come = self.to_come.keys().next().copied();
-            let due = self.follower.next().map(|at| at.max(self.now));
+            let due = self.follower.next_deadline().map(|at| at.max(self.now));
             match (come, due) {
                 (Some((at, _)), due) if at <= until && due.is_none_or(|due| at <= due) => self.step(),
                 (_, Some(due)) if due <= until => {
@@ -144,11 +144,11 @@
         }
         match say {
             Connect => self.event(Event::Connected(id)),
-            Head(status) => self.event(Event::Head(id, status)),
+            Head(status) => self.event(Event::ResponseHead(id, status)),
             Bytes(words) => {
                 let last = !self.to_come.values().any(|(call, _)| *call == id);
-                self.event(Event::Bytes(id, words.as_bytes()));
-                if last && ["\n", " "].contains(&words) && self.follower.knows(id) {
+                self.event(Event::ResponseBytes(id, words.as_bytes()));
+                if last && ["\n", " "].contains(&words) && self.follower.is_call_open(id) {
                     let every = if words == " " { 1000 } else { 2000 };
                     self.comes(at + every, id, say);
                 }
@@ -161,27 +161,27 @@
                 let line = list(version, whole, &[host("s0", health, 0.0)]);
                 let mut bytes = serde_json::to_vec(&line).expect("plain data");
                 bytes.push(b'\n');
-                self.event(Event::Bytes(id, &bytes));
+                self.event(Event::ResponseBytes(id, &bytes));
             }
-            End => self.event(Event::Ended(id)),
-            Refuse => self.event(Event::Broke(id, "refused")),
+            End => self.event(Event::ResponseEnded(id)),
+            Refuse => self.event(Event::CallFailed(id, "refused")),
         }
     }
 }
 
 /// The longest time from when something of use came, or was asked for, to the next question; the longest from when
 /// the service is well again, or where that is later from a move, until its drain has come.
-fn worst(mode: Mode, way: Way, moved: bool) -> (Ms, Ms) {
+fn worst(mode: DeliveryMode, way: Way, moved: bool) -> (Ms, Ms) {
     let mut worst = (0, 0);
     for good in (BAD..BAD + 8000).step_by(49) {
         let mut play = Play::new(mode, way, good);
-        play.event(Event::Ask);
+        play.event(Event::RefreshRequested);
         play.run(BAD - 1);
         play.to_come.clear();
         play.run(BAD);
         (play.useful, play.silence) = if moved { (BAD, 0) } else { (play.useful, 0) };
         if moved {
-            play.event(Event::Moved);
+            play.event(Event::ServiceMoved);
         }
         play.run(BAD + 30_000);
         worst.0 = worst.0.max(play.silence);
@@ -190,7 +190,7 @@
     worst
 }
 
-fn holds(mode: Mode, moved: bool, bounds: [Ms; 11]) {
+fn holds(mode: DeliveryMode, moved: bool, bounds: [Ms; 11]) {
     for (way, bound) in WAYS.iter().zip(bounds) {
         let (silence, hold) = worst(mode, way, moved);
         assert_eq!(silence, bound, "{mode:?}, moved {moved}: {way:?}");
@@ -207,30 +207,32 @@
 /// Unanswered, within the grace of a drain; fallen silent, well within 6 s.
 #[test]
 fn a_pushed_list_is_asked_for_again_in_time() {
-    holds(Mode::Pushed, false, [3300, 3300, 3300, 3300, 3300, 3300, 3300, 4300, 4600, 4600, 3300]);
+    holds(DeliveryMode::Push, false, [3300, 3300, 3300, 3300, 3300, 3300, 3300, 4300, 4600, 4600, 3300]);
 }
 
 #[test]
 fn a_list_that_is_asked_for_is_asked_for_again_in_time() {
-    holds(Mode::Asked, false, [4000, 4000, 5000, 4000, 4000, 5000, 4000, 4700, 5000, 5000, 4000]);
+    holds(DeliveryMode::OnDemand, false, [4000, 4000, 5000, 4000, 4000, 5000, 4000, 4700, 5000, 5000, 4000]);
 }
 
 #[test]
 fn a_list_that_has_moved_is_asked_for_within_4_s() {
-    holds(Mode::Pushed, true, [200, 100, 200, 100, 100, 3300, 100, 3300, 3300, 2300, 100]);
-    holds(Mode::Asked, true, [1500, 500, 2000, 500, 500, 3700, 500, 3700, 3700, 2700, 500]);
+    holds(DeliveryMode::Push, true, [200, 100, 200, 100, 100, 3300, 100, 3300, 3300, 2300, 100]);
+    holds(DeliveryMode::OnDemand, true, [1500, 500, 2000, 500, 500, 3700, 500, 3700, 3700, 2700, 500]);
 }
 
 /// A service that was restored to an older state is asked for its whole list again after a time, and not storming.
 #[test]
 fn an_older_list_that_stays_is_followed_after_20_s() {
-    for (mode, moved, after) in
-        [(Mode::Pushed, false, 20_000), (Mode::Asked, false, 20_000), (Mode::Asked, true, 2_000)]
-    {
+    for (mode, moved, after) in [
+        (DeliveryMode::Push, false, 20_000),
+        (DeliveryMode::OnDemand, false, 20_000),
+        (DeliveryMode::OnDemand, true, 2_000),
+    ] {
         let mut play = Play::new(mode, HANGS, 0);
         let saved = list(9, true, &[host("s0", Health::Leaving, 0.0)]);
-        play.follower = Follower::new(mode, Some(&saved), 0);
-        play.event(if moved { Event::Moved } else { Event::Ask });
+        play.follower = ListWatcher::new(mode, Some(&saved), 0);
+        play.event(if moved { Event::ServiceMoved } else { Event::RefreshRequested });
         // It has version 1 until BAD, and 2 from then on.
         play.run(after - 1);
         assert_eq!(play.follower.version(), 9, "{mode:?} {moved}");
--- a/crates/endpoints/tests/crossings.rs
+++ b/crates/endpoints/tests/crossings.rs
@@ -1,9 +1,11 @@
 //! What crosses on the way of the list, step by step: forms and ends of messages, failed calls beside hung ones, moves,
 //! copies that disagree, and what nobody can read.
 
-use endpoints::{Action, CallId, Event, Follower, Health, Host, Mode, Ms, Update, LINE_MOST};
+use endpoints::{
+    Action, CallId, DeliveryMode, Event, Health, Host, ListWatcher, Ms, Update, MAX_MESSAGE_BYTES,
+};
 
-const MODES: [Mode; 2] = [Mode::Pushed, Mode::Asked];
+const MODES: [DeliveryMode; 2] = [DeliveryMode::Push, DeliveryMode::OnDemand];
 
 fn host(name: &str, health: Health) -> Host {
     let dial = Some("127.0.0.1:9000".parse().expect("an address"));
@@ -21,7 +23,7 @@
 
 /// A follower, and all that it has wanted done.
 struct Side {
-    follower: Follower,
+    follower: ListWatcher,
     now: Ms,
     calls: Vec<(Ms, CallId, String)>,
     taken: Vec<Update>,
@@ -30,21 +32,21 @@
 
 impl Side {
     /// One that has a list of version 5.
-    fn new(mode: Mode) -> Self {
+    fn new(mode: DeliveryMode) -> Self {
         let saved = list(5, true, &[host("a", Health::Active), host("b", Health::Active)]);
-        let follower = Follower::new(mode, Some(&saved), 0);
+        let follower = ListWatcher::new(mode, Some(&saved), 0);
         let mut side = Self { follower, now: 0, calls: Vec::new(), taken: Vec::new(), failed: 0 };
-        side.event(Event::Ask);
+        side.event(Event::RefreshRequested);
         side
     }
 
     fn event(&mut self, event: Event<'_>) {
         for action in self.follower.handle(self.now, event) {
             match action {
-                Action::Call(id, path) => self.calls.push((self.now, id, path)),
-                Action::Take(update) => self.taken.push(update),
-                Action::Failed(_) => self.failed += 1,
-                Action::Drop(_) | Action::Alive => {}
+                Action::StartCall(id, path) => self.calls.push((self.now, id, path)),
+                Action::ApplyUpdate(update) => self.taken.push(update),
+                Action::ReportFailure(_) => self.failed += 1,
+                Action::CancelCall(_) | Action::NoChanges => {}
             }
         }
     }
@@ -59,8 +61,8 @@
     fn answer(&mut self, words: &str) -> CallId {
         let (id, _) = self.call();
         self.event(Event::Connected(id));
-        self.event(Event::Head(id, 200));
-        self.event(Event::Bytes(id, words.as_bytes()));
+        self.event(Event::ResponseHead(id, 200));
+        self.event(Event::ResponseBytes(id, words.as_bytes()));
         id
     }
 
@@ -68,7 +70,7 @@
     fn next_call(&mut self) {
         let calls = self.calls.len();
         while self.calls.len() == calls {
-            self.now = self.follower.next().expect("it never rests").max(self.now);
+            self.now = self.follower.next_deadline().expect("it never rests").max(self.now);
             self.event(Event::Tick);
         }
     }
@@ -93,17 +95,17 @@
         for (mode, asked_whole) in MODES.into_iter().flat_map(|m| [(m, false), (m, true)]) {
             let mut side = Side::new(mode);
             if asked_whole {
-                side.event(Event::Moved);
+                side.event(Event::ServiceMoved);
             }
             for (at, update) in [(1, &whole), (2, &drain)] {
                 let id = if asked_whole || at == 1 { side.answer("") } else { side.call().0 };
                 let calls = side.calls.len();
                 for byte in form(update).bytes() {
                     assert_eq!(side.taken.len(), at - 1, "form {n}, {mode:?}: before its end");
-                    side.event(Event::Bytes(id, &[byte]));
+                    side.event(Event::ResponseBytes(id, &[byte]));
                 }
                 assert_eq!(side.taken.last(), Some(update), "form {n}, {mode:?}, {asked_whole}");
-                side.event(Event::Bytes(id, end.as_bytes()));
+                side.event(Event::ResponseBytes(id, end.as_bytes()));
                 assert_eq!((side.taken.len(), side.failed), (at, 0), "form {n}, {mode:?}, {asked_whole}");
                 // A whole list ends its call, and a watch follows.
                 assert_eq!(
@@ -124,22 +126,25 @@
     let mut refused_beside = [Some(0); 12];
     refused_beside[0] = None;
     for (fates, first) in [mixed, refused_beside].into_iter().flat_map(|f| (0..12).map(move |n| (f, n))) {
-        for (mode, moved, gap, most) in
-            [(Mode::Pushed, false, 200, 105), (Mode::Pushed, true, 200, 105), (Mode::Asked, true, 2000, 25)]
-        {
+        for (mode, moved, gap, most) in [
+            (DeliveryMode::Push, false, 200, 105),
+            (DeliveryMode::Push, true, 200, 105),
+            (DeliveryMode::OnDemand, true, 2000, 25),
+        ] {
             let mut side = Side::new(mode);
             if moved {
-                side.event(Event::Moved);
+                side.event(Event::ServiceMoved);
             }
             while side.now < 10_000 {
                 let fate = |n: usize| fates[(first + n) % fates.len()];
-                let due = side.calls.iter().enumerate().filter(|(_, (_, id, _))| side.follower.knows(*id));
+                let due =
+                    side.calls.iter().enumerate().filter(|(_, (_, id, _))| side.follower.is_call_open(*id));
                 let refused = due.filter_map(|(n, (at, id, _))| fate(n).map(|after| (at + after, *id))).min();
-                let tick = side.follower.next().expect("it never rests").max(side.now);
+                let tick = side.follower.next_deadline().expect("it never rests").max(side.now);
                 match refused.filter(|(at, _)| *at <= tick) {
                     Some((at, id)) => {
                         side.now = at;
-                        side.event(Event::Broke(id, "refused"));
+                        side.event(Event::CallFailed(id, "refused"));
                     }
                     None => {
                         side.now = tick;
@@ -170,7 +175,7 @@
             let whole = !side.call().1.contains("watch");
             let id = side.answer(&(line(&list(if whole { 8 } else { 9 }, whole, &[])) + "\n"));
             if whole {
-                side.event(Event::Ended(id));
+                side.event(Event::ResponseEnded(id));
             }
             assert!(answered < 120, "{mode:?}: {answered} calls in {} ms", side.now);
         }
@@ -221,7 +226,7 @@
             side.next_call();
             assert_eq!(side.call().1, "/v1/endpoints", "{mode:?}: {begin}");
             let id = side.answer(bad);
-            side.event(Event::Ended(id));
+            side.event(Event::ResponseEnded(id));
             assert_eq!(side.taken.len(), 0, "{mode:?}: {begin}");
         }
         side.next_call();
@@ -229,12 +234,12 @@
         assert_eq!((side.taken.len(), side.follower.version()), (1, 6), "{mode:?}: {begin}");
     }
     for begin in ["{\"seq\":\"", "{\"more\":[", "x"] {
-        let mut side = Side::new(Mode::Pushed);
+        let mut side = Side::new(DeliveryMode::Push);
         let id = side.answer(begin);
         let pushed = (0..).take_while(|_| {
-            side.event(Event::Bytes(id, &[b'1'; 65_536]));
-            side.follower.knows(id)
+            side.event(Event::ResponseBytes(id, &[b'1'; 65_536]));
+            side.follower.is_call_open(id)
         });
-        assert!(pushed.count() <= LINE_MOST / 65_536, "{begin}");
+        assert!(pushed.count() <= MAX_MESSAGE_BYTES / 65_536, "{begin}");
     }
 }
--- a/crates/lab/src/bin/scripted-node.rs
+++ b/crates/lab/src/bin/scripted-node.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use endpoints::{Health, Host, Lines, Update};
+use endpoints::{Health, Host, MessageSplitter, Update};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{handshake, SendRequest};
@@ -124,12 +124,12 @@
         spawn_local(conn);
         let request = Request::get("/v1/endpoints?watch=1&from=0").body(Full::<Bytes>::default())?;
         let mut body = send.send_request(request).await?.into_body();
-        let mut lines = Lines::default();
+        let mut lines = MessageSplitter::default();
         while let Some(frame) = body.frame().await {
             let Ok(data) = frame?.into_data() else { continue };
             lines.push(&data)?;
             for line in lines.by_ref().filter(|line| !line.is_empty()) {
-                self.take(Update::read(&line)?);
+                self.take(Update::parse(&line)?);
             }
         }
         Ok(())
--- a/crates/lab/src/live/links.rs
+++ b/crates/lab/src/live/links.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 
-use relay::{Fault, Flow, Front, Relay, RelayError};
+use relay::{ConnectionRouter, Forwarding, LinkFault, Relay, RelayError};
 use tokio::sync::oneshot;
 
 use super::address::Addresses;
@@ -32,9 +32,9 @@
 /// All links of a group.
 pub struct Links {
     relays: BTreeMap<Link, Relay>,
-    fronts: Vec<Front>,
+    fronts: Vec<ConnectionRouter>,
     /// What each fault does to which relay.
-    cuts: RefCell<BTreeMap<usize, Vec<(Link, Fault)>>>,
+    cuts: RefCell<BTreeMap<usize, Vec<(Link, LinkFault)>>>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -77,7 +77,7 @@
 
     /// Nothing passes between these parties and all replicas but themselves, both ways or the one that is named.
     pub fn cut(&self, fault: usize, parties: &[Party], way: Option<Way>) {
-        let flow = |cut: bool| if cut { Flow::Cut } else { Flow::Pass };
+        let flow = |cut: bool| if cut { Forwarding::Block } else { Forwarding::Pass };
         let cut = self.relays.keys().filter_map(|(from, to)| {
             let asks = parties.contains(from);
             if !asks && !parties.contains(&Party::Replica(*to)) {
@@ -86,7 +86,10 @@
             // What goes out of the party is the way there where it asks, and the way back where it is asked.
             let (out, into) = (way != Some(Way::In), way != Some(Way::Out));
             let (there, back) = if asks { (out, into) } else { (into, out) };
-            Some(((*from, *to), Fault { there: flow(there), back: flow(back), refuse: false }))
+            Some((
+                (*from, *to),
+                LinkFault { to_target: flow(there), from_target: flow(back), refuse_connections: false },
+            ))
         });
         let cut = cut.collect();
         self.cuts.borrow_mut().insert(fault, cut);
@@ -103,15 +106,17 @@
     fn settle(&self) {
         let cuts = self.cuts.borrow();
         for (link, relay) in &self.relays {
-            let mut state = Fault::default();
+            let mut state = LinkFault::default();
             for (_, fault) in cuts.values().flatten().filter(|(cut, _)| cut == link) {
-                for (flow, other) in [(&mut state.there, fault.there), (&mut state.back, fault.back)] {
-                    if other != Flow::Pass {
+                for (flow, other) in
+                    [(&mut state.to_target, fault.to_target), (&mut state.from_target, fault.from_target)]
+                {
+                    if other != Forwarding::Pass {
                         *flow = other;
                     }
                 }
             }
-            relay.set(state);
+            relay.set_fault(state);
         }
     }
 }
@@ -137,13 +142,18 @@
 }
 
 /// Listens at a replica's address for whoever has it from another replica.
-fn front(addresses: Addresses, replica: usize, nodes: usize, replicas: usize) -> Result<Front, LabError> {
+fn front(
+    addresses: Addresses,
+    replica: usize,
+    nodes: usize,
+    replicas: usize,
+) -> Result<ConnectionRouter, LabError> {
     let there = move |party: &Party| match party {
         Party::Node(n) => *n < nodes,
         Party::Replica(r) => *r < replicas && *r != replica,
     };
     let route = move |request: &str| Some(at(addresses, party(request).filter(there)?, replica));
-    Front::start(addresses.replica_of_group(replica), route).map_err(listen)
+    ConnectionRouter::start(addresses.replica_of_group(replica), route).map_err(listen)
 }
 
 fn listen(error: RelayError) -> LabError {
--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use endpoints::{Book, Health, Update};
+use endpoints::{Health, ListState, Update};
 use member::Stamp;
 use serde_json::Value;
 use tulipmount::wire::{told, Told};
@@ -84,7 +84,7 @@
     /// The newest answer of the control group: its stamp, and the servers that it asks about.
     pub answer: Option<(Stamp, Vec<String>)>,
     zones: Vec<String>,
-    book: Book,
+    list: ListState,
     /// The calls for the list that were begun.
     calls: u64,
     watching: bool,
@@ -118,7 +118,7 @@
             servers: BTreeMap::new(),
             answer: None,
             zones: zones.to_vec(),
-            book: Book::new(None),
+            list: ListState::new(None),
             calls: 0,
             watching: false,
             ready: false,
@@ -148,12 +148,12 @@
 
     /// The newest version of its list that counts.
     pub fn version(&self) -> u64 {
-        self.book.version()
+        self.list.version()
     }
 
     /// When an older list that stays is to be asked for again.
     pub fn confirm_at(&self) -> Option<Us> {
-        self.book.confirm_at().map(|at| at * 1000)
+        self.list.rollback_confirm_at().map(|at| at * 1000)
     }
 
     /// Is anything open?
@@ -400,19 +400,19 @@
 
     /// The whole list at its start.
     pub fn begin(&mut self, now: Us, saved: Update) -> Vec<Want> {
-        self.book = Book::new(Some(&saved));
+        self.list = ListState::new(Some(&saved));
         self.ready = true;
         self.news(now, saved, true)
     }
 
     /// A list or its changes come; true where only the whole list shows what was left out of them.
     pub fn told(&mut self, now: Us, update: Update) -> (Vec<Want>, bool) {
-        let taken = self.book.take(update, self.calls, now / 1000);
-        let wants = match taken.news {
+        let outcome = self.list.apply(update, self.calls, now / 1000);
+        let wants = match outcome.accepted {
             Some(news) => self.news(now, news, false),
             None => self.alive(now),
         };
-        (wants, taken.ask_whole)
+        (wants, outcome.needs_full_list)
     }
 
     /// What is to be believed of the list. Connections of a process that is gone have ended with it.
--- a/crates/lab/src/modules/votes.rs
+++ b/crates/lab/src/modules/votes.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use consensus::Machine;
+use consensus::StateMachine;
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand};
 use control::machine::Agreement;
 use control::tally::{Input, Tally};
--- a/crates/relay/src/pump.rs
+++ b/crates/relay/src/forward.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-use crate::{Fault, Flow, State, HELD_MOST};
+use crate::{Forwarding, LinkFault, State, MAX_BUFFERED_BYTES};
 
 /// Bytes that are read at a time.
 const CHUNK: usize = 16 << 10;
@@ -71,7 +71,7 @@
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut seen: Seen,
-    way: fn(&Fault) -> Flow,
+    way: fn(&LinkFault) -> Forwarding,
 ) -> Result<(), End> {
     let mut held: VecDeque<Piece> = VecDeque::new();
     let mut bytes_held = 0;
@@ -85,24 +85,24 @@
         let state = seen.now()?;
         let flow = way(&state.fault);
         if sets.replace(state.sets) != Some(state.sets) {
-            left = if let Flow::Break(bytes) = flow { bytes } else { u64::MAX };
+            left = if let Forwarding::ResetAfter(bytes) = flow { bytes } else { u64::MAX };
         }
-        if left == 0 || (lost && flow != Flow::Hole) {
+        if left == 0 || (lost && flow != Forwarding::Discard) {
             return Err(End::Reset);
         }
         let due = held.front().filter(|_| flow.delivers()).map(|piece| match flow {
-            Flow::Delay(delay) => piece.at + delay,
-            Flow::Slow(_) => next_write,
+            Forwarding::Delay(delay) => piece.at + delay,
+            Forwarding::RateLimit(_) => next_write,
             _ => piece.at,
         });
-        let reads = !ended && flow != Flow::Cut && bytes_held < HELD_MOST;
+        let reads = !ended && flow != Forwarding::Block && bytes_held < MAX_BUFFERED_BYTES;
         let write = async {
             match (due, held.front()) {
                 (Some(due), Some(piece)) => {
                     sleep_until(due).await;
                     let rest = &piece.bytes[piece.passed..];
                     let most = match flow {
-                        Flow::Slow(rate) => (rate / STEPS).max(1).min(left),
+                        Forwarding::RateLimit(rate) => (rate / STEPS).max(1).min(left),
                         _ => left,
                     };
                     let some = &rest[..rest.len().min(usize::try_from(most).unwrap_or(usize::MAX))];
@@ -129,14 +129,14 @@
                 if piece.passed == piece.bytes.len() {
                     held.pop_front();
                 }
-                if let Flow::Slow(rate) = flow {
+                if let Forwarding::RateLimit(rate) = flow {
                     next_write = Instant::now() + Duration::from_secs(1).mul_f64(written as f64 / rate.max(1) as f64);
                 }
             }
             read = from.read(&mut chunk), if reads => {
                 let read = read.map_err(|_| End::Reset)?;
                 ended = read == 0;
-                if flow == Flow::Hole {
+                if flow == Forwarding::Discard {
                     lost = true;
                 } else {
                     bytes_held += read;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -7,14 +7,14 @@
 //!
 //! What differs from a real link that is cut: a client that connects is accepted, as the system does that by itself;
 //! the target hears of it only when bytes may go there. A target that refuses shows as a reset. Only
-//! [`Fault::refuse`] refuses a client.
+//! [`LinkFault::refuse_connections`] refuses a client.
 //!
 //! Rejected: rules in the kernel, which need rights and are shared with all else on the machine; and links inside the
 //! lab that act on whole messages, which cannot break one in its middle nor accept what is then lost.
 
-mod front;
-mod link;
-mod pump;
+mod forward;
+mod listener;
+mod router;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,55 +22,55 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-pub use front::Front;
+pub use router::ConnectionRouter;
 
 /// The most connections at a time; further ones wait.
-pub const CONNECTIONS_MOST: usize = 1024;
+pub const MAX_CONNECTIONS: usize = 1024;
 /// The most bytes that are held a connection and way.
-pub const HELD_MOST: usize = 256 << 10;
+pub const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// What becomes of bytes that go one way.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Flow {
+pub enum Forwarding {
     /// They pass.
     #[default]
     Pass,
     /// They pass this long after they came, in order. A shorter delay, or none, holds for those that wait as well.
     Delay(Duration),
     /// They pass at this many a second.
-    Slow(u64),
+    RateLimit(u64),
     /// Nothing is taken: the sender's own buffers fill, as on a link that is cut. All passes once it is mended.
-    Cut,
-    /// They are taken and held, up to [`HELD_MOST`]; all pass once it is mended.
-    Hold,
+    Block,
+    /// They are taken and held, up to [`MAX_BUFFERED_BYTES`]; all pass once it is mended.
+    Buffer,
     /// They are taken and lost. A connection that has lost some is reset once it is mended, as no stream has a gap.
-    Hole,
+    Discard,
     /// This many more pass on each connection, then it is reset.
-    Break(u64),
+    ResetAfter(u64),
 }
 
-impl Flow {
+impl Forwarding {
     /// Whether bytes that came may pass.
     fn delivers(self) -> bool {
-        !matches!(self, Self::Cut | Self::Hold | Self::Hole)
+        !matches!(self, Self::Block | Self::Buffer | Self::Discard)
     }
 }
 
 /// What is wrong with a link; the default is nothing.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Fault {
+pub struct LinkFault {
     /// From whoever connects to the target.
-    pub there: Flow,
+    pub to_target: Forwarding,
     /// From the target to whoever connected.
-    pub back: Flow,
-    /// New connections are refused. Open ones stay; see [`Relay::reset`].
-    pub refuse: bool,
+    pub from_target: Forwarding,
+    /// New connections are refused. Open ones stay; see [`Relay::reset_connections`].
+    pub refuse_connections: bool,
 }
 
-impl Fault {
+impl LinkFault {
     /// The same both ways.
-    pub fn both(flow: Flow) -> Self {
-        Self { there: flow, back: flow, refuse: false }
+    pub fn symmetric(flow: Forwarding) -> Self {
+        Self { to_target: flow, from_target: flow, refuse_connections: false }
     }
 }
 
@@ -87,7 +87,7 @@
 /// What holds now.
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
-    fault: Fault,
+    fault: LinkFault,
     /// How often the fault was set.
     sets: u64,
     /// How often open connections were reset.
@@ -117,10 +117,10 @@
     /// The address is not free.
     pub fn start_on(listen: SocketAddr, target: SocketAddr) -> Result<Self, RelayError> {
         let (port, listener) =
-            link::Port::hold(listen).map_err(|source| RelayError { address: listen, source })?;
+            listener::Port::hold(listen).map_err(|source| RelayError { address: listen, source })?;
         let address = port.address();
         let (state, watched) = watch::channel(State::default());
-        let task = tokio::spawn(link::run(port, listener, target, watched)).abort_handle();
+        let task = tokio::spawn(listener::run(port, listener, target, watched)).abort_handle();
         Ok(Self { address, state, task })
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// From now on this is wrong with the link.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: LinkFault) {
         self.state.send_modify(|state| {
             state.fault = fault;
             state.sets += 1;
@@ -138,7 +138,7 @@
     }
 
     /// Resets all open connections, at both ends. What was held is lost.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.state.send_modify(|state| state.resets += 1);
     }
 }
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/listener.rs
@@ -10,8 +10,8 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::task::JoinSet;
 
-use crate::pump::{pump, End, Seen};
-use crate::{Fault, Flow, State, CONNECTIONS_MOST};
+use crate::forward::{pump, End, Seen};
+use crate::{Forwarding, LinkFault, State, MAX_CONNECTIONS};
 
 /// Connections that the system keeps ready to be accepted.
 const BACKLOG: i32 = 256;
@@ -60,11 +60,11 @@
     target: SocketAddr,
     mut state: watch::Receiver<State>,
 ) {
-    let room = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut open = JoinSet::new();
     let mut listener = Some(listener);
     loop {
-        if state.borrow_and_update().fault.refuse {
+        if state.borrow_and_update().fault.refuse_connections {
             listener = None;
         } else if listener.is_none() {
             listener = port.listen().ok();
@@ -110,8 +110,8 @@
     let end = {
         let (from_client, to_client) = client.split();
         let (from_server, to_server) = server.split();
-        let there = pump(from_client, to_server, seen.clone(), |fault| fault.there);
-        let back = pump(from_server, to_client, seen, |fault| fault.back);
+        let there = pump(from_client, to_server, seen.clone(), |fault| fault.to_target);
+        let back = pump(from_server, to_client, seen, |fault| fault.from_target);
         tokio::try_join!(there, back)
     };
     if let Err(End::Reset) = end {
@@ -125,13 +125,13 @@
     let mut lost = false;
     let mut scrap = [0; 4096];
     loop {
-        let Ok(State { fault: Fault { there, .. }, .. }) = seen.now() else { return false };
+        let Ok(State { fault: LinkFault { to_target: there, .. }, .. }) = seen.now() else { return false };
         if there.delivers() {
             return !lost;
         }
         tokio::select! {
             () = seen.changed() => {}
-            readable = client.readable(), if there == Flow::Hole => {
+            readable = client.readable(), if there == Forwarding::Discard => {
                 match readable.and_then(|()| client.try_read(&mut scrap)) {
                     Ok(0) => return false,
                     Ok(_) => lost = true,
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/router.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::{AbortHandle, JoinSet};
 
-use crate::{RelayError, CONNECTIONS_MOST};
+use crate::{RelayError, MAX_CONNECTIONS};
 
 /// The bytes within which a first request tells who it is from.
 const TOLD_WITHIN: usize = 4096;
@@ -20,11 +20,11 @@
 
 /// A listener that passes each connection on by what is said first on it. It ends, with its connections, when dropped.
 #[derive(Debug)]
-pub struct Front {
+pub struct ConnectionRouter {
     task: AbortHandle,
 }
 
-impl Front {
+impl ConnectionRouter {
     /// Listens at an address. `route` gets what a connection has said so far, and tells where it goes to; `None` as
     /// long as it can't be known. Must be called in a tokio runtime.
     ///
@@ -43,14 +43,14 @@
     }
 }
 
-impl Drop for Front {
+impl Drop for ConnectionRouter {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 async fn run(listener: TcpListener, route: Arc<impl Fn(&str) -> Option<SocketAddr> + Send + Sync + 'static>) {
-    let room = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut open = JoinSet::new();
     loop {
         let accepted = async {
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 use std::time::Duration;
 
-use relay::{Fault, Flow, Relay, HELD_MOST};
+use relay::{Forwarding, LinkFault, Relay, MAX_BUFFERED_BYTES};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{timeout, Instant};
@@ -51,8 +51,8 @@
     assert_eq!(read.expect_err("no more bytes").kind(), ErrorKind::ConnectionReset);
 }
 
-fn there(flow: Flow) -> Fault {
-    Fault { there: flow, ..Fault::default() }
+fn there(flow: Forwarding) -> LinkFault {
+    LinkFault { to_target: flow, ..LinkFault::default() }
 }
 
 #[tokio::test]
@@ -74,14 +74,14 @@
 async fn a_delay_holds_each_way_and_ends_at_once() {
     let (server, relay) = link().await;
     let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set(Fault::both(Flow::Delay(Duration::from_millis(60))));
+    relay.set_fault(LinkFault::symmetric(Forwarding::Delay(Duration::from_millis(60))));
     let start = Instant::now();
     talk(&mut client, &mut served).await;
     assert!(start.elapsed() >= Duration::from_millis(120), "{:?}", start.elapsed());
-    relay.set(Fault::both(Flow::Delay(Duration::from_secs(600))));
+    relay.set_fault(LinkFault::symmetric(Forwarding::Delay(Duration::from_secs(600))));
     client.write_all(b"late").await.expect("taken");
     hears_nothing(&mut served).await;
-    relay.set(Fault::default());
+    relay.set_fault(LinkFault::default());
     hears(&mut served, b"late").await;
 }
 
@@ -89,7 +89,7 @@
 async fn a_slow_way_takes_its_time() {
     let (server, relay) = link().await;
     let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set(there(Flow::Slow(20_000)));
+    relay.set_fault(there(Forwarding::RateLimit(20_000)));
     let start = Instant::now();
     client.write_all(&[7; 4000]).await.expect("taken");
     hears(&mut served, &[7; 4000]).await;
@@ -100,12 +100,12 @@
 async fn a_cut_way_passes_nothing_until_it_is_mended() {
     let (server, relay) = link().await;
     let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set(Fault { back: Flow::Cut, ..Fault::default() });
+    relay.set_fault(LinkFault { from_target: Forwarding::Block, ..LinkFault::default() });
     client.write_all(b"question").await.expect("taken");
     hears(&mut served, b"question").await;
     served.write_all(b"answer").await.expect("taken");
     hears_nothing(&mut client).await;
-    relay.set(Fault::default());
+    relay.set_fault(LinkFault::default());
     hears(&mut client, b"answer").await;
 }
 
@@ -113,14 +113,14 @@
 async fn a_cut_way_fills_the_senders_buffers() {
     let (server, relay) = link().await;
     let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set(there(Flow::Cut));
+    relay.set_fault(there(Forwarding::Block));
     let mut taken = 0;
     while let Ok(written) = timeout(NOTHING, client.write(&[7; 1 << 16])).await {
         taken += written.expect("open");
         assert!(taken < 64 << 20, "it is taken without end");
     }
     hears_nothing(&mut served).await;
-    relay.set(Fault::default());
+    relay.set_fault(LinkFault::default());
     hears(&mut served, &vec![7; taken]).await;
 }
 
@@ -128,12 +128,12 @@
 async fn held_bytes_pass_when_it_is_mended() {
     let (server, relay) = link().await;
     let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set(there(Flow::Hold));
-    let bytes = vec![7; HELD_MOST];
+    relay.set_fault(there(Forwarding::Buffer));
+    let bytes = vec![7; MAX_BUFFERED_BYTES];
     client.write_all(&bytes).await.expect("taken");
     client.shutdown().await.expect("said");
     hears_nothing(&mut served).await;
-    relay.set(Fault::default());
+    relay.set_fault(LinkFault::default());
     hears(&mut served, &bytes).await;
     assert_eq!(served.read(&mut [0; 9]).await.expect("the end"), 0);
 }
@@ -143,12 +143,12 @@
     let (server, relay) = link().await;
     let (mut client, mut served) = connected(&server, &relay).await;
     let (mut quiet, mut served_quiet) = connected(&server, &relay).await;
-    relay.set(there(Flow::Hole));
-    client.write_all(&vec![7; 4 * HELD_MOST]).await.expect("all of it is taken");
+    relay.set_fault(there(Forwarding::Discard));
+    client.write_all(&vec![7; 4 * MAX_BUFFERED_BYTES]).await.expect("all of it is taken");
     hears_nothing(&mut served).await;
     served.write_all(b"back").await.expect("taken");
     hears(&mut client, b"back").await;
-    relay.set(Fault::default());
+    relay.set_fault(LinkFault::default());
     is_reset(&mut served).await;
     is_reset(&mut client).await;
     talk(&mut quiet, &mut served_quiet).await;
@@ -159,12 +159,12 @@
     let (server, relay) = link().await;
     let (mut client, mut served) = connected(&server, &relay).await;
     talk(&mut client, &mut served).await;
-    relay.set(there(Flow::Break(3)));
+    relay.set_fault(there(Forwarding::ResetAfter(3)));
     client.write_all(b"question").await.expect("taken");
     hears(&mut served, b"que").await;
     is_reset(&mut served).await;
     is_reset(&mut client).await;
-    relay.set(there(Flow::Break(8)));
+    relay.set_fault(there(Forwarding::ResetAfter(8)));
     let (mut client, mut served) = connected(&server, &relay).await;
     client.write_all(b"question").await.expect("taken");
     hears(&mut served, b"question").await;
@@ -175,7 +175,7 @@
 async fn new_connections_are_refused_and_open_ones_stay() {
     let (server, relay) = link().await;
     let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set(Fault { refuse: true, ..Fault::default() });
+    relay.set_fault(LinkFault { refuse_connections: true, ..LinkFault::default() });
     // The system may have taken some before the relay heard of the change.
     let refused = timeout(LONG, async {
         while TcpStream::connect(relay.address()).await.map_err(|error| error.kind()).err()
@@ -186,7 +186,7 @@
     });
     refused.await.expect("in time");
     talk(&mut client, &mut served).await;
-    relay.set(Fault::default());
+    relay.set_fault(LinkFault::default());
     let accepted = timeout(LONG, async {
         loop {
             match TcpStream::connect(relay.address()).await {
@@ -212,11 +212,11 @@
 async fn open_connections_are_reset_at_both_ends() {
     let (server, relay) = link().await;
     let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set(Fault::both(Flow::Cut));
-    relay.reset();
+    relay.set_fault(LinkFault::symmetric(Forwarding::Block));
+    relay.reset_connections();
     is_reset(&mut client).await;
     is_reset(&mut served).await;
-    relay.set(Fault::default());
+    relay.set_fault(LinkFault::default());
     let (mut client, mut served) = connected(&server, &relay).await;
     talk(&mut client, &mut served).await;
 }
@@ -224,11 +224,11 @@
 #[tokio::test]
 async fn a_target_hears_of_nobody_while_the_way_there_is_cut() {
     let (server, relay) = link().await;
-    relay.set(there(Flow::Cut));
+    relay.set_fault(there(Forwarding::Block));
     let mut client = TcpStream::connect(relay.address()).await.expect("the system accepts");
     client.write_all(b"first").await.expect("taken");
     assert!(timeout(NOTHING, server.accept()).await.is_err());
-    relay.set(Fault::default());
+    relay.set_fault(LinkFault::default());
     let (mut served, _) = timeout(LONG, server.accept()).await.expect("in time").expect("accepted");
     hears(&mut served, b"first").await;
 }
--- a/crates/stoneshift/tests/fleet.rs
+++ b/crates/stoneshift/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use fixture::{until, Calls, Group, Terms};
+use fixture::{wait_for, Group, GroupClient, GroupTimings};
 use load::{ask, judge, Client, Taken};
 use peers::{host, operated, Node, Peer, Registry};
 use serde_json::{json, Value};
@@ -14,7 +14,7 @@
 /// Three replicas and three nodes with a client each.
 struct Fleet {
     group: Group,
-    calls: Calls,
+    calls: GroupClient,
     nodes: Vec<Node>,
     clients: Vec<Client>,
     configs: Vec<Value>,
@@ -30,7 +30,7 @@
         let server = Peer::good("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let replicas: Vec<String> =
-            (0..group.len()).map(|replica| group.reached(replica).to_string()).collect();
+            (0..group.len()).map(|replica| group.relay_address(replica).to_string()).collect();
         let configs: Vec<Value> = (0..3)
             .map(|node| {
                 let mut config = operated(&registry);
@@ -43,13 +43,13 @@
             .collect();
         let nodes: Vec<Node> = configs.iter().map(Node::ready).collect();
         let clients = nodes.iter().map(|node| Client::of(node.address)).collect();
-        let (calls, ended) = (group.calls(), Vec::new());
+        let (calls, ended) = (group.client(), Vec::new());
         Self { group, calls, nodes, clients, configs, ended, _registry: registry, _server: server }
     }
 
     /// Makes changes until one is committed.
     fn commit(&self) -> u64 {
-        until("a change is committed", || {
+        wait_for("a change is committed", || {
             let leader = self.calls.leader()?;
             let base = self.calls.policy(leader)?["epoch"].as_u64()?;
             let answer =
@@ -60,7 +60,7 @@
 
     /// The epochs that changes have become, as the replica that leads has them; an aborted one's number is no epoch.
     fn committed(&self) -> BTreeSet<u64> {
-        let policy = until("the leader tells what has ended", || self.calls.policy(self.calls.leader()?));
+        let policy = wait_for("the leader tells what has ended", || self.calls.policy(self.calls.leader()?));
         let ended = policy["ended"].as_array().expect("a list").iter();
         let committed = ended.filter(|ended| ended["aborted"].is_null());
         committed.map(|ended| ended["epoch"].as_u64().expect("an epoch")).chain([0]).collect()
@@ -68,7 +68,7 @@
 
     fn until_all_serve_by(&self, epoch: u64) {
         for node in &self.nodes {
-            until("a node serves by that epoch", || {
+            wait_for("a node serves by that epoch", || {
                 ask(node.address).is_ok_and(|answer| answer == (200, Some(epoch))).then_some(())
             });
         }
@@ -78,7 +78,7 @@
     /// with the leader. The end of the change is nobody's to know yet.
     fn stage(&self) -> usize {
         self.nodes[2].signal("-STOP");
-        until("two nodes have staged a change", || {
+        wait_for("two nodes have staged a change", || {
             let leader = self.calls.leader()?;
             let known = self.calls.policy(leader)?;
             if known["change"].is_null() {
@@ -88,7 +88,7 @@
                     calls.propose(leader, base, &json!({"Limits": {"AttemptsCap": 1 + base % 3}}))
                 });
             }
-            let nodes = self.calls.ask(leader, "GET /v1/nodes")?.body.to_string();
+            let nodes = self.calls.request(leader, "GET /v1/nodes")?.body.to_string();
             (nodes.matches("\"staged\":true").count() == 2).then_some(leader)
         })
     }
@@ -108,7 +108,7 @@
         let mut taken: Vec<Vec<Taken>> = self.clients.into_iter().map(Client::end).collect();
         taken.extend(self.ended);
         println!("{:?} taken, {committed:?} committed", taken.iter().map(Vec::len).collect::<Vec<_>>());
-        judge(&taken, &committed, Terms::PATIENT.promise);
+        judge(&taken, &committed, GroupTimings::RELAXED.promise);
     }
 }
 
@@ -117,14 +117,14 @@
     let mut fleet = Fleet::start();
     let epoch = fleet.commit();
     fleet.until_all_serve_by(epoch);
-    let leader = fleet.calls.until_led();
+    let leader = fleet.calls.wait_for_leader();
     let others: Vec<usize> = (0..3).filter(|&replica| replica != leader).collect();
     fleet.group.kill(&others);
     let refused = fleet.calls.propose(leader, epoch, &json!({"Limits": {"AttemptsCap": 3}}));
     assert!(refused.as_ref().is_none_or(|answer| answer.status != 200), "{refused:?}");
     // No change is under way for them: they go on.
     fleet.until_all_serve_by(epoch);
-    others.iter().for_each(|&replica| fleet.group.start_one(replica));
+    others.iter().for_each(|&replica| fleet.group.start_replica(replica));
     let epoch = fleet.commit();
     fleet.until_all_serve_by(epoch);
     fleet.judge();
@@ -136,13 +136,13 @@
     let leader = fleet.stage();
     fleet.group.kill(&[leader, (leader + 1) % 3]);
     for node in &fleet.nodes[..2] {
-        until("its promise has passed", || {
+        wait_for("its promise has passed", || {
             ask(node.address).is_ok_and(|(status, _)| status == 503).then_some(())
         });
     }
     fleet.nodes[2].signal("-CONT");
-    fleet.group.start_one(leader);
-    fleet.group.start_one((leader + 1) % 3);
+    fleet.group.start_replica(leader);
+    fleet.group.start_replica((leader + 1) % 3);
     let epoch = fleet.commit();
     fleet.until_all_serve_by(epoch);
     fleet.judge();
@@ -154,7 +154,7 @@
     let leader = fleet.stage();
     fleet.replace(1);
     // One node has not staged: it is aborted, by the operator or before he asks. Nobody may take anything under it.
-    fleet.calls.ask(leader, "DELETE /v1/policy/change");
+    fleet.calls.request(leader, "DELETE /v1/policy/change");
     fleet.nodes[2].signal("-CONT");
     let epoch = fleet.commit();
     fleet.until_all_serve_by(epoch);
--- a/crates/stoneshift/tests/hard.rs
+++ b/crates/stoneshift/tests/hard.rs
@@ -15,27 +15,31 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use fixture::{until, Answer, Calls, Group, Party, Terms};
+use fixture::{wait_for, Group, GroupClient, GroupTimings, HttpResponse, LinkSource};
 use load::{ask, judge, Client};
 use peers::{host, operated, Node, Peer, Registry};
-use relay::{Fault, Flow};
+use relay::{Forwarding, LinkFault};
 use serde_json::{json, Value};
 
 /// How long what a node says is held: long enough for a few tries, and less than a promise lasts.
 const LATE: Duration = Duration::from_millis(1000);
 /// Nothing gets to the replica.
-const THERE: Fault = Fault { there: Flow::Cut, back: Flow::Pass, refuse: false };
+const THERE: LinkFault =
+    LinkFault { to_target: Forwarding::Block, from_target: Forwarding::Pass, refuse_connections: false };
 /// Nothing comes back from it.
-const BACK: Fault = Fault { there: Flow::Pass, back: Flow::Cut, refuse: false };
+const BACK: LinkFault =
+    LinkFault { to_target: Forwarding::Pass, from_target: Forwarding::Block, refuse_connections: false };
 /// All is taken, and lost.
-const HOLE: Fault = Fault { there: Flow::Hole, back: Flow::Hole, refuse: false };
-const NONE: Fault = Fault { there: Flow::Pass, back: Flow::Pass, refuse: false };
+const HOLE: LinkFault =
+    LinkFault { to_target: Forwarding::Discard, from_target: Forwarding::Discard, refuse_connections: false };
+const NONE: LinkFault =
+    LinkFault { to_target: Forwarding::Pass, from_target: Forwarding::Pass, refuse_connections: false };
 
 /// Three replicas, and nodes with a client each.
 struct Fleet {
     group: Group,
-    calls: Calls,
-    terms: Terms,
+    calls: GroupClient,
+    terms: GroupTimings,
     nodes: Vec<Node>,
     clients: Vec<Client>,
     configs: Vec<Value>,
@@ -46,19 +50,19 @@
 }
 
 impl Fleet {
-    fn start(nodes: usize, terms: Terms) -> Self {
+    fn start(nodes: usize, terms: GroupTimings) -> Self {
         let mut fleet = Self::without_nodes(nodes, terms);
         fleet.nodes = fleet.configs.iter().map(Node::ready).collect();
         fleet.clients = fleet.nodes.iter().map(|node| Client::of(node.address)).collect();
         fleet
     }
 
-    fn without_nodes(nodes: usize, terms: Terms) -> Self {
-        let group = Group::linked(env!("CARGO_BIN_EXE_stoneshift").into(), 3, nodes, terms);
+    fn without_nodes(nodes: usize, terms: GroupTimings) -> Self {
+        let group = Group::start_with_links(env!("CARGO_BIN_EXE_stoneshift").into(), 3, nodes, terms);
         let server = Peer::good("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let config = |node: usize| {
-            let reached = |replica| group.link(Party::Node(node), replica).address().to_string();
+            let reached = |replica| group.link(LinkSource::Node(node), replica).address().to_string();
             let mut config = operated(&registry);
             config["name"] = json!(format!("n{node}"));
             // So that they watch at different replicas.
@@ -69,13 +73,13 @@
             config
         };
         let configs = (0..nodes).map(config).collect();
-        let (calls, nodes, clients) = (group.calls(), Vec::new(), Vec::new());
+        let (calls, nodes, clients) = (group.client(), Vec::new(), Vec::new());
         let upgraded = false;
         Self { group, calls, terms, nodes, clients, configs, upgraded, _registry: registry, _server: server }
     }
 
-    fn cut(&self, node: usize, fault: Fault) {
-        self.group.cut_node(node, fault);
+    fn cut(&self, node: usize, fault: LinkFault) {
+        self.group.set_node_fault(node, fault);
     }
 
     fn mend(&self) {
@@ -83,24 +87,24 @@
     }
 
     /// Proposes a change at a replica; how it ended, as far as that tells.
-    fn propose_at(&self, replica: usize) -> Option<Answer> {
+    fn propose_at(&self, replica: usize) -> Option<HttpResponse> {
         let base = self.calls.policy(replica)?["epoch"].as_u64()?;
         self.calls.propose(replica, base, &json!({"Limits": {"AttemptsCap": 1 + base % 3}}))
     }
 
-    fn propose(&self) -> Option<Answer> {
+    fn propose(&self) -> Option<HttpResponse> {
         self.propose_at(self.calls.leader()?)
     }
 
     /// Makes changes until one is committed; its epoch.
     fn commit(&self) -> u64 {
-        until("a change is committed", || epoch(&self.propose()?))
+        wait_for("a change is committed", || epoch(&self.propose()?))
     }
 
     /// Proposes a change while one node is stopped, so that it does not end; returns once so many processes have staged
     /// it, with who led and how to hear of its end.
-    fn stage(&self, stopped: usize, staged: usize) -> (usize, JoinHandle<Option<Answer>>) {
-        until("others have staged a change", || {
+    fn stage(&self, stopped: usize, staged: usize) -> (usize, JoinHandle<Option<HttpResponse>>) {
+        wait_for("others have staged a change", || {
             let leader = self.calls.leader()?;
             let base = self.calls.policy(leader)?["epoch"].as_u64()?;
             let calls = self.calls.clone();
@@ -122,20 +126,20 @@
 
     /// How many processes have staged a change, as the leader knows.
     fn staged(&self, leader: usize) -> Option<usize> {
-        let known = self.calls.ask(leader, "GET /v1/nodes")?.body;
+        let known = self.calls.request(leader, "GET /v1/nodes")?.body;
         Some(known["nodes"].as_array()?.iter().filter(|node| node["staged"] == true).count())
     }
 
     /// What the leader knows of the processes of a node.
     fn members(&self, node: usize) -> Option<Vec<Value>> {
         let known =
-            self.calls.ask(self.calls.leader()?, "GET /v1/nodes").filter(|known| known.status == 200)?;
+            self.calls.request(self.calls.leader()?, "GET /v1/nodes").filter(|known| known.status == 200)?;
         let of = |known: &&Value| known["name"] == format!("n{node}");
         Some(known.body["nodes"].as_array()?.iter().filter(of).cloned().collect())
     }
 
     fn until_serves_by(&self, node: usize, epoch: u64) {
-        until("a node serves by that epoch", || (self.ask(node)? == (200, Some(epoch))).then_some(()));
+        wait_for("a node serves by that epoch", || (self.ask(node)? == (200, Some(epoch))).then_some(()));
     }
 
     fn until_all_serve_by(&self, epoch: u64) {
@@ -143,7 +147,7 @@
     }
 
     fn until_held(&self, node: usize) {
-        until("a node takes nothing", || (self.ask(node)? == (503, None)).then_some(()));
+        wait_for("a node takes nothing", || (self.ask(node)? == (503, None)).then_some(()));
     }
 
     fn ask(&self, node: usize) -> Option<(u16, Option<u64>)> {
@@ -155,7 +159,7 @@
         self.mend();
         let last = self.commit();
         self.until_all_serve_by(last);
-        let known = until("the leader knows all changes", || {
+        let known = wait_for("the leader knows all changes", || {
             self.calls.policy(self.calls.leader()?).filter(|known| known["epoch"] == last)
         });
         let ended = known["ended"].as_array().expect("a list");
@@ -178,18 +182,18 @@
 }
 
 /// The epoch of a change that was committed.
-fn epoch(answer: &Answer) -> Option<u64> {
+fn epoch(answer: &HttpResponse) -> Option<u64> {
     (answer.status == 200).then(|| answer.body["epoch"].as_u64()).flatten()
 }
 
 /// The nodes that an operator is told a change was aborted for.
-fn silent(answer: &Answer) -> Option<Vec<&str>> {
+fn silent(answer: &HttpResponse) -> Option<Vec<&str>> {
     answer.body["why"]["silent"]["nodes"].as_array()?.iter().map(Value::as_str).collect()
 }
 
 /// Changes are proposed until one is aborted for these nodes and no others; none is committed meanwhile.
 fn until_aborted_for(fleet: &Fleet, nodes: &[&str]) {
-    until("a change is aborted for the silent nodes", || {
+    wait_for("a change is aborted for the silent nodes", || {
         let answer = fleet.propose()?;
         assert_ne!(answer.status, 200, "committed without {nodes:?}: {answer:?}");
         let words = answer.body["error"].as_str().unwrap_or_default();
@@ -199,7 +203,7 @@
 
 #[test]
 fn nodes_that_were_cut_off_before_a_change_end_it_by_name_and_serve_on() {
-    let fleet = Fleet::start(4, Terms::SHORT);
+    let fleet = Fleet::start(4, GroupTimings::SHORT);
     let epoch = fleet.commit();
     fleet.until_all_serve_by(epoch);
     for (node, fault) in [(1, THERE), (2, BACK), (3, HOLE)] {
@@ -213,10 +217,10 @@
 /// They have promised, and a commit may count on that; what became of the change they don't hear.
 #[test]
 fn nodes_that_are_cut_off_once_they_have_staged_take_nothing_after_their_promise() {
-    let fleet = Fleet::start(4, Terms::SHORT);
+    let fleet = Fleet::start(4, GroupTimings::SHORT);
     let old = fleet.commit();
     fleet.until_all_serve_by(old);
-    let new = until("a change is committed past the nodes that are cut off", || {
+    let new = wait_for("a change is committed past the nodes that are cut off", || {
         let (_, asked) = fleet.stage(0, 3);
         for (node, fault) in [(1, THERE), (2, BACK), (3, HOLE)] {
             fleet.cut(node, fault);
@@ -231,7 +235,7 @@
     });
     fleet.until_serves_by(0, new);
     // Its watch still tells the first one.
-    until("a node that can only listen leaves the old epoch", || {
+    wait_for("a node that can only listen leaves the old epoch", || {
         fleet.ask(1).filter(|answer| *answer != (200, Some(old)))
     });
     fleet.until_held(2);
@@ -245,7 +249,7 @@
 /// hears nothing is asked for leases all the time: it ends the change by its name, and takes nothing either.
 #[test]
 fn a_fenced_fleet_goes_on_without_nodes_that_are_cut_off() {
-    let fleet = Fleet::start(4, Terms::FENCED);
+    let fleet = Fleet::start(4, GroupTimings::FENCED);
     let old = fleet.commit();
     fleet.until_all_serve_by(old);
     fleet.cut(2, BACK);
@@ -258,7 +262,7 @@
     let new = fleet.commit();
     for node in [1, 3] {
         assert_eq!(fleet.ask(node), Some((503, None)), "n{node} takes requests past its lease");
-        until("the operator hears that it is silent", || {
+        wait_for("the operator hears that it is silent", || {
             fleet.members(node)?.iter().all(|known| known["silent"] == true).then_some(())
         });
     }
@@ -269,12 +273,12 @@
 }
 
 /// Cuts a leader and the first two nodes off the other replicas, or mends that.
-fn part(fleet: &Fleet, leader: usize, others: &[usize], fault: Fault) {
+fn part(fleet: &Fleet, leader: usize, others: &[usize], fault: LinkFault) {
     for &other in others {
-        for party in [Party::Node(0), Party::Node(1), Party::Replica(leader)] {
-            fleet.group.link(party, other).set(fault);
+        for party in [LinkSource::Node(0), LinkSource::Node(1), LinkSource::Replica(leader)] {
+            fleet.group.link(party, other).set_fault(fault);
         }
-        fleet.group.link(Party::Replica(other), leader).set(fault);
+        fleet.group.link(LinkSource::Replica(other), leader).set_fault(fault);
     }
 }
 
@@ -282,12 +286,12 @@
 /// as far as it knows.
 #[test]
 fn a_deposed_leader_grants_and_commits_nothing() {
-    let fleet = Fleet::start(4, Terms::FENCED);
+    let fleet = Fleet::start(4, GroupTimings::FENCED);
     fleet.until_all_serve_by(fleet.commit());
-    let (old, leader, others, asked) = until("a leader is cut off in a change", || {
+    let (old, leader, others, asked) = wait_for("a leader is cut off in a change", || {
         let (leader, asked) = fleet.stage(3, 3);
         let others: Vec<usize> = (0..3).filter(|&replica| replica != leader).collect();
-        part(&fleet, leader, &others, Fault::both(Flow::Cut));
+        part(&fleet, leader, &others, LinkFault::symmetric(Forwarding::Block));
         fleet.nodes[3].signal("-CONT");
         let known = fleet.calls.policy(leader).filter(|known| !known["change"].is_null());
         if let Some(known) = known {
@@ -299,9 +303,9 @@
     });
     let calls = fleet.calls.clone();
     let late = std::thread::spawn(move || calls.propose(leader, old, &json!({"Limits": {"AttemptsCap": 1}})));
-    let new = until("a change is committed by the others", || {
+    let new = wait_for("a change is committed by the others", || {
         let leads = |replica: usize| {
-            let status = fleet.calls.ask(replica, "GET /v1/status")?.body;
+            let status = fleet.calls.request(replica, "GET /v1/status")?.body;
             (status["replica"]["role"] == "leader").then_some(replica)
         };
         let next = others.iter().find_map(|&replica| leads(replica))?;
@@ -333,25 +337,27 @@
 /// change is staged by the older one and made active by both, another waits for the older one, which stands.
 #[test]
 fn an_upgrade_between_staged_and_active_has_both_processes_in_the_change() {
-    let mut fleet = Fleet::without_nodes(2, Terms::SHORT);
+    let mut fleet = Fleet::without_nodes(2, GroupTimings::SHORT);
     fleet.upgraded = true;
     let held = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let ready = |node: &Node| until("it is ready", || (node.call("GET /ready").0 == 200).then_some(()));
+    let ready = |node: &Node| wait_for("it is ready", || (node.call("GET /ready").0 == 200).then_some(()));
     let mut older = Node::inheriting(&fleet.configs[0], &held, &[]);
     ready(&older);
     fleet.nodes = vec![Node::ready(&fleet.configs[1])];
     fleet.clients = vec![Client::of(older.address), Client::of(fleet.nodes[0].address)];
-    let (newer, new) = until("a process joins between staged and active", || {
+    let (newer, new) = wait_for("a process joins between staged and active", || {
         let (_, asked) = fleet.stage(0, 1);
         let newer = Node::inheriting(&fleet.configs[0], &held, &[]);
-        until("both are members", || fleet.members(0).filter(|members| members.len() == 2));
+        wait_for("both are members", || fleet.members(0).filter(|members| members.len() == 2));
         let under_way = !asked.is_finished();
         fleet.nodes[0].signal("-CONT");
         let ended = asked.join().expect("it was asked");
         Some((newer, ended.as_ref().and_then(epoch).filter(|_| under_way)?))
     });
     let by = |node: &Node, epoch: u64| {
-        until("it judges by that epoch", || node.logged(&format!("judges by epoch {epoch}")).then_some(()));
+        wait_for("it judges by that epoch", || {
+            node.logged(&format!("judges by epoch {epoch}")).then_some(())
+        });
     };
     ready(&newer);
     by(&older, new);
@@ -367,7 +373,7 @@
 
     older.terminate();
     assert_eq!(older.exit_code(), Some(0));
-    until("the older one is no member", || (fleet.members(0)?.len() == 1).then_some(()));
+    wait_for("the older one is no member", || (fleet.members(0)?.len() == 1).then_some(()));
     fleet.nodes.push(newer);
     fleet.judge();
 }
@@ -376,29 +382,32 @@
 /// that the node, which stands by then, knows nothing of.
 #[test]
 fn a_word_that_comes_late_or_twice_counts_for_its_own_change_alone() {
-    let fleet = Fleet::start(2, Terms::SHORT);
+    let fleet = Fleet::start(2, GroupTimings::SHORT);
     fleet.until_all_serve_by(fleet.commit());
     let propose = |leader: usize| {
         let calls = fleet.calls.clone();
         let base = calls.policy(leader)?["epoch"].as_u64()?;
         let asked =
             std::thread::spawn(move || calls.propose(leader, base, &json!({"Limits": {"AttemptsCap": 2}})));
-        until("one node has staged a change", || {
+        wait_for("one node has staged a change", || {
             (asked.is_finished() || fleet.staged(leader) == Some(1)).then_some(())
         });
         Some(asked)
     };
-    let ended = until("a change is under way after one that was called off", || {
+    let ended = wait_for("a change is under way after one that was called off", || {
         let leader = fleet.calls.leader()?;
         // Each beat is given up, and made again on another connection, while the one before is still on its way.
-        fleet.group.link(Party::Node(1), leader).set(Fault { there: Flow::Hold, ..NONE });
+        fleet
+            .group
+            .link(LinkSource::Node(1), leader)
+            .set_fault(LinkFault { to_target: Forwarding::Buffer, ..NONE });
         let first = propose(leader)?;
         std::thread::sleep(LATE);
         fleet.nodes[1].signal("-STOP");
-        let called_off = fleet.calls.ask(leader, "DELETE /v1/policy/change");
+        let called_off = fleet.calls.request(leader, "DELETE /v1/policy/change");
         let first = first.join().expect("it was asked");
         let second = propose(leader);
-        fleet.group.link(Party::Node(1), leader).set(NONE);
+        fleet.group.link(LinkSource::Node(1), leader).set_fault(NONE);
         let ended = second.and_then(|second| second.join().expect("it was asked"));
         fleet.nodes[1].signal("-CONT");
         assert!(first.as_ref().and_then(epoch).is_none(), "committed without a word: {first:?}");
@@ -414,12 +423,15 @@
 /// come late.
 #[test]
 fn beats_that_are_sent_twice_and_answers_that_come_late_change_nothing() {
-    let fleet = Fleet::start(4, Terms::SHORT);
+    let fleet = Fleet::start(4, GroupTimings::SHORT);
     // News of two changes come when the leader has long told the second one.
-    let leader = fleet.calls.until_led();
+    let leader = fleet.calls.wait_for_leader();
     for (node, replica) in (0..4).flat_map(|node| (0..3).map(move |replica| (node, replica))) {
         if replica != leader {
-            fleet.group.link(Party::Node(node), replica).set(Fault { back: Flow::Hold, ..NONE });
+            fleet
+                .group
+                .link(LinkSource::Node(node), replica)
+                .set_fault(LinkFault { from_target: Forwarding::Buffer, ..NONE });
         }
     }
     fleet.commit();
@@ -430,16 +442,16 @@
     let mut round = 0;
     std::thread::scope(|scope| {
         let changes = scope.spawn(|| (0..5).map(|_| fleet.commit()).collect::<Vec<_>>());
-        while !changes.is_finished() && start.elapsed() < fixture::PATIENCE {
+        while !changes.is_finished() && start.elapsed() < fixture::WAIT_TIMEOUT {
             round += 1;
-            fleet.cut(1, Fault { back: Flow::Hold, ..NONE });
-            fleet.cut(2, Fault { back: Flow::Hold, ..NONE });
-            fleet.cut(3, Fault { there: Flow::Hold, ..NONE });
+            fleet.cut(1, LinkFault { from_target: Forwarding::Buffer, ..NONE });
+            fleet.cut(2, LinkFault { from_target: Forwarding::Buffer, ..NONE });
+            fleet.cut(3, LinkFault { to_target: Forwarding::Buffer, ..NONE });
             std::thread::sleep(Duration::from_millis(30 + round * 37 % 200));
             // The first one's beats were taken, the last one's are lost; what is held for the other one comes late.
             for replica in 0..3 {
-                fleet.group.link(Party::Node(1), replica).reset();
-                fleet.group.link(Party::Node(3), replica).reset();
+                fleet.group.link(LinkSource::Node(1), replica).reset_connections();
+                fleet.group.link(LinkSource::Node(3), replica).reset_connections();
             }
             fleet.mend();
             std::thread::sleep(Duration::from_millis(50 + round * 53 % 200));
--- a/crates/stoneshift/tests/outage.rs
+++ b/crates/stoneshift/tests/outage.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use fixture::{until, Calls, Group, PATIENCE};
-use relay::{Fault, Flow};
+use fixture::{wait_for, Group, GroupClient, WAIT_TIMEOUT};
+use relay::{Forwarding, LinkFault};
 use serde_json::{json, Value};
 
 fn group() -> Group {
@@ -14,7 +14,7 @@
 
 /// An operator who makes one change after the other and remembers what was acknowledged.
 struct Operator {
-    calls: Calls,
+    calls: GroupClient,
     /// Policies by epoch.
     acknowledged: BTreeMap<u64, Value>,
     asked: u64,
@@ -22,7 +22,7 @@
 
 impl Operator {
     fn of(group: &Group) -> Self {
-        Self { calls: group.calls(), acknowledged: BTreeMap::new(), asked: 0 }
+        Self { calls: group.client(), acknowledged: BTreeMap::new(), asked: 0 }
     }
 
     /// Asks a replica for one change to what it knows; whether it was acknowledged.
@@ -40,7 +40,7 @@
 
     /// Asks whoever leads until a change is acknowledged; who led then.
     fn change_somehow(&mut self) -> usize {
-        until("a change is acknowledged", || {
+        wait_for("a change is acknowledged", || {
             let leader = self.calls.leader()?;
             self.change(leader).then_some(leader)
         })
@@ -50,7 +50,7 @@
     fn check(&self, replicas: &[usize]) {
         let (epoch, policy) = self.acknowledged.last_key_value().expect("some was");
         for &replica in replicas {
-            let known = until("a replica knows what was acknowledged", || {
+            let known = wait_for("a replica knows what was acknowledged", || {
                 self.calls.policy(replica).filter(|known| known["epoch"].as_u64() >= Some(*epoch))
             });
             if known["epoch"] == *epoch {
@@ -73,14 +73,14 @@
         std::thread::scope(|scope| {
             scope.spawn(|| {
                 let start = Instant::now();
-                while !over.load(Ordering::SeqCst) && start.elapsed() < 2 * PATIENCE {
+                while !over.load(Ordering::SeqCst) && start.elapsed() < 2 * WAIT_TIMEOUT {
                     let Some(leader) = operator.calls.leader() else { continue };
                     while operator.change(leader) {
                         acknowledged.fetch_add(1, Ordering::SeqCst);
                     }
                 }
             });
-            until("some changes are acknowledged", || {
+            wait_for("some changes are acknowledged", || {
                 (acknowledged.load(Ordering::SeqCst) > before + cycle % 3).then_some(())
             });
             // Anywhere in the change after them.
@@ -88,7 +88,7 @@
             group.kill(&[0, 1, 2]);
             over.store(true, Ordering::SeqCst);
         });
-        (0..3).for_each(|replica| group.start_one(replica));
+        (0..3).for_each(|replica| group.start_replica(replica));
         operator.check(&[0, 1, 2]);
     }
     println!("{} of {} changes acknowledged in {cycles} cycles", operator.acknowledged.len(), operator.asked);
@@ -113,7 +113,7 @@
     group.kill(&[leader]);
     let next = operator.change_somehow();
     assert_ne!(next, leader);
-    group.start_one(leader);
+    group.start_replica(leader);
     operator.check(&[0, 1, 2]);
 }
 
@@ -122,8 +122,8 @@
     let mut group = group();
     let mut operator = Operator::of(&group);
     let leader = operator.change_somehow();
-    let old = until("it answers", || operator.calls.policy(leader))["epoch"].as_u64().expect("an epoch");
-    group.process(leader).stop();
+    let old = wait_for("it answers", || operator.calls.policy(leader))["epoch"].as_u64().expect("an epoch");
+    group.process(leader).suspend();
     let next = operator.change_somehow();
     assert_ne!(next, leader);
     let calls = operator.calls.clone();
@@ -131,7 +131,7 @@
         // Asked while it stands, so that this is the first thing it sees.
         let late = scope.spawn(move || calls.propose(leader, old, &json!({"Limits": {"MaxRetryAfter": 1}})));
         std::thread::sleep(Duration::from_secs(10));
-        group.process(leader).go_on();
+        group.process(leader).resume();
         let late = late.join().expect("it was asked");
         assert!(late.as_ref().is_none_or(|answer| answer.status != 200), "{late:?}");
     });
@@ -148,9 +148,9 @@
     let others: Vec<usize> = (0..3).filter(|&replica| replica != leader).collect();
     group.kill(&others);
     assert!(!operator.change(leader), "one of three is no majority");
-    group.start_one(others[0]);
+    group.start_replica(others[0]);
     operator.change_somehow();
-    group.start_one(others[1]);
+    group.start_replica(others[1]);
     operator.check(&[0, 1, 2]);
 }
 
@@ -162,11 +162,11 @@
     let others: Vec<usize> = (0..3).filter(|&replica| replica != leader).collect();
     // What the others answer, to whoever asks them, is lost on the way.
     for &replica in &others {
-        group.fault(replica, Fault { back: Flow::Cut, ..Fault::default() });
+        group.set_link_fault(replica, LinkFault { from_target: Forwarding::Block, ..LinkFault::default() });
     }
     assert!(!operator.change(leader), "no answer, no majority");
     for &replica in &others {
-        group.fault(replica, Fault::default());
+        group.set_link_fault(replica, LinkFault::default());
     }
     operator.change_somehow();
     operator.check(&[0, 1, 2]);
--- a/crates/stoneshift/tests/votes.rs
+++ b/crates/stoneshift/tests/votes.rs
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use fixture::{ask, until, Calls, Group};
+use fixture::{http_request, wait_for, Group, GroupClient};
 use member::votes::{Ballot, Evidence, Stand, Votes};
 use member::{Answer, Beat, News, Process, Stamp};
 use peers::{answer, figure, host, operated, request, Client, Node, Peer, Registry, Say};
@@ -34,13 +34,13 @@
 }
 
 /// What a replica says of verdicts.
-fn verdicts(calls: &Calls, replica: usize) -> Option<Value> {
-    calls.ask(replica, "GET /v1/verdicts").filter(|answer| answer.status == 200).map(|answer| answer.body)
+fn verdicts(calls: &GroupClient, replica: usize) -> Option<Value> {
+    calls.request(replica, "GET /v1/verdicts").filter(|answer| answer.status == 200).map(|answer| answer.body)
 }
 
 /// Commits a policy at whoever leads.
-fn commit(calls: &Calls, policy: &Value) {
-    until("the policy is committed", || {
+fn commit(calls: &GroupClient, policy: &Value) {
+    wait_for("the policy is committed", || {
         let leader = calls.leader()?;
         let known = calls.policy(leader)?;
         if known["policy"] == *policy {
@@ -81,7 +81,7 @@
             verdicts: Some(verdicts),
         };
         let body = serde_json::to_string(&beat).expect("plain data");
-        let answer = ask(at, "POST /v1/session", &body, Duration::from_secs(5)).ok()?;
+        let answer = http_request(at, "POST /v1/session", &body, Duration::from_secs(5)).ok()?;
         let said: Answer = serde_json::from_value(answer.body).ok()?;
         self.echo = Some(said.stamp);
         Some(said)
@@ -106,11 +106,11 @@
 #[test]
 fn a_leader_that_dies_before_its_verdict_is_followed_by_one_that_counts_anew() {
     let mut group = Group::start(env!("CARGO_BIN_EXE_stoneshift").into(), 3);
-    let calls = group.calls();
+    let calls = group.client();
     commit(&calls, &figures(3, LONG_TERM, 30_000));
     let mut nodes = ["n0", "n1", "n2"].map(Beater::new);
     let mut round = |leader: usize, group: &Group, third: bool| {
-        let at = group.reached(leader);
+        let at = group.relay_address(leader);
         let said: Vec<Option<Answer>> = nodes
             .iter_mut()
             .enumerate()
@@ -122,7 +122,7 @@
         std::thread::sleep(Duration::from_millis(50));
         said
     };
-    let leader = until("two votes are known", || {
+    let leader = wait_for("two votes are known", || {
         let leader = calls.leader()?;
         round(leader, &group, false);
         let known = verdicts(&calls, leader)?;
@@ -134,14 +134,14 @@
     let known = verdicts(&calls, leader).expect("it leads");
     assert_eq!((&known["removed"], &known["ended"]), (&json!({}), &json!([])), "{known}");
     group.kill(&[leader]);
-    let told = until("the next leader tells a verdict", || {
+    let told = wait_for("the next leader tells a verdict", || {
         let leader = calls.leader()?;
         round(leader, &group, true).into_iter().flatten().find_map(|answer| answer.verdicts)
     });
     assert_eq!(told.verdicts.len(), 1);
     assert_eq!((told.verdicts[0].server.as_str(), told.verdicts[0].zones.len()), (BAD, 0));
     for replica in (0..3).filter(|&replica| replica != leader) {
-        let known = until("each replica knows it", || {
+        let known = wait_for("each replica knows it", || {
             verdicts(&calls, replica).filter(|known| !known["removed"][BAD].is_null())
         });
         assert_eq!(known["removed"][BAD]["case"]["for"]["voters"], 3, "{known}");
@@ -153,42 +153,42 @@
 #[test]
 fn answers_and_watches_tell_verdicts_to_those_that_vote() {
     let group = Group::start(env!("CARGO_BIN_EXE_stoneshift").into(), 3);
-    let calls = group.calls();
+    let calls = group.client();
     let mut nodes = ["n0", "n1"].map(Beater::new);
     commit(&calls, &figures(2, LONG_TERM, 30_000));
     let mut known = 0;
-    until("a verdict is told", || {
-        let at = group.reached(calls.leader()?);
+    wait_for("a verdict is told", || {
+        let at = group.relay_address(calls.leader()?);
         for node in &mut nodes {
             let said = node.beat(at, votes("a", &[BAD], 20), known)?;
             known = said.verdicts.map_or(known, |verdicts| verdicts.version);
         }
         (known > 0).then_some(())
     });
-    let again = until("the leader answers", || {
-        nodes[0].beat(group.reached(calls.leader()?), votes("a", &[BAD], 20), known)
+    let again = wait_for("the leader answers", || {
+        nodes[0].beat(group.relay_address(calls.leader()?), votes("a", &[BAD], 20), known)
     });
     assert_eq!(again.verdicts, None);
-    let other = (calls.until_led() + 1) % 3;
-    until("a watch at a follower tells the same", || {
-        let mut watch = TcpStream::connect(group.reached(other)).ok()?;
+    let other = (calls.wait_for_leader() + 1) % 3;
+    wait_for("a watch at a follower tells the same", || {
+        let mut watch = TcpStream::connect(group.relay_address(other)).ok()?;
         watch.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
         watch.write_all(b"GET /v1/watch?from=0 HTTP/1.1\r\nhost: x\r\n\r\n").ok()?;
         let mut lines = BufReader::new(watch).lines().map_while(Result::ok);
         let news: News = lines.find_map(|line| serde_json::from_str(&line).ok())?;
         (news.verdicts?.version == known && news.agreed.is_some()).then_some(())
     });
-    let told = until("it answers", || verdicts(&calls, other));
+    let told = wait_for("it answers", || verdicts(&calls, other));
     assert!(!told["removed"][BAD].is_null() && told["votes"].is_null(), "{told}");
     // Without its figures there are no votes, and no verdicts.
     for node in nodes {
-        until("it is no member any more", || {
+        wait_for("it is no member any more", || {
             let call = format!("DELETE /v1/nodes/{}", node.process.name);
-            calls.ask(calls.leader()?, &call).filter(|answer| answer.status != 503)
+            calls.request(calls.leader()?, &call).filter(|answer| answer.status != 503)
         });
     }
     commit(&calls, &json!({}));
-    let known = until("the leader answers", || verdicts(&calls, calls.leader()?));
+    let known = wait_for("the leader answers", || verdicts(&calls, calls.leader()?));
     assert_eq!((&known["removed"], &known["on"]), (&json!({}), &json!(false)), "{known}");
     assert_eq!(known["ended"][0]["why"], "off", "{known}");
 }
@@ -241,7 +241,7 @@
     loads: Vec<Load>,
     nodes: Vec<Node>,
     group: Group,
-    calls: Calls,
+    calls: GroupClient,
     servers: Vec<Peer>,
     bad: Arc<AtomicBool>,
     registry: Registry,
@@ -259,7 +259,7 @@
     /// All is well at first.
     fn start(policy: &Value) -> Self {
         let group = Group::start(env!("CARGO_BIN_EXE_stoneshift").into(), 3);
-        let calls = group.calls();
+        let calls = group.client();
         commit(&calls, policy);
         let bad = Arc::new(AtomicBool::new(false));
         let server = |name: &&'static str| {
@@ -269,7 +269,7 @@
         };
         let servers: Vec<Peer> = SERVERS.iter().map(server).collect();
         let registry = Registry::new(&list(&servers, 0));
-        let replicas: Vec<String> = (0..group.len()).map(|r| group.reached(r).to_string()).collect();
+        let replicas: Vec<String> = (0..group.len()).map(|r| group.relay_address(r).to_string()).collect();
         let nodes: Vec<Node> = (0..3)
             .map(|node| {
                 let mut config = operated(&registry);
@@ -300,19 +300,19 @@
     fn until_served(&self) {
         let before: Vec<usize> = self.loads.iter().map(Load::served).collect();
         for (load, before) in self.loads.iter().zip(before) {
-            until("a client is served", || (load.served() >= before + ENOUGH).then_some(()));
+            wait_for("a client is served", || (load.served() >= before + ENOUGH).then_some(()));
         }
     }
 
     /// Waits until the leader knows that the bad server is removed, and each node heeds it.
     fn until_removed(&self) -> Value {
-        let known = until("a verdict is made", || {
+        let known = wait_for("a verdict is made", || {
             verdicts(&self.calls, self.calls.leader()?).filter(|known| !known["removed"][BAD].is_null())
         });
         for node in &self.nodes {
-            until("a node heeds it", || (figure(node, "votes.removed") == 1).then_some(()));
+            wait_for("a node heeds it", || (figure(node, "votes.removed") == 1).then_some(()));
             let line = format!("{BAD} is removed by votes");
-            until("its log says so", || node.logged(&line).then_some(()));
+            wait_for("its log says so", || node.logged(&line).then_some(()));
         }
         known
     }
@@ -328,15 +328,15 @@
 
     /// Waits until every node sends to the first server again and nothing is removed.
     fn until_back(&self) -> Value {
-        let known = until("it is back", || {
+        let known = wait_for("it is back", || {
             verdicts(&self.calls, self.calls.leader()?).filter(|known| known["removed"] == json!({}))
         });
         for node in &self.nodes {
-            until("a node knows it", || (figure(node, "votes.removed") == 0).then_some(()));
-            until("its log says so", || node.logged(&format!("{BAD} is back")).then_some(()));
+            wait_for("a node knows it", || (figure(node, "votes.removed") == 0).then_some(()));
+            wait_for("its log says so", || node.logged(&format!("{BAD} is back")).then_some(()));
         }
         let before = self.asked();
-        until("it is asked again", || (self.asked() > before + ENOUGH).then_some(()));
+        wait_for("it is asked again", || (self.asked() > before + ENOUGH).then_some(()));
         known
     }
 }
@@ -381,9 +381,9 @@
     fleet.load(3);
     let mut liar = Beater::new("liar");
     let mut answered = 0;
-    until("the liar was heard", || {
+    wait_for("the liar was heard", || {
         let leader = fleet.calls.leader()?;
-        if liar.beat(fleet.group.reached(leader), votes("b", &SERVERS, 1000), 0).is_some() {
+        if liar.beat(fleet.group.relay_address(leader), votes("b", &SERVERS, 1000), 0).is_some() {
             answered += 1;
         }
         std::thread::sleep(Duration::from_millis(100));
@@ -400,7 +400,7 @@
     let mut fleet = Fleet::start(&figures(3, LONG_TERM, 30_000));
     fleet.bad.store(true, Ordering::SeqCst);
     fleet.load(2);
-    let leader = until("two of three are for the removal", || {
+    let leader = wait_for("two of three are for the removal", || {
         let leader = fleet.calls.leader()?;
         let suspects = fleet.nodes.iter().filter(|node| figure(node, "votes.suspects") == 1);
         (suspects.count() == 2 && verdicts(&fleet.calls, leader)?["votes"]["voters"].as_u64() >= Some(2))
@@ -423,10 +423,10 @@
     assert!(fleet.shuns());
     let before = fleet.asked();
     fleet.group.kill(&[0, 1, 2]);
-    until("it is tried again", || (fleet.asked() > before).then_some(()));
+    wait_for("it is tried again", || (fleet.asked() > before).then_some(()));
     for node in &fleet.nodes {
-        until("a node is alone", || (figure(node, "votes.alone") == 1).then_some(()));
-        until("it ejects the server", || (figure(node, "targets_disabled") == 1).then_some(()));
+        wait_for("a node is alone", || (figure(node, "votes.alone") == 1).then_some(()));
+        wait_for("it ejects the server", || (figure(node, "targets_disabled") == 1).then_some(()));
     }
     fleet.until_served();
 }
