--- a/crates/store/src/disk.rs
+++ b/crates/store/src/database.rs
@@ -13,7 +13,7 @@
     WriteTransaction,
 };
 
-use crate::{frame, StoreError, SCHEMA, SNAPSHOT_MOST, VALUE_MOST};
+use crate::{frame, StoreError, MAX_SNAPSHOT_BYTES, MAX_VALUE_BYTES, SCHEMA_VERSION};
 
 /// Entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 struct Inner {
     /// For messages: the directory, or "the disk".
-    place: String,
+    location: String,
     owner: Owner,
     file: Shared,
     /// `None` after a failure: the next call opens it anew.
@@ -130,10 +130,10 @@
     /// Opens the disk in a directory, which is created if need be, as its parents are.
     ///
     /// # Errors
-    /// All but [`StoreError::Order`] and [`StoreError::TooLarge`].
+    /// All but [`StoreError::OutOfOrder`] and [`StoreError::TooLarge`].
     pub fn open(dir: &Path, owner: &Owner) -> Result<Self, StoreError> {
-        let place = dir.display().to_string();
-        let failed = |source| io_error(&place, source);
+        let location = dir.display().to_string();
+        let failed = |source| io_error(&location, source);
         std::fs::create_dir_all(dir).map_err(failed)?;
         let made = |name: &str| {
             File::options().read(true).write(true).create(true).truncate(false).open(dir.join(name))
@@ -141,32 +141,32 @@
         let lock = made("lock").map_err(failed)?;
         match lock.try_lock() {
             Ok(()) => {}
-            Err(std::fs::TryLockError::WouldBlock) => return Err(StoreError::Busy { place }),
-            Err(std::fs::TryLockError::Error(source)) => return Err(io_error(&place, source)),
+            Err(std::fs::TryLockError::WouldBlock) => return Err(StoreError::InUse { location }),
+            Err(std::fs::TryLockError::Error(source)) => return Err(io_error(&location, source)),
         }
         let file = made("replica.redb").map_err(failed)?;
         // The file's name is on the disk before anything in it is acknowledged.
         File::open(dir).and_then(|dir| dir.sync_all()).map_err(failed)?;
-        let file = FileBackend::new(file).map_err(|error| library_error(&place, error.into()))?;
-        Self::open_shared(place, Shared(Arc::new(file)), owner, Some(lock))
+        let file = FileBackend::new(file).map_err(|error| library_error(&location, error.into()))?;
+        Self::open_shared(location, Shared(Arc::new(file)), owner, Some(lock))
     }
 
-    /// Opens the disk on a storage of the caller's, such as [`crate::faults::Disk`]. One that begins
+    /// Opens the disk on a storage of the caller's, such as [`crate::faults::FaultyDisk`]. One that begins
     /// with zeros is made a new one: only beside a real file is it known whether there was one before.
     ///
     /// # Errors
-    /// As [`Store::open`], without [`StoreError::Busy`].
+    /// As [`Store::open`], without [`StoreError::InUse`].
     pub fn open_on(backend: impl StorageBackend, owner: &Owner) -> Result<Self, StoreError> {
         Self::open_shared("the disk".to_owned(), Shared(Arc::new(backend)), owner, None)
     }
 
     fn open_shared(
-        place: String,
+        location: String,
         file: Shared,
         owner: &Owner,
         lock: Option<File>,
     ) -> Result<Self, StoreError> {
-        let inner = Inner { place, owner: owner.clone(), file, open: RwLock::new(None), lock };
+        let inner = Inner { location, owner: owner.clone(), file, open: RwLock::new(None), lock };
         inner.reopen()?;
         Ok(Self(Arc::new(inner)))
     }
@@ -175,21 +175,21 @@
     /// entry may begin at any index.
     ///
     /// # Errors
-    /// [`StoreError::Order`], [`StoreError::TooLarge`], or the disk's.
+    /// [`StoreError::OutOfOrder`], [`StoreError::TooLarge`], or the disk's.
     pub fn append(&self, entries: &[Entry]) -> Result<(), StoreError> {
         let Some(first) = entries.first() else { return Ok(()) };
         for entry in entries {
-            self.0.bounded("an entry", entry.bytes.len(), VALUE_MOST)?;
+            self.0.bounded("an entry", entry.bytes.len(), MAX_VALUE_BYTES)?;
         }
         self.0.write(|disk| {
             let next = disk.next()?.unwrap_or(first.index);
             let mut log = disk.transaction.open_table(LOG)?;
             for (expected, Entry { index, bytes }) in (next..).zip(entries) {
                 if *index != expected {
-                    return Err(Failed::Call(StoreError::Order {
-                        place: disk.place.into(),
+                    return Err(Failed::Call(StoreError::OutOfOrder {
+                        location: disk.location.into(),
                         expected,
-                        given: *index,
+                        actual: *index,
                     }));
                 }
                 log.insert(index, frame::pack(&log_place(*index), bytes).as_slice())?;
@@ -261,7 +261,7 @@
     ///
     /// # Errors
     /// As [`Store::entries`].
-    pub fn last(&self) -> Result<Option<Entry>, StoreError> {
+    pub fn last_entry(&self) -> Result<Option<Entry>, StoreError> {
         self.0.read(|disk| {
             let log = disk.transaction.open_table(LOG)?;
             let last = log.last()?;
@@ -289,7 +289,7 @@
     /// # Errors
     /// [`StoreError::TooLarge`], or the disk's.
     pub fn put(&self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
-        self.0.bounded("a record", bytes.len(), VALUE_MOST)?;
+        self.0.bounded("a record", bytes.len(), MAX_VALUE_BYTES)?;
         self.0.write(|disk| {
             let mut records = disk.transaction.open_table(RECORDS)?;
             records.insert(name, frame::pack(name.as_bytes(), bytes).as_slice())?;
@@ -318,8 +318,8 @@
     /// # Errors
     /// [`StoreError::TooLarge`], or the disk's.
     pub fn save_snapshot(&self, meta: &[u8], data: &[u8]) -> Result<(), StoreError> {
-        self.0.bounded("a snapshot's description", meta.len(), VALUE_MOST)?;
-        self.0.bounded("a snapshot", data.len(), SNAPSHOT_MOST)?;
+        self.0.bounded("a snapshot's description", meta.len(), MAX_VALUE_BYTES)?;
+        self.0.bounded("a snapshot", data.len(), MAX_SNAPSHOT_BYTES)?;
         self.0.write(|disk| {
             let mut rows = disk.transaction.open_table(SNAPSHOT)?;
             rows.retain(|_, _| false)?;
@@ -368,20 +368,20 @@
     ///
     /// # Errors
     /// The disk's.
-    pub fn size(&self) -> Result<u64, StoreError> {
-        self.0.file.len().map_err(|source| io_error(&self.0.place, source))
+    pub fn file_size(&self) -> Result<u64, StoreError> {
+        self.0.file.len().map_err(|source| io_error(&self.0.location, source))
     }
 }
 
 /// A transaction, and the name of its disk.
 struct On<'a, T> {
     transaction: T,
-    place: &'a str,
+    location: &'a str,
 }
 
 impl<T> On<'_, T> {
-    fn damaged(&self, what: String) -> Failed {
-        Failed::Call(StoreError::Damaged { place: self.place.to_owned(), what })
+    fn damaged(&self, detail: String) -> Failed {
+        Failed::Call(StoreError::Damaged { location: self.location.to_owned(), detail })
     }
 
     fn unpacked_start(&self, framed: &[u8]) -> Result<u64, Failed> {
@@ -405,17 +405,21 @@
             let bytes = row.as_ref().and_then(|row| frame::unpack(name.as_bytes(), row.value()));
             bytes.map(<[u8]>::to_vec).ok_or_else(|| self.damaged(format!("its {name}")))
         };
-        let place = self.place.to_owned();
+        let location = self.location.to_owned();
         let schema = self.number(ABOUT_SCHEMA, &row(ABOUT_SCHEMA)?)?;
-        if schema > SCHEMA {
-            return Err(Failed::Call(StoreError::Newer { place, found: schema, known: SCHEMA }));
+        if schema > SCHEMA_VERSION {
+            return Err(Failed::Call(StoreError::NewerSchema {
+                location,
+                found: schema,
+                supported: SCHEMA_VERSION,
+            }));
         }
         let found = Owner {
             cluster: String::from_utf8_lossy(&row(ABOUT_CLUSTER)?).into_owned(),
             replica: self.number(ABOUT_REPLICA, &row(ABOUT_REPLICA)?)?,
         };
         if found != *owner {
-            return Err(Failed::Call(StoreError::Owner { place, found, wanted: owner.clone() }));
+            return Err(Failed::Call(StoreError::WrongOwner { location, found, expected: owner.clone() }));
         }
         Ok(true)
     }
@@ -461,7 +465,7 @@
     fn claim(&self, owner: &Owner) -> Result<(), Failed> {
         let mut about = self.transaction.open_table(ABOUT)?;
         for (name, bytes) in [
-            (ABOUT_SCHEMA, &SCHEMA.to_le_bytes()[..]),
+            (ABOUT_SCHEMA, &SCHEMA_VERSION.to_le_bytes()[..]),
             (ABOUT_CLUSTER, owner.cluster.as_bytes()),
             (ABOUT_REPLICA, &owner.replica.to_le_bytes()),
         ] {
@@ -477,7 +481,12 @@
 impl Inner {
     fn bounded(&self, what: &'static str, bytes: usize, most: usize) -> Result<(), StoreError> {
         if bytes > most {
-            return Err(StoreError::TooLarge { place: self.place.clone(), what, bytes, most });
+            return Err(StoreError::TooLarge {
+                location: self.location.clone(),
+                item: what,
+                bytes,
+                max: most,
+            });
         }
         Ok(())
     }
@@ -488,7 +497,7 @@
         call: impl Fn(&On<'_, WriteTransaction>) -> Result<T, Failed>,
     ) -> Result<T, StoreError> {
         self.run(|database| {
-            let disk = On { transaction: two_phased(database)?, place: &self.place };
+            let disk = On { transaction: two_phased(database)?, location: &self.location };
             let done = call(&disk)?;
             disk.transaction.commit()?;
             Ok(done)
@@ -496,7 +505,7 @@
     }
 
     fn read<T>(&self, call: impl Fn(&On<'_, ReadTransaction>) -> Result<T, Failed>) -> Result<T, StoreError> {
-        self.run(|database| call(&On { transaction: database.begin_read()?, place: &self.place }))
+        self.run(|database| call(&On { transaction: database.begin_read()?, location: &self.location }))
     }
 
     /// Runs a call on the open database. After the library has failed it is closed, as it does nothing more, and the
@@ -516,12 +525,12 @@
                     // Another call's failure, met before this one did anything.
                     let earlier = matches!(error, redb::Error::PreviousIo | redb::Error::DatabaseClosed);
                     if !earlier || !std::mem::take(&mut again) {
-                        return Err(library_error(&self.place, error));
+                        return Err(library_error(&self.location, error));
                     }
                 }
                 Some(Err(panic)) => {
                     self.close();
-                    return Err(StoreError::Damaged { place: self.place.clone(), what: panic });
+                    return Err(StoreError::Damaged { location: self.location.clone(), detail: panic });
                 }
                 None => self.reopen()?,
             }
@@ -561,8 +570,8 @@
             return Ok(());
         }
         let opened = guarded(|| -> Result<Database, Failed> {
-            let place = self.place.as_str();
-            let io = |source| Failed::Call(io_error(place, source));
+            let location = self.location.as_str();
+            let io = |source| Failed::Call(io_error(location, source));
             let new = self.is_new().map_err(io)?;
             if new && self.is_unmade().map_err(io)? {
                 self.file.set_len(0).map_err(io)?;
@@ -571,12 +580,12 @@
                 .set_cache_size(CACHE)
                 .set_check_integrity_on_open(true)
                 .create_with_backend(self.file.clone())?;
-            let disk = On { transaction: database.begin_read()?, place };
+            let disk = On { transaction: database.begin_read()?, location };
             if !disk.claimed(&self.owner)? {
                 if !new {
                     return Err(disk.damaged("what was in it is gone".into()));
                 }
-                let disk = On { transaction: two_phased(&database)?, place };
+                let disk = On { transaction: two_phased(&database)?, location };
                 disk.claim(&self.owner)?;
                 disk.transaction.commit()?;
             }
@@ -588,8 +597,8 @@
         *open = Some(match opened {
             Ok(Ok(database)) => database,
             Ok(Err(Failed::Call(error))) => return Err(error),
-            Ok(Err(Failed::Library(error))) => return Err(library_error(&self.place, error)),
-            Err(panic) => return Err(StoreError::Damaged { place: self.place.clone(), what: panic }),
+            Ok(Err(Failed::Library(error))) => return Err(library_error(&self.location, error)),
+            Err(panic) => return Err(StoreError::Damaged { location: self.location.clone(), detail: panic }),
         });
         Ok(())
     }
@@ -615,43 +624,43 @@
     })
 }
 
-fn library_error(place: &str, error: redb::Error) -> StoreError {
-    let place = place.to_owned();
+fn library_error(location: &str, error: redb::Error) -> StoreError {
+    let location = location.to_owned();
     match error {
-        redb::Error::Io(source) => io_error(&place, source),
-        redb::Error::Corrupted(what) => StoreError::Damaged { place, what },
-        redb::Error::DatabaseAlreadyOpen => StoreError::Busy { place },
+        redb::Error::Io(source) => io_error(&location, source),
+        redb::Error::Corrupted(what) => StoreError::Damaged { location, detail: what },
+        redb::Error::DatabaseAlreadyOpen => StoreError::InUse { location },
         redb::Error::TableDoesNotExist(_)
         | redb::Error::TableTypeMismatch { .. }
         | redb::Error::TypeDefinitionChanged { .. }
-        | redb::Error::UpgradeRequired(_) => StoreError::Damaged { place, what: error.to_string() },
-        other => StoreError::Io { place, source: io::Error::other(other.to_string()) },
+        | redb::Error::UpgradeRequired(_) => StoreError::Damaged { location, detail: error.to_string() },
+        other => StoreError::Io { location, source: io::Error::other(other.to_string()) },
     }
 }
 
-fn io_error(place: &str, source: io::Error) -> StoreError {
-    let place = place.to_owned();
+fn io_error(location: &str, source: io::Error) -> StoreError {
+    let location = location.to_owned();
     match source.kind() {
-        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => StoreError::Full { place },
+        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => StoreError::Full { location },
         // The library's words for a file that is none of its own, and for one that ends too early.
         io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof => {
-            StoreError::Damaged { place, what: source.to_string() }
+            StoreError::Damaged { location, detail: source.to_string() }
         }
-        _ => StoreError::Io { place, source },
+        _ => StoreError::Io { location, source },
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::faults::Disk;
+    use crate::faults::FaultyDisk;
 
     #[test]
     fn a_later_schema_is_refused() {
-        let disk = Disk::new();
+        let disk = FaultyDisk::new();
         let owner = Owner { cluster: "north".to_owned(), replica: 1 };
         let store = Store::open_on(disk.clone(), &owner).expect("a new disk");
-        let later = frame::pack(ABOUT_SCHEMA.as_bytes(), &(SCHEMA + 1).to_le_bytes());
+        let later = frame::pack(ABOUT_SCHEMA.as_bytes(), &(SCHEMA_VERSION + 1).to_le_bytes());
         let written = store.0.write(|disk| {
             disk.transaction.open_table(ABOUT)?.insert(ABOUT_SCHEMA, later.as_slice())?;
             Ok(())
@@ -659,6 +668,6 @@
         written.expect("written");
         drop(store);
         let refused = Store::open_on(disk, &owner).expect_err("this program can't know it");
-        assert!(matches!(refused, StoreError::Newer { found: 2, known: 1, .. }), "{refused}");
+        assert!(matches!(refused, StoreError::NewerSchema { found: 2, supported: 1, .. }), "{refused}");
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -4,82 +4,82 @@
 
 use crate::Owner;
 
-/// Why the disk did not do what was asked. After any of them but [`StoreError::Order`] and [`StoreError::TooLarge`] a
+/// Why the disk did not do what was asked. After any of them but [`StoreError::OutOfOrder`] and [`StoreError::TooLarge`] a
 /// change that was asked for has happened whole or not at all; reading tells which.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// No room. What is there can still be read.
-    #[error("{place}: the disk is full")]
+    #[error("{location}: the disk is full")]
     Full {
         /// Which disk.
-        place: String,
+        location: String,
     },
     /// What is there is not what was written.
-    #[error("{place} is damaged: {what}")]
+    #[error("{location} is damaged: {detail}")]
     Damaged {
         /// Which disk.
-        place: String,
+        location: String,
         /// What does not hold, in a few words.
-        what: String,
+        detail: String,
     },
     /// Another replica's disk.
     #[error(
-        "{place} belongs to replica {} of cluster {:?}, not to replica {} of cluster {:?}",
-        found.replica, found.cluster, wanted.replica, wanted.cluster
+        "{location} belongs to replica {} of cluster {:?}, not to replica {} of cluster {:?}",
+        found.replica, found.cluster, expected.replica, expected.cluster
     )]
-    Owner {
+    WrongOwner {
         /// Which disk.
-        place: String,
+        location: String,
         /// Whose it is.
         found: Owner,
         /// Who asked for it.
-        wanted: Owner,
+        expected: Owner,
     },
     /// Written by a later version of the program.
-    #[error("{place} has schema {found}, and this program knows schemas up to {known}")]
-    Newer {
+    #[error("{location} has schema {found}, and this program knows schemas up to {supported}")]
+    NewerSchema {
         /// Which disk.
-        place: String,
+        location: String,
         /// Its schema.
         found: u64,
         /// The newest one that this program knows.
-        known: u64,
+        supported: u64,
     },
     /// Another process has it open.
-    #[error("{place} is in use by another process")]
-    Busy {
+    #[error("{location} is in use by another process")]
+    InUse {
         /// Which disk.
-        place: String,
+        location: String,
     },
     /// The disk or its directory failed otherwise.
-    #[error("{place}: {source}")]
+    #[error("{location}: {source}")]
     Io {
         /// Which disk.
-        place: String,
+        location: String,
         /// What the system said.
         source: io::Error,
     },
     /// The caller's entries don't follow the log. Nothing has changed.
-    #[error("{place}: entry {given} does not follow the log, where {expected} comes next")]
-    Order {
+    #[error("{location}: entry {actual} does not follow the log, where {expected} comes next")]
+    OutOfOrder {
         /// Which disk.
-        place: String,
+        location: String,
         /// The index that comes next.
         expected: u64,
         /// The index that came.
-        given: u64,
+        actual: u64,
     },
     /// More than is kept in one piece. Nothing has changed.
-    #[error("{place}: {what} of {bytes} bytes, and at most {most} are kept in one piece")]
+    #[error("{location}: {item} of {bytes} bytes, and at most {max} are kept in one piece")]
     TooLarge {
         /// Which disk.
-        place: String,
+        location: String,
         /// What was to be kept.
-        what: &'static str,
+        item: &'static str,
         /// Its size.
         bytes: usize,
         /// The bound.
-        most: usize,
+        max: usize,
     },
 }
 
@@ -92,11 +92,11 @@
                 "don't mend it: check the hardware, set this directory aside, and let this replica be replaced as a new \
                  one, which copies everything from the others"
             }
-            Self::Owner { .. } => "point this replica at its own directory, or give it an empty one",
-            Self::Newer { .. } => "start the version of the program that wrote it, or a later one",
-            Self::Busy { .. } => "end the other process first, or give this replica a directory of its own",
+            Self::WrongOwner { .. } => "point this replica at its own directory, or give it an empty one",
+            Self::NewerSchema { .. } => "start the version of the program that wrote it, or a later one",
+            Self::InUse { .. } => "end the other process first, or give this replica a directory of its own",
             Self::Io { .. } => "check that the directory exists and may be written, and the disk's health",
-            Self::Order { .. } => "this is a fault of the program: report it with its log",
+            Self::OutOfOrder { .. } => "this is a fault of the program: report it with its log",
             Self::TooLarge { .. } => "make what is kept smaller: a bound of the program was reached",
         }
     }
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -17,22 +17,22 @@
 
 /// A disk. Clones are the same disk.
 #[derive(Clone, Debug, Default)]
-pub struct Disk(Arc<Mutex<State>>);
+pub struct FaultyDisk(Arc<Mutex<State>>);
 
 /// What of the bytes that were not synced a crash leaves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Kept {
+pub enum UnsyncedWrites {
     /// None.
-    Synced,
+    Lost,
     /// All.
-    All,
+    Kept,
     /// Those before some point, in the order in which they were written, which may lie inside a write.
-    First {
+    PrefixKept {
         /// Draws the point.
         seed: u64,
     },
     /// Any, in pieces.
-    Any {
+    SubsetKept {
         /// Draws which.
         seed: u64,
     },
@@ -72,20 +72,20 @@
     FailedSync,
 }
 
-impl Disk {
+impl FaultyDisk {
     /// An empty disk with room for all.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An empty disk that remembers all changes, for [`Disk::crashed_at`].
+    /// An empty disk that remembers all changes, for [`FaultyDisk::after_crash_at`].
     pub fn recording() -> Self {
         Self::recording_from(Vec::new())
     }
 
-    /// As [`Disk::holding`], and remembers all changes from now on, for [`Disk::crashed_at`].
+    /// As [`FaultyDisk::with_contents`], and remembers all changes from now on, for [`FaultyDisk::after_crash_at`].
     pub fn recording_from(bytes: Vec<u8>) -> Self {
-        let disk = Self::holding(bytes);
+        let disk = Self::with_contents(bytes);
         let mut state = disk.state();
         (state.history, state.recorded_on) = (Some(Vec::new()), state.synced.clone());
         drop(state);
@@ -93,23 +93,23 @@
     }
 
     /// The power goes now: every further call fails.
-    pub fn cut(&self) {
+    pub fn power_off(&self) {
         self.state().off = true;
     }
 
     /// What the next start finds if the power goes, or went, now.
-    pub fn crashed(&self, kept: Kept) -> Self {
+    pub fn after_crash(&self, kept: UnsyncedWrites) -> Self {
         self.state().crashed(kept, None)
     }
 
     /// How many changes were recorded: writes, new lengths and syncs.
-    pub fn changes(&self) -> usize {
+    pub fn change_count(&self) -> usize {
         self.state().history.as_ref().map_or(0, Vec::len)
     }
 
     /// What the next start would have found if the power had gone in the midst of the recorded change with this number,
     /// counted from 0.
-    pub fn crashed_at(&self, change: usize, kept: Kept) -> Self {
+    pub fn after_crash_at(&self, change: usize, kept: UnsyncedWrites) -> Self {
         let state = self.state();
         let synced = state.recorded_on.clone();
         let mut past = State { live: synced.clone(), synced, ..State::default() };
@@ -121,17 +121,17 @@
     }
 
     /// From now on there is room for this many bytes in all, or for any number.
-    pub fn set_room(&self, bytes: Option<usize>) {
+    pub fn set_capacity(&self, bytes: Option<usize>) {
         self.state().room = bytes.map(|bytes| bytes / BLOCK);
     }
 
     /// Bytes that take room.
-    pub fn used(&self) -> usize {
+    pub fn used_bytes(&self) -> usize {
         self.state().blocks.iter().filter(|used| **used).count() * BLOCK
     }
 
     /// How many calls were made of it, reads among them.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.state().calls
     }
 
@@ -142,24 +142,24 @@
     }
 
     /// Each sync takes this long.
-    pub fn set_slow(&self, sync_takes: Duration) {
+    pub fn set_sync_delay(&self, sync_takes: Duration) {
         self.state().sync_takes = sync_takes;
     }
 
     /// Changes the bits of a byte under whoever uses it.
-    pub fn flip(&self, at: usize, bits: u8) {
+    pub fn flip_bits(&self, at: usize, bits: u8) {
         let mut state = self.state();
         state.live[at] ^= bits;
         state.synced[at] ^= bits;
     }
 
     /// Its bytes, as reads see them.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn contents(&self) -> Vec<u8> {
         self.state().live.clone()
     }
 
     /// A disk that holds these bytes, all synced.
-    pub fn holding(bytes: Vec<u8>) -> Self {
+    pub fn with_contents(bytes: Vec<u8>) -> Self {
         let blocks = vec![true; bytes.len().div_ceil(BLOCK)];
         Self(Arc::new(Mutex::new(State { live: bytes.clone(), synced: bytes, blocks, ..State::default() })))
     }
@@ -212,13 +212,13 @@
         Ok(())
     }
 
-    fn crashed(&self, kept: Kept, midst: Option<&Change>) -> Disk {
+    fn crashed(&self, kept: UnsyncedWrites, midst: Option<&Change>) -> FaultyDisk {
         let mut bytes = self.synced.clone();
         let unsynced = self.unsynced.iter();
         match kept {
-            Kept::Synced => {}
-            Kept::All => unsynced.for_each(|change| apply(&mut bytes, change)),
-            Kept::First { seed } => {
+            UnsyncedWrites::Lost => {}
+            UnsyncedWrites::Kept => unsynced.for_each(|change| apply(&mut bytes, change)),
+            UnsyncedWrites::PrefixKept { seed } => {
                 let mut draw = Draw(seed);
                 let changes: Vec<&Change> = unsynced.chain(midst).collect();
                 let point = draw.below(changes.len() + 1);
@@ -228,7 +228,7 @@
                     apply(&mut bytes, &Change::Write { offset: *offset, data: data[..whole].to_vec() });
                 }
             }
-            Kept::Any { seed } => {
+            UnsyncedWrites::SubsetKept { seed } => {
                 let mut draw = Draw(seed);
                 for change in unsynced.chain(midst) {
                     match change {
@@ -246,7 +246,7 @@
                 }
             }
         }
-        Disk::holding(bytes)
+        FaultyDisk::with_contents(bytes)
     }
 }
 
@@ -277,7 +277,7 @@
     }
 }
 
-impl StorageBackend for Disk {
+impl StorageBackend for FaultyDisk {
     fn len(&self) -> io::Result<u64> {
         Ok(self.call()?.live.len() as u64)
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -18,17 +18,17 @@
 //! Rejected: files of our own with a log format of our own, which would have to earn by years of faults the trust
 //! that the library has; and the snapshot as one value, which would need megabytes of pages in one row.
 
-mod disk;
+mod database;
 mod error;
 pub mod faults;
 mod frame;
 
-pub use disk::{Entry, Owner, Snapshot, Store};
+pub use database::{Entry, Owner, Snapshot, Store};
 pub use error::StoreError;
 
 /// The newest layout of the tables that this program knows.
-pub const SCHEMA: u64 = 1;
+pub const SCHEMA_VERSION: u64 = 1;
 /// The most bytes of one entry or record.
-pub const VALUE_MOST: usize = 16 << 20;
+pub const MAX_VALUE_BYTES: usize = 16 << 20;
 /// The most bytes of a snapshot.
-pub const SNAPSHOT_MOST: usize = 256 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 256 << 20;
--- a/crates/store/tests/faults/crash.rs
+++ b/crates/store/tests/faults/crash.rs
@@ -1,26 +1,26 @@
 //! Crashes, full disks and failing calls at every point of a script.
 
 use crate::model::{owner, script, Call, Model};
-use store::faults::{Disk, Kept};
+use store::faults::{FaultyDisk, UnsyncedWrites};
 use store::{Store, StoreError};
 
 /// What a crash may leave, in some draws.
-fn kept() -> Vec<Kept> {
-    let mut kept = vec![Kept::Synced, Kept::All];
-    kept.extend((0..3).map(|seed| Kept::First { seed }));
-    kept.extend((0..3).map(|seed| Kept::Any { seed }));
+fn kept() -> Vec<UnsyncedWrites> {
+    let mut kept = vec![UnsyncedWrites::Lost, UnsyncedWrites::Kept];
+    kept.extend((0..3).map(|seed| UnsyncedWrites::PrefixKept { seed }));
+    kept.extend((0..3).map(|seed| UnsyncedWrites::SubsetKept { seed }));
     kept
 }
 
 /// The model after each call of the script, and how many changes the disk had seen when it returned.
-fn recorded(disk: &Disk) -> Vec<(usize, Model)> {
+fn recorded(disk: &FaultyDisk) -> Vec<(usize, Model)> {
     let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
     let mut model = Model::default();
-    let mut acknowledged = vec![(disk.changes(), model.clone())];
+    let mut acknowledged = vec![(disk.change_count(), model.clone())];
     for call in script() {
         model.call(&store, &call).expect("nothing fails");
         model = model.after(&call);
-        acknowledged.push((disk.changes(), model.clone()));
+        acknowledged.push((disk.change_count(), model.clone()));
     }
     drop(store);
     acknowledged
@@ -38,12 +38,12 @@
 
 #[test]
 fn a_crash_at_any_point_leaves_what_was_acknowledged_and_nothing_half() {
-    let disk = Disk::recording();
+    let disk = FaultyDisk::recording();
     let acknowledged = recorded(&disk);
     let mut crashes = 0;
-    for change in 0..=disk.changes() {
+    for change in 0..=disk.change_count() {
         for kept in kept() {
-            let found = disk.crashed_at(change, kept);
+            let found = disk.after_crash_at(change, kept);
             let store = Store::open_on(found, &owner()).unwrap_or_else(|error| {
                 panic!("crash at change {change}, {kept:?} kept: {error}");
             });
@@ -53,21 +53,21 @@
             crashes += 1;
         }
     }
-    println!("{crashes} crashes at {} points", disk.changes());
+    println!("{crashes} crashes at {} points", disk.change_count());
 }
 
 #[test]
 fn a_crash_while_opening_after_a_crash_changes_nothing() {
-    let disk = Disk::recording();
+    let disk = FaultyDisk::recording();
     let acknowledged = recorded(&disk);
     let mut crashes = 0;
-    for change in (0..disk.changes()).step_by(4) {
-        let first = disk.crashed_at(change, Kept::Any { seed: change as u64 });
-        let image = first.bytes();
-        let opening = Disk::recording_from(image);
+    for change in (0..disk.change_count()).step_by(4) {
+        let first = disk.after_crash_at(change, UnsyncedWrites::SubsetKept { seed: change as u64 });
+        let image = first.contents();
+        let opening = FaultyDisk::recording_from(image);
         drop(Store::open_on(opening.clone(), &owner()).expect("opened"));
-        for again in 0..opening.changes() {
-            let found = opening.crashed_at(again, Kept::Any { seed: again as u64 });
+        for again in 0..opening.change_count() {
+            let found = opening.after_crash_at(again, UnsyncedWrites::SubsetKept { seed: again as u64 });
             let store = Store::open_on(found, &owner()).unwrap_or_else(|error| {
                 panic!("crash at change {change}, then at {again} of opening: {error}");
             });
@@ -105,13 +105,13 @@
 #[test]
 fn one_failing_call_at_any_point_is_told_and_loses_nothing() {
     let calls = {
-        let disk = Disk::new();
+        let disk = FaultyDisk::new();
         recorded(&disk);
-        disk.calls()
+        disk.call_count()
     };
     let mut told = 0;
     for failing in 0..calls {
-        let disk = Disk::new();
+        let disk = FaultyDisk::new();
         disk.fail_after(failing);
         let Ok(store) = Store::open_on(disk.clone(), &owner()) else {
             Store::open_on(disk, &owner()).expect("the second time it opens");
@@ -125,8 +125,9 @@
                 told += 1;
             }
         }
-        disk.cut();
-        let store = Store::open_on(disk.crashed(Kept::Synced), &owner()).expect("opened after a crash");
+        disk.power_off();
+        let store =
+            Store::open_on(disk.after_crash(UnsyncedWrites::Lost), &owner()).expect("opened after a crash");
         assert!(model.is_in(&store).expect("whole"), "call {failing} failed");
     }
     println!("{told} failures told in {calls} runs");
@@ -136,9 +137,9 @@
 #[test]
 fn a_full_disk_says_so_is_read_on_and_works_again_with_room() {
     for blocks in 0..60 {
-        let disk = Disk::new();
+        let disk = FaultyDisk::new();
         let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
-        disk.set_room(Some(disk.used() + blocks * 4096));
+        disk.set_capacity(Some(disk.used_bytes() + blocks * 4096));
         let mut model = Model::default();
         let filling = Call::Append(1, 5000);
         let full = loop {
@@ -155,7 +156,7 @@
         drop(store);
         let store = Store::open_on(disk.clone(), &owner()).expect("a full disk opens");
         assert!(model.is_in(&store).expect("it can be read"), "with room for {blocks} blocks, opened anew");
-        disk.set_room(None);
+        disk.set_capacity(None);
         for call in script() {
             model.call(&store, &call).expect("there is room");
             model = model.after(&call);
--- a/crates/store/tests/faults/damage.rs
+++ b/crates/store/tests/faults/damage.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use crate::model::{owner, script, Call, Model};
-use store::faults::{Disk, Kept};
+use store::faults::{FaultyDisk, UnsyncedWrites};
 use store::{Store, StoreError};
 
 /// A disk after the script, and what is on it; closed in good order or cut off.
 fn written(closed: bool) -> (Vec<u8>, Model) {
-    let disk = Disk::new();
+    let disk = FaultyDisk::new();
     let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
     let mut model = Model::default();
     for call in script() {
@@ -16,10 +16,10 @@
         model = model.after(&call);
     }
     if !closed {
-        disk.cut();
+        disk.power_off();
     }
     drop(store);
-    (disk.crashed(Kept::Synced).bytes(), model)
+    (disk.after_crash(UnsyncedWrites::Lost).contents(), model)
 }
 
 /// What became of a damaged disk.
@@ -39,14 +39,14 @@
     match store.and_then(|store| model.is_in(&store)) {
         Ok(true) => Found::Whole,
         Ok(false) => Found::Wrong,
-        Err(StoreError::Damaged { what, .. }) if what.contains("gave up") => Found::Panicked,
+        Err(StoreError::Damaged { detail, .. }) if detail.contains("gave up") => Found::Panicked,
         Err(StoreError::Damaged { .. }) => Found::Told,
         Err(other) => panic!("damage was taken for {other}"),
     }
 }
 
 fn open(bytes: Vec<u8>) -> Result<Store, StoreError> {
-    Store::open_on(Disk::holding(bytes), &owner())
+    Store::open_on(FaultyDisk::with_contents(bytes), &owner())
 }
 
 /// Numbers that look drawn, the same for the same seed.
@@ -89,7 +89,7 @@
 }
 
 /// A disk that was called whole takes more calls, and is still whole: it does not write over what it holds.
-fn go_on(disk: &Disk, mut model: Model, seed: u64) {
+fn go_on(disk: &FaultyDisk, mut model: Model, seed: u64) {
     let store = Store::open_on(disk.clone(), &owner()).expect("it was opened before");
     for call in [Call::Append(3, 9000), Call::Put(3, 9000), Call::Append(1, 100), Call::Put(3, 5000)] {
         model.call(&store, &call).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
@@ -112,7 +112,7 @@
         for (at, bits) in places(seed, bytes.len()) {
             bytes[at] ^= bits;
         }
-        let disk = Disk::holding(bytes);
+        let disk = FaultyDisk::with_contents(bytes);
         let found = read(Store::open_on(disk.clone(), &owner()), &model);
         assert_ne!(found, Found::Wrong, "seed {seed}");
         *seen.entry(found).or_insert(0) += 1;
@@ -129,11 +129,11 @@
     let (bytes, model) = written(true);
     let mut seen = BTreeMap::new();
     for seed in 0..500 {
-        let disk = Disk::holding(bytes.clone());
+        let disk = FaultyDisk::with_contents(bytes.clone());
         let store = Store::open_on(disk.clone(), &owner()).expect("whole");
-        let length = disk.bytes().len();
+        let length = disk.contents().len();
         for (at, bits) in places(seed, length) {
-            disk.flip(at, bits);
+            disk.flip_bits(at, bits);
         }
         let found = read(Ok(store.clone()), &model);
         assert_ne!(found, Found::Wrong, "seed {seed}");
--- a/crates/store/tests/faults/model.rs
+++ b/crates/store/tests/faults/model.rs
@@ -110,7 +110,7 @@
         let snapshot = store.snapshot()?.map(|snapshot| (snapshot.meta, snapshot.data));
         Ok(log == self.log
             && store.first_index()? == first
-            && store.last()? == last
+            && store.last_entry()? == last
             && records == self.records
             && snapshot == self.snapshot)
     }
--- a/crates/store/tests/faults/properties.rs
+++ b/crates/store/tests/faults/properties.rs
@@ -3,7 +3,7 @@
 use crate::model::{owner, Call, Model};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use store::faults::Disk;
+use store::faults::FaultyDisk;
 use store::Store;
 
 fn call() -> impl Strategy<Value = Call> {
@@ -21,7 +21,7 @@
 
     #[test]
     fn the_store_is_its_model(calls in prop::collection::vec((call(), any::<bool>()), 1..40)) {
-        let disk = Disk::new();
+        let disk = FaultyDisk::new();
         let mut store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
         let mut model = Model::default();
         for (call, anew) in calls {
@@ -49,14 +49,14 @@
             model.call(store, &call).expect("nothing fails");
             *model = model.after(&call);
         }
-        greatest = greatest.max(store.size().expect("it has a length"));
+        greatest = greatest.max(store.file_size().expect("it has a length"));
     }
     greatest
 }
 
 #[test]
 fn a_long_run_takes_no_more_room_than_a_short_one() {
-    let disk = Disk::new();
+    let disk = FaultyDisk::new();
     let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
     let mut model = Model::default();
     let short = run(&store, &mut model, 500);
@@ -66,7 +66,7 @@
     let more = Call::Append(4000, 1000);
     model.call(&store, &more).expect("nothing fails");
     model = model.after(&more);
-    let grown = store.size().expect("it has a length");
+    let grown = store.file_size().expect("it has a length");
     let again = run(&store, &mut model, 300);
     println!("{grown} bytes with 4 MB of log, {again} at most after its purge");
     assert!(again <= grown, "what is purged is used again");
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -18,7 +18,7 @@
 fn what_was_kept_is_there_after_opening_anew() {
     let dir = tempfile::tempdir().expect("a directory");
     let store = Store::open(dir.path(), &owner()).expect("a new disk");
-    assert_eq!((store.first_index().expect("read"), store.last().expect("read")), (0, None));
+    assert_eq!((store.first_index().expect("read"), store.last_entry().expect("read")), (0, None));
     store.append(&[entry(1), entry(2), entry(3), entry(4)]).expect("in order");
     store.purge_to(1).expect("purged");
     store.truncate_from(4).expect("truncated");
@@ -29,7 +29,7 @@
     drop(store);
     let store = Store::open(dir.path(), &owner()).expect("the same disk");
     assert_eq!(store.entries(0..9).expect("read"), [entry(2), entry(3)]);
-    assert_eq!((store.first_index().expect("read"), store.last().expect("read")), (2, Some(entry(3))));
+    assert_eq!((store.first_index().expect("read"), store.last_entry().expect("read")), (2, Some(entry(3))));
     assert_eq!(store.get("vote").expect("read"), Some(b"two".to_vec()));
     assert_eq!(store.get("else").expect("read"), None);
     let snapshot = store.snapshot().expect("read").expect("saved");
@@ -44,16 +44,16 @@
     for wrong in [vec![entry(6)], vec![entry(8)], vec![entry(7), entry(9)], vec![entry(4)]] {
         let given = wrong.last().expect("not empty").index;
         match store.append(&wrong) {
-            Err(StoreError::Order { given: told, .. }) => assert_eq!(told, given),
+            Err(StoreError::OutOfOrder { actual: told, .. }) => assert_eq!(told, given),
             other => panic!("{wrong:?} gave {other:?}"),
         }
     }
     assert_eq!(indices(&store), [5, 6]);
     store.truncate_from(5).expect("emptied");
-    assert!(matches!(store.append(&[entry(9)]), Err(StoreError::Order { expected: 5, .. })));
+    assert!(matches!(store.append(&[entry(9)]), Err(StoreError::OutOfOrder { expected: 5, .. })));
     store.append(&[entry(5)]).expect("goes on where it was cut");
     store.purge_to(10).expect("purged past its end, as a snapshot from others does");
-    assert!(matches!(store.append(&[entry(6)]), Err(StoreError::Order { expected: 11, .. })));
+    assert!(matches!(store.append(&[entry(6)]), Err(StoreError::OutOfOrder { expected: 11, .. })));
     assert_eq!(store.first_index().expect("read"), 11);
     store.append(&[entry(11)]).expect("goes on behind the snapshot");
     assert_eq!(indices(&store), [11]);
@@ -64,7 +64,7 @@
     let dir = tempfile::tempdir().expect("a directory");
     let store = Store::open(dir.path(), &owner()).expect("a new disk");
     let busy = Store::open(dir.path(), &owner()).expect_err("it is open");
-    assert!(matches!(busy, StoreError::Busy { .. }), "{busy}");
+    assert!(matches!(busy, StoreError::InUse { .. }), "{busy}");
     drop(store);
     let other = Owner { cluster: "north".to_owned(), replica: 3 };
     let refused = Store::open(dir.path(), &other).expect_err("replica 2's");
@@ -73,7 +73,7 @@
         "{refused}"
     );
     let other = Owner { cluster: "south".to_owned(), replica: 2 };
-    assert!(matches!(Store::open(dir.path(), &other), Err(StoreError::Owner { .. })));
+    assert!(matches!(Store::open(dir.path(), &other), Err(StoreError::WrongOwner { .. })));
     Store::open(dir.path(), &owner()).expect("still its owner's");
 }
 
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -273,7 +273,7 @@
     let fields: Fields = read(file, &env)?;
     let missing = |field| ConfigError::Missing { field };
     let limits = fields.limits.unwrap_or_default();
-    let known = fields.known.map(Update::checked).transpose();
+    let known = fields.known.map(Update::validated).transpose();
     let Address(listen) = fields.listen.ok_or(missing("listen"))?;
     let discovery = service(fields.discovery)?;
     let Hex(seed) = fields.seed.ok_or(missing("seed"))?;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -16,8 +16,8 @@
 /// Asks for a path, on a connection of its own that ends with the call.
 pub async fn call(node: Rc<Node>, id: CallId, path: String) {
     match answer(&node, id, &path).await {
-        Ok(()) => node.discover(Event::Ended(id)),
-        Err(error) => node.discover(Event::Broke(id, &error.to_string())),
+        Ok(()) => node.discover(Event::ResponseEnded(id)),
+        Err(error) => node.discover(Event::CallFailed(id, &error.to_string())),
     }
 }
 
@@ -33,10 +33,10 @@
     let request = Request::get(path).header("host", to.to_string()).body(Empty::<Bytes>::new())?;
     node.discover(Event::Connected(id));
     let mut answer = send.send_request(request).await?;
-    node.discover(Event::Head(id, answer.status().as_u16()));
+    node.discover(Event::ResponseHead(id, answer.status().as_u16()));
     while let Some(frame) = answer.frame().await {
         if let Ok(data) = frame?.into_data() {
-            node.discover(Event::Bytes(id, &data));
+            node.discover(Event::ResponseBytes(id, &data));
         }
     }
     Ok(())
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use endpoints::{Action as Do, CallId, Follower, Health, Mode, Ms, Update};
+use endpoints::{Action as ListAction, CallId, DeliveryMode, Health, ListWatcher, Ms, Update};
 use hyper::StatusCode;
 use member::votes::{Ballot, Verdicts, Votes};
 use member::Epoch;
@@ -148,7 +148,7 @@
     timer: Option<Instant>,
     hosts: HashMap<ServerId, Host>,
     bans: Bans,
-    follower: Follower,
+    follower: ListWatcher,
     /// The calls to discovery that are out.
     calls: BTreeMap<CallId, AbortHandle>,
     /// The servers that the agreed policy takes out, by name.
@@ -215,8 +215,8 @@
         // What is saved is all that there was, whatever form it says that it has.
         let known = config.known.take().map(|saved| Update { whole: true, ..saved });
         let mode = match config.told.settings.discovery {
-            Discovery::Pushed => Mode::Pushed,
-            Discovery::Asked => Mode::Asked,
+            Discovery::Pushed => DeliveryMode::Push,
+            Discovery::Asked => DeliveryMode::OnDemand,
         };
         let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
         let cold = span(config.told.settings.rules.warm_within);
@@ -229,7 +229,7 @@
             timer: None,
             hosts: HashMap::new(),
             bans: Bans::new(folder, &config.name, cold),
-            follower: Follower::new(mode, known.as_ref(), 0),
+            follower: ListWatcher::new(mode, known.as_ref(), 0),
             calls: BTreeMap::new(),
             policy_bans: BTreeSet::new(),
             word: None,
@@ -264,7 +264,8 @@
         loop {
             let (module, list) = {
                 let state = self.state.borrow();
-                let list = state.follower.next().map(|at| self.clock.start + Duration::from_millis(at));
+                let list =
+                    state.follower.next_deadline().map(|at| self.clock.start + Duration::from_millis(at));
                 (state.timer, list)
             };
             let Some(due) = module.into_iter().chain(list).min() else {
@@ -576,7 +577,7 @@
     pub fn status(&self) -> String {
         let (connections, state) = (self.pool.held(), self.state.borrow());
         let version = state.follower.version();
-        let heard = state.follower.heard().map_or("never heard".into(), |at| {
+        let heard = state.follower.last_received().map_or("never heard".into(), |at| {
             format!("heard {:.1} s ago", self.clock.ms().saturating_sub(at) as f64 / 1000.0)
         });
         let policy = match self.admit() {
@@ -679,7 +680,7 @@
             Action::Refuse { id, stay_away } => self.answer(id, Answer::Refused(stay_away)),
             Action::Fail(id) => self.answer(id, Answer::Failed),
             Action::SetTimer(after) => self.set_timer(after),
-            Action::Subscribe => self.discover(endpoints::Event::Ask),
+            Action::Subscribe => self.discover(endpoints::Event::RefreshRequested),
             Action::Probe(server) => self.hands.probe(self.clone(), server),
         }
     }
@@ -735,37 +736,37 @@
     pub fn discover(self: &Rc<Self>, event: endpoints::Event<'_>) {
         let actions = {
             let state = &mut *self.state.borrow_mut();
-            if let endpoints::Event::Ended(id) | endpoints::Event::Broke(id, _) = event {
+            if let endpoints::Event::ResponseEnded(id) | endpoints::Event::CallFailed(id, _) = event {
                 state.calls.remove(&id);
             }
-            let due = state.follower.next();
+            let due = state.follower.next_deadline();
             let actions = state.follower.handle(self.clock.ms(), event);
-            if state.follower.next().is_some_and(|at| due.is_none_or(|due| at < due)) {
+            if state.follower.next_deadline().is_some_and(|at| due.is_none_or(|due| at < due)) {
                 self.rearmed.notify_one();
             }
             actions
         };
         for action in actions {
             match action {
-                Do::Call(id, path) => {
+                ListAction::StartCall(id, path) => {
                     let call = self.hands.call(self.clone(), id, path);
                     self.state.borrow_mut().calls.insert(id, call);
                 }
-                Do::Drop(id) => {
+                ListAction::CancelCall(id) => {
                     if let Some(call) = self.state.borrow_mut().calls.remove(&id) {
                         call.abort();
                     }
                 }
-                Do::Take(update) => {
+                ListAction::ApplyUpdate(update) => {
                     let whole = update.whole;
                     self.take_list(update, false);
                     self.inform(whole);
                 }
-                Do::Alive => {
+                ListAction::NoChanges => {
                     self.inform(false);
                     self.feed(Event::ListChange(Vec::new()));
                 }
-                Do::Failed(why) => {
+                ListAction::ReportFailure(why) => {
                     log::trouble(|| format!("discovery: {why}"));
                     self.feed(Event::ListFailed);
                 }
@@ -784,7 +785,7 @@
     pub fn move_discovery(self: &Rc<Self>, to: SocketAddr) {
         let from = self.discovery.replace(to);
         log::line(format!("discovery: {} {to}", if from == to { "asked anew at" } else { "moved to" }));
-        self.discover(endpoints::Event::Moved);
+        self.discover(endpoints::Event::ServiceMoved);
     }
 
     fn take_list(self: &Rc<Self>, update: Update, saved: bool) {
--- a/src/net/replica.rs
+++ b/src/net/replica.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use endpoints::Lines;
+use endpoints::MessageSplitter;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -180,7 +180,7 @@
 pub struct Watch {
     line: Line,
     body: Incoming,
-    lines: Lines,
+    lines: MessageSplitter,
 }
 
 impl Watch {
@@ -198,7 +198,7 @@
         if answer.status() != StatusCode::OK {
             return Err(timeout(PATIENCE, line.refused(answer)).await.unwrap_or(CallError::Silent { at }));
         }
-        Ok(Self { line, body: answer.into_body(), lines: Lines::default() })
+        Ok(Self { line, body: answer.into_body(), lines: MessageSplitter::default() })
     }
 
     /// The next news; `None` where the watch has ended in order.
