--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -229,8 +229,8 @@
             }
             Out::Reply { attempt, reply } => {
                 let outcome = match reply {
-                    Reply::Served => Outcome::Done,
-                    Reply::TurnedAway => Outcome::Full,
+                    Reply::Served => Outcome::Success,
+                    Reply::TurnedAway => Outcome::Rejected,
                     Reply::Error => Outcome::Error,
                     Reply::Garbled | Reply::Reset => Outcome::Reset,
                 };
@@ -453,7 +453,7 @@
         ballots.sort_by_key(|ballot| (ballot.stand, std::cmp::Reverse(ballot.evidence.failed())));
         ballots.truncate(BALLOTS_MOST);
         let zone = Some(draw.zones[self.world.node_zone(node)].clone());
-        let votes = Votes { zone, up: self.world.up(), doubts: own.doubts, ballots };
+        let votes = Votes { zone, up: self.world.up(), doubts: own.self_doubt, ballots };
         let echo = n.answer.as_ref().map(|(stamp, _)| *stamp);
         let Some(answer) = group.beat(self.now, process(node, self.lives[node]), echo, votes) else { return };
         n.answer = Some(answer);
--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -5,9 +5,10 @@
 use endpoints::{Book, Health, Update};
 use member::Stamp;
 use serde_json::Value;
-use tulipmount::wire::{told, Told};
+use tulipmount::wire::{parse_settings, NodeSettings};
 use tulipmount::{
-    Action, Balancer, Ballots, Entry, Event, Listed, Outcome, RequestId, Ruling, ServerId, Status,
+    Action, Balancer, BallotReport, Entry, Event, Outcome, RequestId, ServerId, ServerState, ServerVerdict,
+    Status,
 };
 
 use crate::draw::ms;
@@ -75,7 +76,7 @@
 
 /// A node.
 pub struct Node {
-    told: Told,
+    told: NodeSettings,
     balancer: Balancer,
     requests: BTreeMap<RequestId, Open>,
     /// Kept connections by server, each with its life and since when it has been idle.
@@ -107,7 +108,7 @@
     /// # Errors
     /// Where the settings are refused.
     pub fn new(settings: &Value, seed: u64, zones: &[String]) -> Result<Self, ModelError> {
-        let told = told(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
+        let told = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
         let balancer =
             Balancer::new(told.settings.clone(), seed).map_err(|e| ModelError::Settings(e.to_string()))?;
         Ok(Self {
@@ -188,8 +189,8 @@
                             events.push_back(ended);
                         }
                     }
-                    Action::Refuse { id, stay_away } => {
-                        let after = (stay_away > 0.0).then(|| ms(stay_away));
+                    Action::Refuse { id, retry_after } => {
+                        let after = (retry_after > 0.0).then(|| ms(retry_after));
                         wants.extend(self.answer(id, 503, after, None));
                     }
                     Action::Fail(id) => wants.extend(self.answer(id, 502, None, None)),
@@ -235,7 +236,14 @@
         finished: bool,
     ) -> Option<Event> {
         let out = self.requests.get(&id)?.tries.get(attempt)?;
-        Some(Event::Ended { id, attempt, server: out.id, outcome, took: millis(now - out.sent), finished })
+        Some(Event::AttemptEnded {
+            id,
+            attempt,
+            server: out.id,
+            outcome,
+            elapsed: millis(now - out.sent),
+            answered: finished,
+        })
     }
 
     /// A client's request.
@@ -252,9 +260,9 @@
                 class: asked.class,
                 tenant: None,
                 deadline,
-                coming: false,
-                again: asked.again,
-                work: Some(asked.guess / 1e3),
+                streaming_body: false,
+                is_retry: asked.again,
+                estimated_work: Some(asked.guess / 1e3),
             },
         )
     }
@@ -287,7 +295,7 @@
 
     /// An attempt ended, if it was still out.
     pub fn ended(&mut self, now: Us, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Want> {
-        if matches!(outcome, Outcome::Done | Outcome::Full | Outcome::Error) {
+        if matches!(outcome, Outcome::Success | Outcome::Rejected | Outcome::Error) {
             return self.heard(now, id, attempt, outcome);
         }
         let Some((closed, ended)) = self.close(now, id, attempt, outcome) else { return Vec::new() };
@@ -305,7 +313,7 @@
         let mut wants = Vec::new();
         if let Some((number, (server, life))) = written {
             self.idle.entry(server).or_default().push((life, now));
-            if outcome == Outcome::Done {
+            if outcome == Outcome::Success {
                 wants.extend(self.answer(id, 200, None, Some(number)));
             }
         }
@@ -319,7 +327,7 @@
     // ---- The control group ----
 
     /// What it holds of its servers, by their numbers.
-    pub fn ballots(&self) -> (Ballots, &BTreeMap<ServerId, usize>) {
+    pub fn ballots(&self) -> (BallotReport, &BTreeMap<ServerId, usize>) {
         (self.balancer.ballots(), &self.servers)
     }
 
@@ -328,14 +336,14 @@
     /// # Errors
     /// Where the settings are refused.
     pub fn agreed(&mut self, now: Us, settings: &Value) -> Result<Vec<Want>, ModelError> {
-        self.told = told(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
+        self.told = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
         let settings = self.told.settings.clone();
         Ok(self.feed(now, Event::Policy(Box::new(settings))))
     }
 
     /// The group's word: servers that are removed for this node, and whether it probes them.
     pub fn ruled<'a>(&mut self, now: Us, of: impl Iterator<Item = (&'a str, bool)>) -> Vec<Want> {
-        let rulings = of.map(|(name, probe)| Ruling { server: number(name), probe }).collect();
+        let rulings = of.map(|(name, probe)| ServerVerdict { server: number(name), probe }).collect();
         self.feed(now, Event::Verdicts(rulings))
     }
 
@@ -420,16 +428,16 @@
         let entries = update.hosts.iter().map(|host| {
             let server = number(&host.host);
             let state = match host.health {
-                Health::Active => Listed::Up,
-                Health::Leaving => Listed::Draining,
-                Health::Left => Listed::Gone,
+                Health::Active => ServerState::Up,
+                Health::Leaving => ServerState::Draining,
+                Health::Left => ServerState::Gone,
             };
             if let Some(dial) = host.dial {
                 self.servers.insert(server, usize::from(dial.port()) - 1);
             }
             let zone = self.zones.iter().position(|z| *z == host.zone).unwrap_or(0) as u64;
             let started = (host.born_ms > 0.0).then_some(host.born_ms);
-            Entry { server, zone, cell: host.cell, kind: 0, state, weight: host.weight, started }
+            Entry { server, zone, cell: host.cell, kind: 0, state, weight: host.weight, started_at: started }
         });
         let entries = entries.collect();
         self.feed(now, if update.whole { Event::List { entries, saved } } else { Event::ListChange(entries) })
--- a/crates/stoneshift/src/model.rs
+++ b/crates/stoneshift/src/model.rs
@@ -105,10 +105,10 @@
         mean(|s| s.servers as f64),
         mean(|s| s.cold as f64),
         mean(|s| s.ejected as f64),
-        mean(|s| s.out as f64),
-        mean(|s| s.held as f64),
-        mean(|s| s.limits),
-        mean(|s| s.fleet),
+        mean(|s| s.in_flight as f64),
+        mean(|s| s.queued as f64),
+        mean(|s| s.total_limit),
+        mean(|s| s.fleet_factor),
     );
 }
 
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -4,45 +4,45 @@
 
 fn settings() -> Settings {
     Settings {
-        number: 0,
-        nodes: 1,
+        node_index: 0,
+        node_count: 1,
         classes: vec![Class {
-            aim: 100.0,
+            slo: 100.0,
             deadline: 500.0,
             worth: 1.0,
             late_worth: 0.0,
-            effect: Effect::Unsafe,
+            idempotency: Idempotency::Unsafe,
         }],
         tenants: Vec::new(),
-        over_share_worth: 1.0,
+        over_quota_worth: 1.0,
         goal: Goal { worth: 1.0, ..Goal::default() },
         limits: Limits {
-            attempts: 3,
-            second_copies: false,
+            max_attempts: 3,
+            hedging: false,
             cancel: true,
             probes: true,
             connect_timeout: 50.0,
             max_retry_after: 1000.0,
         },
-        retry: Retry::default(),
+        retry_budget: RetryBudget::default(),
         ejection: Ejection::default(),
         votes: None,
         server_weights: Default::default(),
         rules: Rules {
-            ask_within: 10_000.0,
-            cold_share: 0.2,
-            warm_within: 20_000.0,
-            fall_multiple: 3.0,
-            fall_window: 1_000.0,
+            discovery_deadline: 10_000.0,
+            cold_capacity: 0.2,
+            warmup_time: 20_000.0,
+            overload_multiple: 3.0,
+            overload_window: 1_000.0,
         },
         discovery: Discovery::Pushed,
-        weights: Weights::Listed,
+        weights: Weights::Static,
         tick: 1.0,
     }
 }
 
-fn entry(id: u64, state: Listed) -> Entry {
-    Entry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started: None }
+fn entry(id: u64, state: ServerState) -> Entry {
+    Entry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started_at: None }
 }
 
 /// Hands over one event and prints what is to be done; gives the server of a send.
@@ -56,12 +56,12 @@
 }
 
 fn ended(id: RequestId, attempt: usize, server: ServerId, outcome: Outcome) -> Event {
-    Event::Ended { id, attempt, server, outcome, took: 12.0, finished: outcome == Outcome::Done }
+    Event::AttemptEnded { id, attempt, server, outcome, elapsed: 12.0, answered: outcome == Outcome::Success }
 }
 
 fn main() -> Result<(), SettingsError> {
     let mut balancer = Balancer::new(settings(), 42)?;
-    let entries = (1..=3).map(|id| entry(id, Listed::Up)).collect();
+    let entries = (1..=3).map(|id| entry(id, ServerState::Up)).collect();
     tell(&mut balancer, 0.0, Event::List { entries, saved: false });
 
     let ask = |id, now| Event::Request {
@@ -69,25 +69,25 @@
         class: 0,
         tenant: None,
         deadline: now + 500.0,
-        coming: false,
-        again: false,
-        work: None,
+        streaming_body: false,
+        is_retry: false,
+        estimated_work: None,
     };
     let first = RequestId(1);
     let server = tell(&mut balancer, 10.0, ask(first, 10.0)).expect("three servers are ready");
-    tell(&mut balancer, 22.0, ended(first, 0, server, Outcome::Done));
+    tell(&mut balancer, 22.0, ended(first, 0, server, Outcome::Success));
 
     // The second request is refused a connection: it never ran, so it goes to the next turn.
     let second = RequestId(2);
     let server = tell(&mut balancer, 30.0, ask(second, 30.0)).expect("three servers are ready");
     let server = tell(&mut balancer, 42.0, ended(second, 0, server, Outcome::ConnectFailed)).expect("resent");
-    tell(&mut balancer, 54.0, ended(second, 1, server, Outcome::Done));
+    tell(&mut balancer, 54.0, ended(second, 1, server, Outcome::Success));
 
     // Server 1 drains: the third goes past it.
-    tell(&mut balancer, 60.0, Event::ListChange(vec![entry(1, Listed::Draining)]));
+    tell(&mut balancer, 60.0, Event::ListChange(vec![entry(1, ServerState::Draining)]));
     let third = RequestId(3);
     let server = tell(&mut balancer, 70.0, ask(third, 70.0)).expect("two servers are left");
     assert_eq!(server, ServerId(2));
-    tell(&mut balancer, 82.0, ended(third, 0, server, Outcome::Done));
+    tell(&mut balancer, 82.0, ended(third, 0, server, Outcome::Success));
     Ok(())
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -18,7 +18,7 @@
 
 /// Which servers drop the repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -29,15 +29,15 @@
 
 /// May a request run again?
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Any number of times.
     Safe,
-    /// Repeats are dropped by the servers of one group, for `memory` after the first send.
+    /// Repeats are dropped by the servers of one group, for `dedup_window` after the first send.
     Keyed {
         /// The servers that know of each other's work.
-        group: Group,
+        scope: DedupScope,
         /// How long they remember it.
-        memory: Millis,
+        dedup_window: Millis,
     },
     /// Never.
     Unsafe,
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time has its full worth.
-    pub aim: Millis,
+    pub slo: Millis,
     /// How long a client waits in all, over its repeats too; infinite where that is not told.
     pub deadline: Millis,
     /// Worth of an answer in time.
@@ -55,7 +55,7 @@
     /// Part of the worth that a later answer still has.
     pub late_worth: f64,
     /// May it run again?
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// A tenant and its share of the service.
@@ -80,9 +80,9 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Attempts for one request.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// Two attempts of a request may be out at the same time.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Servers may be probed.
@@ -95,16 +95,16 @@
 
 /// How much may be tried again.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Retry {
+pub struct RetryBudget {
     /// Further attempts that may have cost work, as a part of the first ones.
-    pub share: f64,
+    pub ratio: f64,
     /// The most of them that may be saved up.
-    pub most: f64,
+    pub max: f64,
 }
 
-impl Default for Retry {
+impl Default for RetryBudget {
     fn default() -> Self {
-        Self { share: 0.1, most: 10.0 }
+        Self { ratio: 0.1, max: 10.0 }
     }
 }
 
@@ -112,50 +112,50 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ejection {
     /// Consecutive failures that make a server an outlier, where a single one proves nothing.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// The most of the fleet that time-outs may eject, from 0 to 1: beyond it, the fault is likelier the
     /// work's or the fleet's.
-    pub at_most: f64,
+    pub max_fraction: f64,
 }
 
 impl Default for Ejection {
     fn default() -> Self {
-        Self { failures: 3, at_most: 0.5 }
+        Self { consecutive_failures: 3, max_fraction: 0.5 }
     }
 }
 
 /// Votes before a server is removed: while the group's word is fresh, what would else eject a server makes it a
 /// suspect of this node, and only what the group rules takes it out of the turns.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Votes {
+pub struct VoteSettings {
     /// Evidence counts that is no older.
-    pub window: Millis,
+    pub evidence_window: Millis,
     /// Attempts within the window that a ballot needs.
-    pub attempts: u32,
+    pub min_attempts: u32,
     /// Failed part of them from which on the ballot is for the removal, from 0 to 1.
-    pub failed: f64,
+    pub failure_threshold: f64,
     /// A node that is for the removal of a larger part of the servers that it has evidence on doubts itself, from
     /// 0 to 1; a single one is no cause to doubt.
-    pub doubt: f64,
+    pub self_doubt_threshold: f64,
     /// How long a suspect gets nothing.
-    pub aside: Millis,
+    pub suspect_pause: Millis,
     /// Part of its turns that it gets after that, and that a server gets that is probed; above 0, up to 1.
-    pub trickle: f64,
+    pub trickle_share: f64,
     /// How old the group's newest word may be. After that rulings lapse one by one over the same time again, and
     /// the node ejects by its own evidence.
-    pub word: Millis,
+    pub contact_timeout: Millis,
 }
 
-impl Votes {
+impl VoteSettings {
     /// The number of the half of a window that a time falls into.
     pub(crate) fn half(&self, at: Millis) -> i64 {
-        (2.0 * at / self.window).floor() as i64
+        (2.0 * at / self.evidence_window).floor() as i64
     }
 }
 
 /// What the group has ruled of a server: it gets nothing new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ruling {
+pub struct ServerVerdict {
     /// The server.
     pub server: ServerId,
     /// But a little of what may be repeated, from this node, to see how it does.
@@ -166,15 +166,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// Where the list is asked for: the longest a node may leave off asking.
-    pub ask_within: Millis,
+    pub discovery_deadline: Millis,
     /// Part of its capacity that a started server has at least.
-    pub cold_share: f64,
+    pub cold_capacity: f64,
     /// When it has all of it at the latest.
-    pub warm_within: Millis,
+    pub warmup_time: Millis,
     /// A cold server falls over when sent more than this many times its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_window: Millis,
+    pub overload_window: Millis,
 }
 
 /// How news of the servers arrives.
@@ -183,7 +183,7 @@
     /// By itself.
     Pushed,
     /// Once the node has subscribed or asked.
-    Asked,
+    Subscribed,
 }
 
 /// What the listed weights stand for.
@@ -192,7 +192,7 @@
     /// Nothing.
     None,
     /// The size of the server, exact or nearly so.
-    Listed,
+    Static,
     /// Size divided by one more than the requests a core held a while ago.
     Live,
 }
@@ -201,25 +201,25 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Its own number, from 0.
-    pub number: usize,
+    pub node_index: usize,
     /// How many nodes there are.
-    pub nodes: usize,
+    pub node_count: usize,
     /// The request classes; events name them by their index.
     pub classes: Vec<Class>,
     /// The tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a part of its class's.
-    pub over_share_worth: f64,
+    pub over_quota_worth: f64,
     /// What counts how much.
     pub goal: Goal,
     /// What is permitted.
     pub limits: Limits,
     /// How much is tried again.
-    pub retry: Retry,
+    pub retry_budget: RetryBudget,
     /// When a server is left out.
     pub ejection: Ejection,
     /// Votes on that; `None`: each node acts on its own evidence alone.
-    pub votes: Option<Votes>,
+    pub votes: Option<VoteSettings>,
     /// The operators' factors to the sizes of single servers, listed or not; 1 where there is none.
     pub server_weights: BTreeMap<ServerId, f64>,
     /// The figures of the four rules.
@@ -233,7 +233,7 @@
 }
 
 /// The least and the most factor to a server's size.
-pub const SERVER_WEIGHTS: std::ops::RangeInclusive<f64> = 0.01..=100.0;
+pub const SERVER_WEIGHT_RANGE: std::ops::RangeInclusive<f64> = 0.01..=100.0;
 
 /// Why settings were refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -253,63 +253,70 @@
     /// # Errors
     /// Names the first field that does not, and its bound: no classes, a time or amount that is negative or
     /// not finite, an own number not below the count of nodes, a share outside 0 to 1, a server's factor
-    /// outside [`SERVER_WEIGHTS`].
+    /// outside [`SERVER_WEIGHT_RANGE`].
     pub fn check(&self) -> Result<(), SettingsError> {
         let fail = |what: String| Err(SettingsError(what));
         if self.classes.is_empty() {
             return fail("classes: no classes, one is needed at least".into());
         }
-        if self.number >= self.nodes {
-            return fail("number: own number must be below the count of nodes".into());
+        if self.node_index >= self.node_count {
+            return fail("node_index: must be below node_count".into());
         }
-        if self.limits.attempts == 0 {
-            return fail("limits.attempts: no attempts allowed, one is needed at least".into());
+        if self.limits.max_attempts == 0 {
+            return fail("limits.max_attempts: no attempts allowed, one is needed at least".into());
         }
         let (l, r, g) = (&self.limits, &self.rules, &self.goal);
         let mut amounts = vec![
             ("limits.connect_timeout".to_string(), l.connect_timeout),
             ("limits.max_retry_after".into(), l.max_retry_after),
-            ("rules.ask_within".into(), r.ask_within),
-            ("rules.warm_within".into(), r.warm_within),
-            ("rules.fall_multiple".into(), r.fall_multiple),
-            ("rules.fall_window".into(), r.fall_window),
+            ("rules.discovery_deadline".into(), r.discovery_deadline),
+            ("rules.warmup_time".into(), r.warmup_time),
+            ("rules.overload_multiple".into(), r.overload_multiple),
+            ("rules.overload_window".into(), r.overload_window),
             ("tick".into(), self.tick),
-            ("retry.most".into(), self.retry.most),
+            ("retry_budget.max".into(), self.retry_budget.max),
             ("goal.worth".into(), g.worth),
             ("goal.worst_class".into(), g.worst_class),
             ("goal.worst_tenant".into(), g.worst_tenant),
         ];
         let mut shares = vec![
-            ("rules.cold_share".to_string(), r.cold_share),
-            ("over_share_worth".into(), self.over_share_worth),
-            ("retry.share".into(), self.retry.share),
-            ("ejection.at_most".into(), self.ejection.at_most),
+            ("rules.cold_capacity".to_string(), r.cold_capacity),
+            ("over_quota_worth".into(), self.over_quota_worth),
+            ("retry_budget.ratio".into(), self.retry_budget.ratio),
+            ("ejection.max_fraction".into(), self.ejection.max_fraction),
         ];
         if let Some(v) = &self.votes {
-            amounts.extend([("votes.window".into(), v.window), ("votes.aside".into(), v.aside)]);
-            amounts.push(("votes.word".into(), v.word));
-            shares.extend([("votes.failed".into(), v.failed), ("votes.doubt".into(), v.doubt)]);
-            shares.push(("votes.trickle".into(), v.trickle));
-            if v.trickle <= 0.0 || v.window <= 0.0 {
-                return fail("votes: trickle and window must be above 0".into());
+            amounts.extend([
+                ("votes.evidence_window".into(), v.evidence_window),
+                ("votes.suspect_pause".into(), v.suspect_pause),
+            ]);
+            amounts.push(("votes.contact_timeout".into(), v.contact_timeout));
+            shares.extend([
+                ("votes.failure_threshold".into(), v.failure_threshold),
+                ("votes.self_doubt_threshold".into(), v.self_doubt_threshold),
+            ]);
+            shares.push(("votes.trickle_share".into(), v.trickle_share));
+            if v.trickle_share <= 0.0 || v.evidence_window <= 0.0 {
+                return fail("votes: trickle_share and evidence_window must be above 0".into());
             }
         }
-        if self.ejection.failures == 0 {
-            return fail("ejection.failures: none, one is needed at least".into());
+        if self.ejection.consecutive_failures == 0 {
+            return fail("ejection.consecutive_failures: none, one is needed at least".into());
         }
-        if let Some((server, factor)) = self.server_weights.iter().find(|(_, w)| !SERVER_WEIGHTS.contains(w))
+        if let Some((server, factor)) =
+            self.server_weights.iter().find(|(_, w)| !SERVER_WEIGHT_RANGE.contains(w))
         {
-            let (least, most) = SERVER_WEIGHTS.into_inner();
+            let (least, most) = SERVER_WEIGHT_RANGE.into_inner();
             return fail(format!("server_weights[{}]: {factor} is outside {least} to {most}", server.0));
         }
         for (n, class) in self.classes.iter().enumerate() {
-            amounts.push((format!("classes[{n}].aim"), class.aim));
+            amounts.push((format!("classes[{n}].slo"), class.slo));
             amounts.push((format!("classes[{n}].worth"), class.worth));
-            if let Effect::Keyed { memory, .. } = class.effect {
-                amounts.push((format!("classes[{n}].effect.memory"), memory));
+            if let Idempotency::Keyed { dedup_window, .. } = class.idempotency {
+                amounts.push((format!("classes[{n}].idempotency.dedup_window"), dedup_window));
             }
             shares.push((format!("classes[{n}].late_worth"), class.late_worth));
-            for (name, value) in [("aim", class.aim), ("deadline", class.deadline)] {
+            for (name, value) in [("slo", class.slo), ("deadline", class.deadline)] {
                 if value.is_nan() || value <= 0.0 {
                     return fail(format!("classes[{n}].{name}: must be above 0"));
                 }
@@ -330,13 +337,13 @@
     /// How often requests that wait are looked at: far below every aim, and often enough that an answer at the
     /// deadline comes within its slack.
     pub(crate) fn period(&self) -> Millis {
-        let aim = self.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
+        let aim = self.classes.iter().map(|c| c.slo).fold(f64::INFINITY, f64::min);
         (aim / 20.0).max(self.tick).max(1.0)
     }
 
     /// A node's own part of a tenant's share, in requests a second: each is taken to get an even part.
     pub(crate) fn own_quota(&self, tenant: usize) -> f64 {
-        self.tenants[tenant].quota_per_s / self.nodes as f64
+        self.tenants[tenant].quota_per_s / self.node_count as f64
     }
 
     /// The operators' factor to a server's size.
@@ -349,19 +356,19 @@
     ///
     /// # Errors
     /// Names the first field that may not change in service, or that makes no sense.
-    pub fn may_become(&self, new: &Self) -> Result<(), SettingsError> {
+    pub fn check_update(&self, new: &Self) -> Result<(), SettingsError> {
         new.check()?;
         let (l, n) = (&self.limits, &new.limits);
-        let effects = |s: &Self| s.classes.iter().map(|c| c.effect).collect::<Vec<_>>();
+        let effects = |s: &Self| s.classes.iter().map(|c| c.idempotency).collect::<Vec<_>>();
         let same = [
-            ("number", self.number == new.number),
-            ("nodes", self.nodes == new.nodes),
+            ("node_index", self.node_index == new.node_index),
+            ("node_count", self.node_count == new.node_count),
             ("classes: their number", self.classes.len() == new.classes.len()),
             ("classes: an effect", effects(self) == effects(new)),
             ("tenants: their number", self.tenants.len() == new.tenants.len()),
-            ("over_share_worth", self.over_share_worth == new.over_share_worth),
+            ("over_quota_worth", self.over_quota_worth == new.over_quota_worth),
             ("goal", self.goal == new.goal),
-            ("limits.second_copies", l.second_copies == n.second_copies),
+            ("limits.hedging", l.hedging == n.hedging),
             ("limits.cancel", l.cancel == n.cancel),
             ("limits.probes", l.probes == n.probes),
             ("limits.connect_timeout", l.connect_timeout == n.connect_timeout),
@@ -379,7 +386,7 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum ServerState {
     /// In service.
     Up,
     /// Finishing its work; nothing new may be sent.
@@ -401,22 +408,22 @@
     /// Its kind of machine, as a number.
     pub kind: u64,
     /// Its state.
-    pub state: Listed,
+    pub state: ServerState,
     /// A figure to compare with other servers'.
     pub weight: f64,
     /// When it last started; `None`: long ago.
-    pub started: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
-    Done,
+    Success,
     /// Answered by an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run, or may still.
     TimedOut,
     /// No connection; it never ran.
@@ -432,14 +439,14 @@
 impl Outcome {
     /// Does this outcome prove that the request never ran?
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent)
+        matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 
     /// What it says of its server.
     pub fn evidence(self) -> Evidence {
         let one = |kind| u32::from(self == kind);
         Evidence {
-            attempts: u32::from(!matches!(self, Self::Full | Self::Cancelled | Self::NotSent)),
+            attempts: u32::from(!matches!(self, Self::Rejected | Self::Cancelled | Self::NotSent)),
             connects: one(Self::ConnectFailed),
             breaks: one(Self::Reset),
             timeouts: one(Self::TimedOut),
@@ -469,15 +476,15 @@
         /// The server.
         server: ServerId,
         /// When they did; perhaps before this node's own start.
-        returned: Millis,
+        enabled_at: Millis,
     },
     /// The settings from now on. What came before keeps to those that it came under; the limits, paces and
     /// allowances that were learned or saved up stay, as far as the new ones let them. Settings that the
-    /// present ones may not become, see [`Settings::may_become`], change nothing.
+    /// present ones may not become, see [`Settings::check_update`], change nothing.
     Policy(Box<Settings>),
     /// The group's newest word, whole: the rulings in force for this node; what it leaves out has come back. To be
     /// given at each answer of the group, also when nothing has changed, as it tells how old the word is.
-    Verdicts(Vec<Ruling>),
+    Verdicts(Vec<ServerVerdict>),
     /// A client asks for something; one final answer is owed from now on.
     Request {
         /// The request.
@@ -491,14 +498,14 @@
         deadline: Millis,
         /// Its body is passed on as it comes. Until it is whole its server has no work of it; it can be sent
         /// just once.
-        coming: bool,
+        streaming_body: bool,
         /// Its client has marked it as a repeat of one that was refused, failed or given up.
-        again: bool,
+        is_retry: bool,
         /// How much work it is, as time on a standard core, where its client guesses it.
-        work: Option<Millis>,
+        estimated_work: Option<Millis>,
     },
     /// A request that was coming is whole: its time counts from now on.
-    Whole {
+    BodyComplete {
         /// The request.
         id: RequestId,
         /// When the client gives up.
@@ -512,7 +519,7 @@
         attempt: usize,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// The attempt's number, from 0.
@@ -522,18 +529,18 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        took: Millis,
+        elapsed: Millis,
         /// The client has its final answer.
-        finished: bool,
+        answered: bool,
     },
     /// A probe came back.
-    Probed {
+    ProbeEnded {
         /// The server.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        took: Millis,
+        elapsed: Millis,
     },
     /// The client left; nothing is owed any more.
     ClientGone(RequestId),
@@ -565,7 +572,7 @@
         /// The request.
         id: RequestId,
         /// How long the client should stay away; 0: no advice.
-        stay_away: Millis,
+        retry_after: Millis,
     },
     /// Final answer: failed.
     Fail(RequestId),
@@ -579,22 +586,22 @@
 
 /// What a node holds of its servers, as of the last event, where votes are on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ballots {
+pub struct BallotReport {
     /// It is for the removal of so many that the fault is likelier its own.
-    pub doubts: bool,
+    pub self_doubt: bool,
     /// Rulings, bans and drains would leave less than half of the listed servers: rulings are not heeded.
-    pub panic: bool,
+    pub panic_mode: bool,
     /// The group's word is too old: the node acts on its own evidence.
-    pub alone: bool,
+    pub isolated: bool,
     /// How many servers it suspects.
     pub suspects: usize,
     /// One for each listed server that it has enough evidence on, sorted by server.
-    pub ballots: Vec<OwnBallot>,
+    pub ballots: Vec<LocalBallot>,
 }
 
 /// What a node holds of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OwnBallot {
+pub struct LocalBallot {
     /// The server.
     pub server: ServerId,
     /// Should it be removed, or stay so?
@@ -607,11 +614,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Status {
     /// Requests held at the node.
-    pub held: usize,
+    pub queued: usize,
     /// Attempts that are out.
-    pub out: usize,
+    pub in_flight: usize,
     /// Servers that have some of them.
-    pub used: usize,
+    pub busy_servers: usize,
     /// Servers.
     pub servers: usize,
     /// Those that are ejected.
@@ -621,15 +628,16 @@
     /// Those that are warming up.
     pub cold: usize,
     /// The sum of their limits on attempts.
-    pub limits: f64,
+    pub total_limit: f64,
     /// The factor to all limits, where it is below 1.
-    pub fleet: f64,
+    pub fleet_factor: f64,
 }
 
 impl fmt::Display for Status {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { held, out, used, servers, ejected, down, cold, limits, fleet } = self;
-        write!(f, "{held} held, {out} out at {used} of {servers} servers, ")?;
-        write!(f, "{ejected} ejected ({down} down), {cold} cold, limits {limits:.1} x {fleet:.2}")
+        let Self { queued, in_flight, busy_servers, servers, ejected, down, cold, total_limit, fleet_factor } =
+            self;
+        write!(f, "{queued} held, {in_flight} out at {busy_servers} of {servers} servers, ")?;
+        write!(f, "{ejected} ejected ({down} down), {cold} cold, limits {total_limit:.1} x {fleet_factor:.2}")
     }
 }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -40,8 +40,8 @@
 const TIME_GAIN: f64 = 0.02;
 /// Attempts of all nodes out at a server at first, and the least own limit; below one, it rests between them.
 const LIMITS: (f64, f64) = (8.0, 0.05);
-/// The first of these where it is no more than one for each node that shares the server: such limits start
-/// low, as many nodes that each may send at once crowd a server before any has heard of it.
+/// Initial limit where the one above is at most one attempt per node sharing the server. It is lower, as many
+/// nodes that may each send at once overload a server before any sees an answer.
 const SPACED: f64 = 5.0;
 /// How far the fleet's factor may rise above 1, so that a few late answers do not make it act.
 const FLEET_RESERVE: f64 = 2.0;
@@ -78,7 +78,6 @@
     subset: Vec<ServerId>,
     chosen: Millis,
     requests: BTreeMap<RequestId, Request>,
-    /// Requests held at the node.
     waiting: Vec<RequestId>,
     /// The turn that was taken last, and the server that it fell to.
     cursor: f64,
@@ -96,7 +95,6 @@
     arrivals: Rate,
     /// For each kind of machine, the usual time of each class on a server that has nothing else of ours.
     times: BTreeMap<u64, Vec<Millis>>,
-    /// What is to be done by the event in hand.
     actions: Vec<Action>,
     /// When the timer comes that was asked for last, and when what time brings was last looked at.
     timer_due: Millis,
@@ -126,7 +124,6 @@
     /// Refused and broken connections in a row, and when the first of them came.
     consecutive_breaks: u32,
     broke: Millis,
-    /// Ejections in a row.
     ejections: u32,
     /// Ejected; looked at again from then on.
     ejected: Option<Millis>,
@@ -166,7 +163,6 @@
     class: usize,
     /// Its tenant, where it is within that one's share.
     tenant: Option<usize>,
-    /// What an answer in time is worth.
     worth: f64,
     /// When the client first asked, as far as its deadline tells, and when this try of it came.
     asked: Millis,
@@ -185,14 +181,12 @@
     at_limit: bool,
     /// The server held nothing else of ours.
     alone: bool,
-    /// How it ended; `None` while it is out.
     outcome: Option<Outcome>,
 }
 
 /// What is usual for a class, and how well it is served.
 #[derive(Default)]
 struct ClassStats {
-    /// Mean time to an answer.
     mean: Millis,
     /// Mean work of those that were answered, as far as clients guess it.
     work: Millis,
@@ -264,8 +258,8 @@
     fn age(&mut self, class: &Class, left: Millis, again: bool) -> Millis {
         self.most_left = self.most_left.max(if left.is_finite() { left } else { f64::NEG_INFINITY });
         let most = self.most_left;
-        match class.effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => match class.deadline {
+        match class.idempotency {
+            Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. } => match class.deadline {
                 all if !again || all.is_infinite() => 0.0,
                 all if left < WHOLE_TRY * most => (all - left).max(0.0),
                 // Asked at some time between now and when its try would have been cut short.
@@ -313,17 +307,17 @@
 
     /// The part of its capacity that it has at the least, by the time since its start.
     fn warmth(&self, now: Millis, rules: &Rules) -> f64 {
-        let start = self.entry.started.into_iter().chain(self.returned).fold(f64::NEG_INFINITY, f64::max);
+        let start = self.entry.started_at.into_iter().chain(self.returned).fold(f64::NEG_INFINITY, f64::max);
         let age = (now - start).max(0.0);
-        if age >= rules.warm_within {
+        if age >= rules.warmup_time {
             return 1.0;
         }
-        rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_within
+        rules.cold_capacity + (1.0 - rules.cold_capacity) * age / rules.warmup_time
     }
 
     /// The part of its turns that it gets. Votes go by the whole server, as all classes share one rotation.
     fn part(&self, now: Millis, set: &Settings) -> f64 {
-        let most = set.votes.as_ref().filter(|_| !self.trusted()).map_or(1.0, |v| v.trickle);
+        let most = set.votes.as_ref().filter(|_| !self.trusted()).map_or(1.0, |v| v.trickle_share);
         self.warmth(now, &set.rules).min(most)
     }
 }
@@ -341,19 +335,19 @@
         let limits = &self.set.limits;
         let mut ran = self.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran));
         if to.is_some() {
-            let most = if self.body == Body::Kept { limits.attempts } else { 1 };
-            if self.attempts.len() >= most || (self.pending() && !limits.second_copies) {
+            let most = if self.body == Body::Kept { limits.max_attempts } else { 1 };
+            if self.attempts.len() >= most || (self.pending() && !limits.hedging) {
                 return false;
             }
         }
-        match self.class().effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed { group, memory } => ran.all(|a| match (group, to) {
-                (_, Some(_)) if now - a.sent >= memory => false,
-                (Group::All, _) => true,
-                (Group::Zone, to) => to.is_some_and(|to| to.zone == a.to.zone),
-                (Group::Cell, to) => to.is_some_and(|to| to.cell == a.to.cell),
+        match self.class().idempotency {
+            Idempotency::Safe => true,
+            Idempotency::Unsafe => ran.next().is_none(),
+            Idempotency::Keyed { scope, dedup_window } => ran.all(|a| match (scope, to) {
+                (_, Some(_)) if now - a.sent >= dedup_window => false,
+                (DedupScope::All, _) => true,
+                (DedupScope::Zone, to) => to.is_some_and(|to| to.zone == a.to.zone),
+                (DedupScope::Cell, to) => to.is_some_and(|to| to.cell == a.to.cell),
             }),
         }
     }
@@ -364,7 +358,7 @@
 
     /// Until when an answer has its full worth, less the way back to the client.
     fn useful_until(&self) -> Millis {
-        (self.asked + self.class().aim - self.set.tick).min(self.deadline).min(self.known_until())
+        (self.asked + self.class().slo - self.set.tick).min(self.deadline).min(self.known_until())
     }
 
     /// Until when an answer is worth anything.
@@ -378,27 +372,30 @@
 
     /// Until when servers surely know the key of what may have run: a further attempt has to be over by then.
     fn known_until(&self) -> Millis {
-        let Effect::Keyed { memory, .. } = self.class().effect else { return f64::INFINITY };
+        let Idempotency::Keyed { dedup_window, .. } = self.class().idempotency else { return f64::INFINITY };
         let ran = self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran));
-        ran.map_or(f64::INFINITY, |a| a.sent + memory - self.set.tick)
+        ran.map_or(f64::INFINITY, |a| a.sent + dedup_window - self.set.tick)
     }
 
     /// How much of its aim an attempt took, by which it counts for its server.
     fn part(&self, outcome: Outcome, took: Millis) -> Option<f64> {
-        let part = took / self.class().aim;
+        let part = took / self.class().slo;
         match outcome {
-            Outcome::Done => Some(part.min(LATE)),
+            Outcome::Success => Some(part.min(LATE)),
             // Cut off when it was of no more use. One that had little time says little.
             Outcome::TimedOut if self.class().late_worth == 0.0 => Some(CUT * part.min(1.0)),
-            Outcome::TimedOut | Outcome::Full => Some(LATE),
+            Outcome::TimedOut | Outcome::Rejected => Some(LATE),
             _ => None,
         }
     }
 
     /// May it go there as far as votes go? A removed server is probed with what can go elsewhere after it.
     fn may_probe(&self, to: &Server) -> bool {
-        let safe = matches!(self.class().effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
-        let first = self.attempts.is_empty() && self.set.limits.attempts > 1;
+        let safe = matches!(
+            self.class().idempotency,
+            Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. }
+        );
+        let first = self.attempts.is_empty() && self.set.limits.max_attempts > 1;
         to.ruled.is_none() || (safe && first && self.body == Body::Kept)
     }
 
@@ -421,12 +418,12 @@
     /// Where the settings make no sense; see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let asked = settings.discovery == Discovery::Asked;
+        let asked = settings.discovery == Discovery::Subscribed;
         let call = if asked { Call::AskAt(f64::NEG_INFINITY, 0) } else { Call::Settled };
         let most_left = f64::NEG_INFINITY;
-        let retry_budget = settings.retry.most;
+        let retry_budget = settings.retry_budget.max;
         let class =
-            |c: &Class| ClassStats { mean: c.aim / 4.0, most_left, retry_budget, ..ClassStats::default() };
+            |c: &Class| ClassStats { mean: c.slo / 4.0, most_left, retry_budget, ..ClassStats::default() };
         let tenant = |_| TenantStats { counted: f64::NEG_INFINITY, ..TenantStats::default() };
         Ok(Self {
             period: settings.period(),
@@ -470,22 +467,22 @@
                 self.disabled.insert(server);
                 self.regroup();
             }
-            Event::Enable { server, returned } => self.on_enabled(server, returned),
+            Event::Enable { server, enabled_at } => self.on_enabled(server, enabled_at),
             Event::Verdicts(rulings) => self.on_verdicts(rulings),
             Event::Policy(settings) => self.on_policy(*settings),
-            Event::Request { id, class, tenant, deadline, coming, again, work } => {
-                let body = if coming { Body::Coming } else { Body::Kept };
+            Event::Request { id, class, tenant, deadline, streaming_body, is_retry, estimated_work } => {
+                let body = if streaming_body { Body::Coming } else { Body::Kept };
                 let new = Request::new(self.set.clone(), now, class, deadline);
-                self.on_request(id, Request { body, tenant, work, ..new }, again);
+                self.on_request(id, Request { body, tenant, work: estimated_work, ..new }, is_retry);
             }
-            Event::Whole { id, deadline } => self.on_whole(id, deadline),
+            Event::BodyComplete { id, deadline } => self.on_whole(id, deadline),
             Event::Streaming { id, attempt } => self.on_streaming(id, attempt),
-            Event::Ended { id, attempt, server, outcome, took, finished } => {
-                let took = if took.is_finite() { took.max(0.0) } else { 0.0 };
-                self.on_returned((id, attempt), server, outcome, took);
-                self.on_ended(id, attempt, outcome, took, finished);
+            Event::AttemptEnded { id, attempt, server, outcome, elapsed, answered } => {
+                let elapsed = if elapsed.is_finite() { elapsed.max(0.0) } else { 0.0 };
+                self.on_returned((id, attempt), server, outcome, elapsed);
+                self.on_ended(id, attempt, outcome, elapsed, answered);
             }
-            Event::Probed { server, outcome, .. } => self.on_probed(server, outcome),
+            Event::ProbeEnded { server, outcome, .. } => self.on_probed(server, outcome),
             Event::ClientGone(id) => drop(self.forget(id)),
             Event::Timer => {}
         }
@@ -505,45 +502,47 @@
     pub fn status(&self) -> Status {
         let count = |of: &dyn Fn(&Server) -> bool| self.rotated().filter(|s| of(s)).count();
         Status {
-            held: self.waiting.len(),
-            out: self.rotated().map(|s| s.out.len()).sum(),
-            used: count(&|s| !s.out.is_empty()),
+            queued: self.waiting.len(),
+            in_flight: self.rotated().map(|s| s.out.len()).sum(),
+            busy_servers: count(&|s| !s.out.is_empty()),
             servers: self.subset.len(),
             ejected: count(&|s| s.ejected.is_some()),
             down: count(&|s| s.ejected.is_some() && s.down),
             cold: count(&|s| s.warmth(self.now, &self.set.rules) < 1.0),
-            limits: self.rotated().map(|s| s.limit).sum(),
-            fleet: self.fleet,
+            total_limit: self.rotated().map(|s| s.limit).sum(),
+            fleet_factor: self.fleet,
         }
     }
 
     /// How many listed servers nothing is sent to now, taken out by operators or ejected.
-    pub fn avoided(&self) -> usize {
-        let listed = self.servers.iter().filter(|(_, s)| s.entry.state != Listed::Gone);
+    pub fn unavailable_servers(&self) -> usize {
+        let listed = self.servers.iter().filter(|(_, s)| s.entry.state != ServerState::Gone);
         listed.filter(|(id, s)| s.shut() || self.disabled.contains(id)).count()
     }
 
     /// What this node holds of its servers, for the group to count.
-    pub fn ballots(&self) -> Ballots {
-        let Some(votes) = &self.set.votes else { return Ballots::default() };
-        let up = self.servers.values().filter(|s| s.entry.state == Listed::Up);
+    pub fn ballots(&self) -> BallotReport {
+        let Some(votes) = &self.set.votes else { return BallotReport::default() };
+        let up = self.servers.values().filter(|s| s.entry.state == ServerState::Up);
         let seen = up.clone().map(|s| (s.entry.server, s.evidence(votes.half(self.now))));
         let ballot = |(server, evidence): (ServerId, Evidence)| {
-            let failed = f64::from(evidence.failed()) >= votes.failed * f64::from(evidence.attempts);
-            OwnBallot { server, stand: if failed { Stand::For } else { Stand::Against }, evidence }
+            let failed =
+                f64::from(evidence.failed()) >= votes.failure_threshold * f64::from(evidence.attempts);
+            LocalBallot { server, stand: if failed { Stand::For } else { Stand::Against }, evidence }
         };
-        let ballots: Vec<_> = seen.filter(|(_, e)| e.attempts >= votes.attempts).map(ballot).collect();
+        let ballots: Vec<_> = seen.filter(|(_, e)| e.attempts >= votes.min_attempts).map(ballot).collect();
         // Of two servers that a node shares, one may be bad.
-        let most = (votes.doubt * ballots.len() as f64).max(1.0);
-        let doubts = ballots.iter().filter(|b| b.stand == Stand::For).count() as f64 > most;
-        let panic = self.servers.iter().any(|(id, s)| s.ruled.is_none() && self.rulings.contains_key(id));
-        let (alone, suspects) = (self.voted().is_none(), up.filter(|s| s.suspect).count());
-        Ballots { doubts, panic, alone, suspects, ballots }
+        let most = (votes.self_doubt_threshold * ballots.len() as f64).max(1.0);
+        let self_doubt = ballots.iter().filter(|b| b.stand == Stand::For).count() as f64 > most;
+        let panic_mode =
+            self.servers.iter().any(|(id, s)| s.ruled.is_none() && self.rulings.contains_key(id));
+        let (isolated, suspects) = (self.voted().is_none(), up.filter(|s| s.suspect).count());
+        BallotReport { self_doubt, panic_mode, isolated, suspects, ballots }
     }
 
     /// The votes' figures while the group's word is fresh: no server is then ejected on own evidence alone.
-    fn voted(&self) -> Option<&Votes> {
-        self.set.votes.as_ref().filter(|v| self.now - self.word < v.word)
+    fn voted(&self) -> Option<&VoteSettings> {
+        self.set.votes.as_ref().filter(|v| self.now - self.word < v.contact_timeout)
     }
 
     /// When time alone next calls for something.
@@ -551,7 +550,7 @@
         let call = match self.call {
             Call::Settled => f64::INFINITY,
             Call::AskAt(at, _) => at.max(0.0),
-            Call::Asked(at, _) => at + self.set.rules.ask_within,
+            Call::Asked(at, _) => at + self.set.rules.discovery_deadline,
         };
         let held = if self.waiting.is_empty() { f64::INFINITY } else { self.swept + self.period };
         let probes = self.rotated().filter(|s| !s.probing).filter_map(|s| s.ejected);
@@ -561,13 +560,13 @@
 
     /// When the subset next follows the warmth of its servers.
     fn warmer_at(&self) -> Millis {
-        let step = self.set.rules.warm_within / WARMTH_STEPS;
+        let step = self.set.rules.warmup_time / WARMTH_STEPS;
         self.rotated().find(|s| s.turn_warmth < 1.0).map_or(f64::INFINITY, |_| self.chosen + step)
     }
 
     /// Requests that are here keep to the settings that they came under.
     fn on_policy(&mut self, new: Settings) {
-        if self.set.may_become(&new).is_err() {
+        if self.set.check_update(&new).is_err() {
             return;
         }
         for tenant in 0..self.tenants.len() {
@@ -577,7 +576,7 @@
         for (stats, class) in self.classes.iter_mut().zip(&new.classes) {
             // New requests would else be taken for old ones.
             stats.most_left = stats.most_left.min(class.deadline);
-            stats.retry_budget = stats.retry_budget.min(new.retry.most);
+            stats.retry_budget = stats.retry_budget.min(new.retry_budget.max);
         }
         for (id, server) in self.servers.iter_mut().filter(|(id, s)| s.factor != new.factor(**id)) {
             // The part of its round that it has waited for its turn stays the same.
@@ -599,7 +598,7 @@
         }
         if whole {
             for server in self.servers.values_mut() {
-                server.entry.state = Listed::Gone;
+                server.entry.state = ServerState::Gone;
             }
         }
         for mut entry in entries {
@@ -610,22 +609,22 @@
             let server =
                 self.servers.entry(entry.server).or_insert_with(|| Server::new(entry.clone(), factor));
             server.size = match self.set.weights {
-                Weights::Listed => entry.weight,
+                Weights::Static => entry.weight,
                 Weights::Live => entry.weight.max(server.size),
                 Weights::None => 1.0,
             };
-            if entry.started != server.entry.started {
+            if entry.started_at != server.entry.started_at {
                 // The group has ruled on the process before.
                 server.restarted(None);
                 self.rulings.remove(&entry.server);
             }
-            if server.entry.state != Listed::Up {
+            if server.entry.state != ServerState::Up {
                 server.turn = f64::NAN;
             }
             server.entry = entry;
         }
         // Kept while attempts are out, so that their outcomes still find it.
-        self.servers.retain(|_, s| s.entry.state != Listed::Gone || !s.out.is_empty());
+        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.out.is_empty());
         self.regroup();
     }
 
@@ -639,13 +638,14 @@
     }
 
     /// Own evidence may keep own requests away for a short time; all else is the group's, once it is heard.
-    fn on_verdicts(&mut self, rulings: Vec<Ruling>) {
+    fn on_verdicts(&mut self, rulings: Vec<ServerVerdict>) {
         let Some(votes) = &self.set.votes else { return };
         for server in self.servers.values_mut().filter(|s| !s.suspect && s.ejected.is_some()) {
-            (server.suspect, server.probing, server.ejected) = (true, false, Some(self.now + votes.aside));
+            (server.suspect, server.probing, server.ejected) =
+                (true, false, Some(self.now + votes.suspect_pause));
         }
         // Without news they lapse one by one: were all back at once, so would their failures be.
-        let mut lapse = || self.now + votes.word * (1.0 + chance(&mut self.random));
+        let mut lapse = || self.now + votes.contact_timeout * (1.0 + chance(&mut self.random));
         self.rulings = rulings.iter().map(|r| (r.server, (r.probe, lapse()))).collect();
         self.word = self.now;
         self.regroup();
@@ -653,7 +653,8 @@
 
     /// Follows a change of who is up, not taken out and not ruled out.
     fn regroup(&mut self) {
-        let up = |(id, s): &(&ServerId, &Server)| s.entry.state == Listed::Up && !self.disabled.contains(id);
+        let up =
+            |(id, s): &(&ServerId, &Server)| s.entry.state == ServerState::Up && !self.disabled.contains(id);
         let members: Vec<_> = self.servers.iter().filter(up).map(|(id, _)| *id).collect();
         let mut known = self.order.clone();
         known.sort_unstable();
@@ -661,7 +662,7 @@
             self.order = self.preference(&members);
         }
         // Where too few would be left, the votes are likelier wrong than the servers bad.
-        let listed = self.servers.values().filter(|s| s.entry.state != Listed::Gone).count();
+        let listed = self.servers.values().filter(|s| s.entry.state != ServerState::Gone).count();
         let left = members.iter().filter(|id| !self.rulings.contains_key(id)).count();
         for (id, server) in &mut self.servers {
             let ruled = self.rulings.get(id).filter(|_| 2 * left >= listed).map(|(probe, _)| *probe);
@@ -678,11 +679,11 @@
     }
 
     fn on_list_failed(&mut self) {
-        if self.set.discovery == Discovery::Asked {
+        if self.set.discovery == Discovery::Subscribed {
             let failures = if let Call::Asked(_, failures) = self.call { failures + 1 } else { 1 };
             // Jittered, as nodes cut off together should not come back together; well within the time after
             // which a node that has not asked counts as told.
-            let span = (self.set.rules.ask_within / 40.0) * f64::from(1u32 << failures.min(4));
+            let span = (self.set.rules.discovery_deadline / 40.0) * f64::from(1u32 << failures.min(4));
             self.call = Call::AskAt(self.now + span * (0.5 + 0.5 * chance(&mut self.random)), failures);
         }
     }
@@ -694,13 +695,13 @@
     /// How many warm servers a node rotates over. All of them, until that would be more nodes to a server
     /// than it should bear: connections, and what a node must send to learn of each, grow with both.
     fn subset_size(&self, up: usize) -> usize {
-        (NODES_PER_SERVER * up).div_ceil(self.set.nodes).max(SUBSET_LEAST).min(up)
+        (NODES_PER_SERVER * up).div_ceil(self.set.node_count).max(SUBSET_LEAST).min(up)
     }
 
     /// How many nodes send to a server.
     fn sharing(&self) -> f64 {
         let up = self.order.len().max(1);
-        (self.set.nodes * self.subset_size(up)) as f64 / up as f64
+        (self.set.node_count * self.subset_size(up)) as f64 / up as f64
     }
 
     /// How many times more nodes share a server than are wanted, where a subset can be no smaller. Were rests
@@ -728,7 +729,7 @@
         if self.subset_size(members.len()) == members.len() {
             return members.to_vec();
         }
-        let size = (SUBSET_LEAST * self.set.nodes).max(SUBSET_LEAST * members.len().next_power_of_two());
+        let size = (SUBSET_LEAST * self.set.node_count).max(SUBSET_LEAST * members.len().next_power_of_two());
         // Ids may be near each other: a walk begins at the mixed id, which is what a step onto the id gives.
         let mixed = |id: u64| SplitMix64::seed_from_u64(id.wrapping_sub(0x9E37_79B9_7F4A_7C15)).next_u64();
         let mut walks: Vec<_> = members.iter().map(|id| SplitMix64::seed_from_u64(mixed(id.0))).collect();
@@ -749,7 +750,7 @@
             };
             table[free] = Some(member);
         }
-        let own = self.set.number * size / self.set.nodes;
+        let own = self.set.node_index * size / self.set.node_count;
         let mut seen = vec![false; members.len()];
         let places = (own..size).chain(0..own).filter_map(|place| table[place]);
         places.filter(|m| !std::mem::replace(&mut seen[*m], true)).map(|m| members[m]).collect()
@@ -780,14 +781,14 @@
 
     // ---- The rotation ----
 
-    /// Gives servers that are new to the rotation their place in it. A server of size w has its turns at
-    /// (p + k) / w for k = 0, 1, ..., p being its place after the cursor, from 0 to 1: with equal sizes that
-    /// is the plain cyclic order, with unequal ones an even interleaving. The others keep their turns: to
-    /// begin again at each change of the list would favour the servers after the nodes' offsets.
+    /// Gives servers that are new to the rotation their place in it. A server of size w has its turns at (p +
+    /// k) / w for k = 0, 1, ..., p being its place after the cursor, from 0 to 1: with equal sizes that is
+    /// the plain cyclic order, with unequal ones an even interleaving. The others keep their turns: to begin
+    /// again at each change of the list would favour the servers after the nodes' offsets.
     fn place_newcomers(&mut self) {
         let count = self.subset.len().max(1);
         let cursor_at = self.cursor_at.map(|at| self.subset.partition_point(|id| *id <= at));
-        let next = cursor_at.unwrap_or(self.set.number) % count;
+        let next = cursor_at.unwrap_or(self.set.node_index) % count;
         for (place, id) in self.subset.iter().enumerate() {
             let Some(server) = self.servers.get_mut(id).filter(|s| s.turn.is_nan()) else { continue };
             let stagger = chance(&mut self.random);
@@ -801,8 +802,7 @@
         }
     }
 
-    /// Takes turns until one falls to a server that `ready` lets through; the others are passed over in
-    /// place.
+    /// Takes turns until one falls to a server accepted by `ready`; the others just lose theirs.
     fn next_turn(&mut self, ready: impl Fn(&Self, &Server) -> bool) -> Option<ServerId> {
         if !self.rotated().any(|s| ready(self, s)) {
             return None;
@@ -839,10 +839,10 @@
         rested && (server.out.len() as f64) < limit.floor().max(1.0)
     }
 
-    /// How long a server with a limit below one rests from one send to the next: so long that on average no
-    /// more is out than the limit, but never so long that its recovery would go unseen.
+    /// The pause between sends where the limit is below one: long enough to hold the average concurrency to
+    /// the limit, short enough to notice recovery.
     fn rest(&self, server: &Server) -> Millis {
-        let most = self.set.classes.iter().map(|c| 2.0 * c.aim).fold(0.0, f64::max);
+        let most = self.set.classes.iter().map(|c| 2.0 * c.slo).fold(0.0, f64::max);
         (server.last_took / server.allowed(self.fleet, self.least_limit())).min(most * self.crowd())
     }
 
@@ -853,7 +853,7 @@
     fn within_slow_start(&self, server: &Server) -> bool {
         let rules = &self.set.rules;
         let warmth = server.warmth(self.now, rules);
-        let part = SLOW_START_CAUTION * rules.fall_multiple * warmth;
+        let part = SLOW_START_CAUTION * rules.overload_multiple * warmth;
         let pace = if self.pace.per_s > 0.0 { self.pace.per_s } else { self.arrivals.per_s };
         let space = 1000.0 / (part * pace * server.size);
         warmth >= 1.0 || self.now - server.last_sent >= space * server.stagger
@@ -862,13 +862,13 @@
     fn eject(&mut self, id: ServerId, sure: bool) {
         let up = self.rotated();
         let ejected = up.clone().filter(|s| !s.trusted()).count() + 1;
-        let too_many = ejected as f64 > self.set.ejection.at_most * up.count() as f64;
-        let aside = self.voted().map(|votes| votes.aside);
+        let too_many = ejected as f64 > self.set.ejection.max_fraction * up.count() as f64;
+        let aside = self.voted().map(|votes| votes.suspect_pause);
         let may = |s: &&mut Server| sure || !too_many || !s.trusted();
         let Some(server) = self.servers.get_mut(&id).filter(may) else { return };
         server.ejections += 1;
         let span = 4.0 * self.set.limits.connect_timeout * f64::from(1u32 << server.ejections.min(10));
-        let span = aside.unwrap_or(span.min(self.set.rules.ask_within / 4.0));
+        let span = aside.unwrap_or(span.min(self.set.rules.discovery_deadline / 4.0));
         (server.suspect, server.ejected) = (aside.is_some(), Some(self.now + span));
         // Of one that has changed, good answers from before would outweigh those that it is kept from now.
         server.seen = server.run;
@@ -882,7 +882,7 @@
         if server.ejected.is_none() && !server.suspect {
             return;
         }
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Success {
             // Only a process that was down is cold: in a jam that ejects each server once, the whole fleet
             // would else be on cold budgets.
             if server.down && server.returned.is_none() {
@@ -899,7 +899,7 @@
     /// What an attempt's end says of its server.
     fn detect_outlier(&mut self, id: ServerId, outcome: Outcome, took: Millis, of: Option<Option<Millis>>) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        if let Some(votes) = self.set.votes.as_ref().filter(|_| of == Some(server.entry.started)) {
+        if let Some(votes) = self.set.votes.as_ref().filter(|_| of == Some(server.entry.started_at)) {
             let half = votes.half(self.now);
             for seen in [&mut server.seen, &mut server.run] {
                 let place = &mut seen[(half & 1) as usize];
@@ -908,14 +908,14 @@
             }
         }
         match outcome {
-            Outcome::Done => {
+            Outcome::Success => {
                 (server.consecutive_failures, server.consecutive_breaks, server.ejections) = (0, 0, 0);
                 server.run = Default::default();
                 if server.suspect {
                     self.on_probed(id, outcome);
                 }
             }
-            Outcome::Cancelled | Outcome::NotSent | Outcome::Full => {}
+            Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected => {}
             // A refusal is quick where the process is down, and takes the whole time where the way is cut.
             Outcome::ConnectFailed if took >= 0.9 * self.set.limits.connect_timeout => self.eject(id, true),
             // The network breaks single connections, or all for a moment. Where the process is down all are
@@ -926,14 +926,14 @@
                 }
                 server.consecutive_breaks += 1;
                 let lasting = self.now - server.broke >= self.set.limits.connect_timeout;
-                if lasting && server.consecutive_breaks >= self.set.ejection.failures {
+                if lasting && server.consecutive_breaks >= self.set.ejection.consecutive_failures {
                     (server.consecutive_breaks, server.down) = (0, true);
                     self.eject(id, true);
                 }
             }
             Outcome::TimedOut | Outcome::Error => {
                 server.consecutive_failures += 1;
-                if server.consecutive_failures >= self.set.ejection.failures {
+                if server.consecutive_failures >= self.set.ejection.consecutive_failures {
                     server.consecutive_failures = 0;
                     self.eject(id, false);
                 }
@@ -950,20 +950,20 @@
             return self.actions.push(Action::Fail(id));
         }
         let budget = &mut self.classes[request.class].retry_budget;
-        *budget = (*budget + self.set.retry.share).min(self.set.retry.most);
+        *budget = (*budget + self.set.retry_budget.ratio).min(self.set.retry_budget.max);
         let size: f64 = self.rotated().map(|s| s.size).sum();
-        self.arrivals.add(self.now, self.set.rules.fall_window, 1.0 / size.max(1.0));
+        self.arrivals.add(self.now, self.set.rules.overload_window, 1.0 / size.max(1.0));
         request.tenant = request.tenant.filter(|t| *t < self.set.tenants.len());
         let within = request.tenant.is_none_or(|t| self.take_quota(t));
         request.tenant = request.tenant.filter(|_| within);
-        request.worth = request.class().worth * if within { 1.0 } else { self.set.over_share_worth };
+        request.worth = request.class().worth * if within { 1.0 } else { self.set.over_quota_worth };
         let left = request.deadline - self.now;
         request.asked -= self.classes[request.class].age(request.class(), left, again);
         self.tally(&request, |care| &mut care.asked);
         // What can't be in time, as it is a late repeat or more work than there is time for, is not begun: it
         // would only take the work of others that can. While none is refused for want of room, a longer shot
         // is taken the more the fleet has in reserve.
-        let room = self.now - self.shed > self.set.rules.fall_window;
+        let room = self.now - self.shed > self.set.rules.overload_window;
         let reserve = if room { self.fleet.max(1.0) } else { 1.0 };
         let left = (request.worth_until() - self.now) * reserve;
         let hopeless = (again || self.extra(&request) > 0.0) && left < self.usual(&request);
@@ -988,7 +988,7 @@
         }
     }
 
-    /// Is a request within its tenant's share? The share of all nodes is taken to come evenly to each.
+    /// Is a request within its tenant's share?
     fn take_quota(&mut self, tenant: usize) -> bool {
         let left = self.quota_left(tenant);
         let within = left >= 1.0;
@@ -1023,8 +1023,8 @@
         near.iter().zip(&asked).map(weight).collect()
     }
 
-    /// May the request go to this server? Not again to the one that just failed it, unless it may go to no
-    /// other: one that is bound to the cell of its first attempt would else be held for nothing.
+    /// Whether the request may go to this server. The one that just failed it is avoided unless no other is
+    /// allowed: it may be bound to the cell of its first attempt.
     fn may_go(&self, id: RequestId, to: &Server) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let may = |s: &Server| request.may_repeat(self.now, Some(&s.entry)) && request.may_probe(s);
@@ -1076,12 +1076,12 @@
         }
         // One that had little time says little of its server.
         let request = self.requests.get(&of.0);
-        let aim = request.map_or(0.0, |r| r.class().aim);
-        let started = request.and_then(|r| r.attempts.get(of.1)).map(|a| a.to.started);
+        let aim = request.map_or(0.0, |r| r.class().slo);
+        let started = request.and_then(|r| r.attempts.get(of.1)).map(|a| a.to.started_at);
         if outcome != Outcome::TimedOut || CUT * took >= aim {
             self.detect_outlier(at, outcome, took, started);
         }
-        self.servers.retain(|_, s| s.entry.state != Listed::Gone || !s.out.is_empty());
+        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.out.is_empty());
     }
 
     /// What becomes of a request when one of its attempts has ended.
@@ -1095,7 +1095,7 @@
             self.learn(class, work, &ended, took, part);
         }
         if finished {
-            if let Some(served) = self.forget(id).filter(|r| self.now - r.asked <= r.class().aim) {
+            if let Some(served) = self.forget(id).filter(|r| self.now - r.asked <= r.class().slo) {
                 self.tally(&served, |care| &mut care.served);
             }
         } else if !open {
@@ -1107,14 +1107,14 @@
     /// What the end of an attempt says of its server's pace, for the limit, the share and the usual times.
     fn learn(&mut self, class: usize, work: Option<Millis>, of: &Attempt, took: Millis, part: f64) {
         let (id, now, rules, done) =
-            (of.to.server, self.now, &self.set.rules, of.outcome == Some(Outcome::Done));
+            (of.to.server, self.now, &self.set.rules, of.outcome == Some(Outcome::Success));
         let (first, least_limit) = (self.first_limit(), self.least_limit());
         let warm = |s: &Server| s.warmth(now, rules) >= 1.0;
         if done && self.subset.binary_search(&id).is_ok() && self.servers.get(&id).is_some_and(warm) {
             // Measured on warm servers alone: measured on cold ones too, a cold budget would feed on itself.
             // The weight of one that has left the rotation is no longer in it.
             let size: f64 = self.rotated().filter(|s| warm(s)).map(|s| s.size).sum();
-            self.pace.add(now, rules.fall_window, 1.0 / size.max(f64::MIN_POSITIVE));
+            self.pace.add(now, rules.overload_window, 1.0 / size.max(f64::MIN_POSITIVE));
         }
         let pace = &mut self.classes[class];
         if done {
@@ -1134,14 +1134,14 @@
         }
         let Some(s) = self.servers.get_mut(&id) else { return };
         // To be turned away takes no time: rests that went by it would keep a full server full.
-        s.last_took = if of.outcome == Some(Outcome::Full) { s.last_took } else { took };
+        s.last_took = if of.outcome == Some(Outcome::Rejected) { s.last_took } else { took };
         if done && of.alone {
             let classes = self.set.classes.len();
             let time = &mut self.times.entry(s.entry.kind).or_insert_with(|| vec![0.0; classes])[class];
             *time += (took - *time) * if *time > 0.0 { TIME_GAIN } else { 1.0 };
         }
-        // Sizes that the list does not tell: a server whose answers come later than the fleet's beyond a
-        // part of the aim has too many turns. In calm nothing is beyond it, and turns stay even.
+        // Corrects for sizes not listed: a server whose latency above the threshold exceeds the fleet's has
+        // too many turns. In calm no latency is above the threshold and turns stay even.
         let excess = (part - SHARE_FROM).max(0.0);
         pace.excess += (excess - pace.excess) * SHARE_GAIN.0;
         s.share = s.share.powf(1.0 - SHARE_GAIN.1) * (SHARE_GAIN.0 * (pace.excess - excess)).exp();
@@ -1180,9 +1180,9 @@
     /// The final answer of a request that is not served: refused where rule 2 lets it, else failed.
     fn conclude(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let stay_away = (STAY_AWAY * request.class().aim).min(request.set.limits.max_retry_after);
+        let retry_after = (STAY_AWAY * request.class().slo).min(request.set.limits.max_retry_after);
         let harmless = request.may_repeat(self.now, None);
-        self.actions.push(if harmless { Action::Refuse { id, stay_away } } else { Action::Fail(id) });
+        self.actions.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
         self.forget(id);
     }
 
@@ -1204,7 +1204,7 @@
             let spare = request.useful_until() - self.usual(request);
             let end = if request.attempts.is_empty() {
                 // In a lasting overload a long hold helps nobody: all that is served has lost its time.
-                let aim = request.class().aim;
+                let aim = request.class().slo;
                 let lasting = self.held_since.is_some_and(|since| self.now - since > aim);
                 (request.came + aim * if lasting { HOLD.1 } else { HOLD.0 }).min(spare).max(request.came)
             } else {
@@ -1266,7 +1266,7 @@
                 self.actions.push(Action::Subscribe);
             }
             // No answer at all: taken for a failure.
-            Call::Asked(at, _) if now - at >= self.set.rules.ask_within => self.on_list_failed(),
+            Call::Asked(at, _) if now - at >= self.set.rules.discovery_deadline => self.on_list_failed(),
             _ => {}
         }
         let due = self.rotated().filter(|s| !s.probing && s.ejected.is_some_and(|at| now >= at));
@@ -1278,7 +1278,7 @@
                 server.probing = true;
                 self.actions.push(Action::Probe(id));
             } else {
-                self.on_probed(id, Outcome::Done);
+                self.on_probed(id, Outcome::Success);
             }
         }
         if self.rulings.values().any(|(_, lapse)| now >= *lapse) {
--- a/src/bin/tulipmount-simhost.rs
+++ b/src/bin/tulipmount-simhost.rs
@@ -3,7 +3,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use tulipmount::wire::Host;
+use tulipmount::wire::Adapter;
 
 fn main() -> ExitCode {
     std::panic::set_hook(Box::new(|fault| eprintln!("{fault}")));
@@ -17,14 +17,14 @@
 }
 
 fn serve() -> Result<(), String> {
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut out = io::stdout().lock();
     for line in io::stdin().lock().lines() {
         let line = line.map_err(|e| e.to_string())?;
         if line.trim().is_empty() {
             continue;
         }
-        let reply = host.line(&line)?;
+        let reply = host.handle_line(&line)?;
         writeln!(out, "{reply}").and_then(|()| out.flush()).map_err(|e| e.to_string())?;
     }
     Ok(())
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,24 +6,24 @@
 //! ```
 //! use tulipmount::*;
 //!
-//! let class = Class { aim: 100.0, deadline: 500.0, worth: 1.0, late_worth: 0.0, effect: Effect::Unsafe };
+//! let class = Class { slo: 100.0, deadline: 500.0, worth: 1.0, late_worth: 0.0, idempotency: Idempotency::Unsafe };
 //! let settings = Settings {
-//!     number: 0,
-//!     nodes: 1,
+//!     node_index: 0,
+//!     node_count: 1,
 //!     classes: vec![class],
 //!     tenants: Vec::new(),
-//!     over_share_worth: 1.0,
+//!     over_quota_worth: 1.0,
 //!     goal: Goal { worth: 1.0, ..Goal::default() },
 //!     limits: Limits {
-//!         attempts: 3, second_copies: false, cancel: true, probes: false, connect_timeout: 50.0,
+//!         max_attempts: 3, hedging: false, cancel: true, probes: false, connect_timeout: 50.0,
 //!         max_retry_after: 1_000.0,
 //!     },
-//!     retry: Retry::default(),
+//!     retry_budget: RetryBudget::default(),
 //!     ejection: Ejection::default(),
 //!     votes: None,
 //!     server_weights: Default::default(),
 //!     rules: Rules {
-//!         ask_within: 10_000.0, cold_share: 0.2, warm_within: 20_000.0, fall_multiple: 3.0, fall_window: 1_000.0,
+//!         discovery_deadline: 10_000.0, cold_capacity: 0.2, warmup_time: 20_000.0, overload_multiple: 3.0, overload_window: 1_000.0,
 //!     },
 //!     discovery: Discovery::Pushed,
 //!     weights: Weights::None,
@@ -31,9 +31,9 @@
 //! };
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let (mut actions, server) = (Vec::new(), ServerId(7));
-//! let up = Entry { server, zone: 0, cell: 0, kind: 0, state: Listed::Up, weight: 1.0, started: None };
+//! let up = Entry { server, zone: 0, cell: 0, kind: 0, state: ServerState::Up, weight: 1.0, started_at: None };
 //! balancer.handle(0.0, Event::List { entries: vec![up], saved: false }, &mut actions);
-//! let request = Event::Request { id: RequestId(1), class: 0, tenant: None, deadline: 500.0, coming: false, again: false, work: None };
+//! let request = Event::Request { id: RequestId(1), class: 0, tenant: None, deadline: 500.0, streaming_body: false, is_retry: false, estimated_work: None };
 //! balancer.handle(1.0, request, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: to, .. } if *to == server)));
 //! # Ok::<(), SettingsError>(())
--- a/src/main.rs
+++ b/src/main.rs
@@ -178,7 +178,7 @@
 async fn stop(node: &Rc<Node>, clients: &Rc<Clients>, listener: TcpListener) {
     let told = Instant::now();
     node.closing.set(Some(told));
-    let longest = Duration::try_from_secs_f64(node.config.told.longest / 1000.0).unwrap_or(LONGEST);
+    let longest = Duration::try_from_secs_f64(node.config.told.max_deadline / 1000.0).unwrap_or(LONGEST);
     let kill = told + longest.min(LONGEST) + KILL_AFTER;
     let mut close_idle = told;
     clients.serve_waiting();
--- a/src/net/agreed.rs
+++ b/src/net/agreed.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
-use tulipmount::wire::{with_policy, Told};
+use tulipmount::wire::{settings_with_policy, NodeSettings};
 
 use super::config::{Config, Control};
 use super::fault::Advice;
@@ -312,9 +312,9 @@
         }
     }
 
-    fn fit(&self, policy: &Policy) -> Result<Told, Unfit> {
-        let told = with_policy(&self.control.settings, policy)?;
-        let (asked, room) = (told.open_cap, self.node.room());
+    fn fit(&self, policy: &Policy) -> Result<NodeSettings, Unfit> {
+        let told = settings_with_policy(&self.control.settings, policy)?;
+        let (asked, room) = (told.max_open_requests, self.node.room());
         if asked > room {
             return Err(Unfit::OpenCap { asked, room });
         }
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -22,7 +22,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, Notify};
 use tokio::time::timeout;
-use tulipmount::{Effect, Millis, RequestId};
+use tulipmount::{Idempotency, Millis, RequestId};
 
 use super::bodies::{gather, Cut, Fate, Gathered, Outgoing, Pace, Paced, Side};
 use super::log;
@@ -336,7 +336,7 @@
 /// Is it the question whether the node can serve? A class may be named so too; its requests bring an id.
 fn asks_readiness(node: &Node, request: &Request<Incoming>) -> bool {
     let class =
-        || request.headers().contains_key(TXN) && node.config.told.classes.iter().any(|c| c == "ready");
+        || request.headers().contains_key(TXN) && node.config.told.class_names.iter().any(|c| c == "ready");
     request.uri().path() == "/ready" && !class()
 }
 
@@ -520,15 +520,15 @@
     }
     // A name stands there as it is, or percent-encoded; no class has an empty one.
     let name = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let class = |name: &str| told.classes.iter().position(|c| c == name);
+    let class = |name: &str| told.class_names.iter().position(|c| c == name);
     let decoded = || class(&percent_decode_str(name).decode_utf8().ok()?);
     let class = class(name).or_else(decoded).ok_or_else(|| unread(StatusCode::NOT_FOUND))?;
-    let checked = check(&parts.method, &parts.headers, told.settings.classes[class].effect);
+    let checked = check(&parts.method, &parts.headers, told.settings.classes[class].idempotency);
     let remaining = checked.map_err(|bad| unread(bad.status))?;
     // A name may have letters beyond ASCII; two of them are none.
     let mut orgs = parts.headers.get_all(&ORG).iter();
     let org = orgs.next().filter(|_| orgs.next().is_none());
-    let tenant = org.and_then(|org| told.tenants.iter().position(|t| t.as_bytes() == org.as_bytes()));
+    let tenant = org.and_then(|org| told.tenant_names.iter().position(|t| t.as_bytes() == org.as_bytes()));
     let mut uri = Uri::builder();
     if let Some(path) = parts.uri.path_and_query() {
         uri = uri.path_and_query(path.clone());
@@ -554,15 +554,15 @@
 }
 
 /// Checks what a request must bring, and gives its time.
-fn check(method: &Method, headers: &HeaderMap, effect: Effect) -> Result<Duration, Bad> {
+fn check(method: &Method, headers: &HeaderMap, effect: Idempotency) -> Result<Duration, Bad> {
     token(header(headers, &TXN)?)?;
     let remaining = header(headers, &REMAINING)?.filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     let remaining = remaining.and_then(|v| v.parse::<u64>().ok()).ok_or(StatusCode::BAD_REQUEST)?;
-    let wanted = if effect == Effect::Safe { Method::GET } else { Method::POST };
+    let wanted = if effect == Idempotency::Safe { Method::GET } else { Method::POST };
     if *method != wanted {
         return Err(StatusCode::BAD_REQUEST.into());
     }
-    if matches!(effect, Effect::Keyed { .. }) {
+    if matches!(effect, Idempotency::Keyed { .. }) {
         token(header(headers, &KEY)?)?;
     }
     Ok(Duration::from_millis(remaining.min(LONGEST)))
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 use thiserror::Error;
-use tulipmount::wire::{told, Told};
+use tulipmount::wire::{parse_settings, NodeSettings};
 
 use super::fault::Advice;
 
@@ -40,7 +40,7 @@
     /// The list of servers as last had.
     pub known: Option<Update>,
     /// The settings.
-    pub told: Told,
+    pub told: NodeSettings,
     /// The control group whose policy it judges by, if there is one.
     pub control: Option<Control>,
 }
@@ -281,7 +281,7 @@
     if name.is_empty() {
         return Err(fault("name", "a name expected, not \"\"".into()));
     }
-    let told = told(&fields.settings).map_err(|e| ConfigError::Settings(e.to_string()))?;
+    let told = parse_settings(&fields.settings).map_err(|e| ConfigError::Settings(e.to_string()))?;
     let control = fields.control.map(|group| control(group, listen, fields.state_dir, fields.settings));
     Ok(Config {
         name,
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -13,10 +13,10 @@
 use member::Epoch;
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
-use tulipmount::wire::Told;
+use tulipmount::wire::NodeSettings;
 use tulipmount::{
-    Action, Balancer, Discovery, Entry, Event, Listed, Millis, Outcome, RequestId, Ruling, ServerId,
-    Settings, SettingsError,
+    Action, Balancer, Discovery, Entry, Event, Millis, Outcome, RequestId, ServerId, ServerState,
+    ServerVerdict, Settings, SettingsError,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -135,7 +135,7 @@
     started: Option<Millis>,
     /// The name of its zone, where there is a control group.
     zone: Option<Box<str>>,
-    state: Listed,
+    state: ServerState,
 }
 
 struct State {
@@ -216,10 +216,10 @@
         let known = config.known.take().map(|saved| Update { whole: true, ..saved });
         let mode = match config.told.settings.discovery {
             Discovery::Pushed => Mode::Pushed,
-            Discovery::Asked => Mode::Asked,
+            Discovery::Subscribed => Mode::Asked,
         };
         let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
-        let cold = span(config.told.settings.rules.warm_within);
+        let cold = span(config.told.settings.rules.warmup_time);
         let state = State {
             balancer,
             events: VecDeque::new(),
@@ -237,9 +237,9 @@
         let node = Rc::new(Self {
             pool: Pool::new(&config),
             budget: Budget::new(config.memory / 3 * 2),
-            metrics: Metrics::new(config.told.classes.len()),
+            metrics: Metrics::new(config.told.class_names.len()),
             discovery: Cell::new(config.discovery),
-            open_cap: Cell::new(config.told.open_cap),
+            open_cap: Cell::new(config.told.max_open_requests),
             max_retry_after: Cell::new(config.told.settings.limits.max_retry_after),
             config,
             closing: Cell::new(None),
@@ -378,12 +378,12 @@
     /// bodies leave; what its own settings ask for is borne.
     pub fn room(&self) -> usize {
         let connections = self.descriptors() * 4 / 7;
-        connections.min(self.config.memory / 3 / OPEN_BYTES).max(self.config.told.open_cap)
+        connections.min(self.config.memory / 3 / OPEN_BYTES).max(self.config.told.max_open_requests)
     }
 
     /// Judges by a policy from now on; what has been taken goes on under that by which it was.
-    pub fn judge_by(self: &Rc<Self>, told: Told) {
-        self.open_cap.set(told.open_cap);
+    pub fn judge_by(self: &Rc<Self>, told: NodeSettings) {
+        self.open_cap.set(told.max_open_requests);
         self.max_retry_after.set(told.settings.limits.max_retry_after);
         {
             let word = &mut self.state.borrow_mut().word;
@@ -422,9 +422,9 @@
                 evidence: own.evidence,
             })
         });
-        let up = |host: &&Host| host.state == Listed::Up && !state.policy_bans.contains(&host.name);
+        let up = |host: &&Host| host.state == ServerState::Up && !state.policy_bans.contains(&host.name);
         let up = state.hosts.values().filter(up).map(|host| host.zone.as_deref().unwrap_or_default());
-        Some((word.votes(zone, up, own.doubts, ballots.collect()), word.version()))
+        Some((word.votes(zone, up, own.self_doubt, ballots.collect()), word.version()))
     }
 
     /// A leader has answered a beat that had votes: its word on servers is fresh, changed or not.
@@ -464,7 +464,7 @@
                 .map(|(server, probe)| (server.to_owned(), probe))
                 .collect();
             let ruling =
-                |(name, &probe): (&String, &bool)| Ruling { server: ServerId(number_of(name)), probe };
+                |(name, &probe): (&String, &bool)| ServerVerdict { server: ServerId(number_of(name)), probe };
             let rulings = held.iter().map(ruling).collect();
             for (name, turn) in word.note(held) {
                 let server = ServerId(number_of(&name));
@@ -486,9 +486,9 @@
         Some(Voting {
             suspects: own.suspects,
             removed: word.held(),
-            panic: own.panic,
-            alone: own.alone,
-            doubts: own.doubts,
+            panic: own.panic_mode,
+            alone: own.isolated,
+            doubts: own.self_doubt,
             word_age_ms: word.age(self.clock.at(Instant::now())).map(|age| age as u64),
         })
     }
@@ -545,9 +545,9 @@
             class,
             tenant,
             deadline: self.clock.at(deadline),
-            coming,
-            again,
-            work,
+            streaming_body: coming,
+            is_retry: again,
+            estimated_work: work,
         });
         (id, answered)
     }
@@ -559,7 +559,7 @@
                 out.sent = Instant::now();
             }
         }
-        self.feed(Event::Whole { id, deadline: self.clock.at(deadline) });
+        self.feed(Event::BodyComplete { id, deadline: self.clock.at(deadline) });
     }
 
     /// Does a request still await its final answer?
@@ -592,8 +592,8 @@
     pub fn figures(&self) -> String {
         let (voting, state) = (self.voting(), self.state.borrow());
         let policy = self.gate.as_ref().map(|gate| (gate.member.borrow().active(), gate.admit().is_err()));
-        let (targets, avoided) = (state.hosts.len(), state.balancer.avoided());
-        self.metrics.text(&self.config.told.classes, targets, avoided, policy, voting)
+        let (targets, avoided) = (state.hosts.len(), state.balancer.unavailable_servers());
+        self.metrics.text(&self.config.told.class_names, targets, avoided, policy, voting)
     }
 
     /// Fails all that is still open: the node ends, and an answer is better than a reset.
@@ -638,7 +638,7 @@
                 return;
             }
             let (server, took) = (ended.server, ended.sent.elapsed().as_secs_f64() * 1000.0);
-            if outcome != Outcome::Done {
+            if outcome != Outcome::Success {
                 let host = state.hosts.get(&server).map_or("an unlisted server", |h| h.name.as_str());
                 log::trouble(|| {
                     format!("{}: attempt {attempt} at {host}: {outcome:?}, {took:.1} ms", open.asked.txn())
@@ -651,7 +651,7 @@
                 None => {}
             }
             let finished = open.answer.is_none();
-            Event::Ended { id, attempt, server, outcome, took, finished }
+            Event::AttemptEnded { id, attempt, server, outcome, elapsed: took, answered: finished }
         };
         self.feed(event);
         self.drop_if_over(id);
@@ -659,7 +659,7 @@
 
     /// A probe came back.
     pub fn probed(self: &Rc<Self>, server: ServerId, outcome: Outcome, took: Duration) {
-        self.feed(Event::Probed { server, outcome, took: took.as_secs_f64() * 1000.0 });
+        self.feed(Event::ProbeEnded { server, outcome, elapsed: took.as_secs_f64() * 1000.0 });
     }
 
     fn drop_if_over(&self, id: RequestId) {
@@ -676,7 +676,7 @@
         match action {
             Action::Send { id, server, timeout } => self.send(id, server, timeout),
             Action::Cancel { id, attempt } => self.cancel(id, attempt),
-            Action::Refuse { id, stay_away } => self.answer(id, Answer::Refused(stay_away)),
+            Action::Refuse { id, retry_after } => self.answer(id, Answer::Refused(retry_after)),
             Action::Fail(id) => self.answer(id, Answer::Failed),
             Action::SetTimer(after) => self.set_timer(after),
             Action::Subscribe => self.discover(endpoints::Event::Ask),
@@ -705,7 +705,14 @@
             let Some(task) = ended.task.take() else { return };
             task.abort();
             let took = ended.sent.elapsed().as_secs_f64() * 1000.0;
-            Event::Ended { id, attempt, server: ended.server, outcome: Outcome::Cancelled, took, finished }
+            Event::AttemptEnded {
+                id,
+                attempt,
+                server: ended.server,
+                outcome: Outcome::Cancelled,
+                elapsed: took,
+                answered: finished,
+            }
         };
         self.feed(ended);
         self.drop_if_over(id);
@@ -793,14 +800,14 @@
             let state = &mut *state;
             if update.whole {
                 for host in state.hosts.values_mut() {
-                    host.state = Listed::Gone;
+                    host.state = ServerState::Gone;
                 }
             }
             let entries = update.hosts.into_iter().filter_map(|h| self.enter(&mut state.hosts, h)).collect();
-            for (server, _) in state.hosts.iter().filter(|(_, h)| h.state == Listed::Gone) {
+            for (server, _) in state.hosts.iter().filter(|(_, h)| h.state == ServerState::Gone) {
                 self.pool.forget(*server);
             }
-            state.hosts.retain(|_, h| h.state != Listed::Gone);
+            state.hosts.retain(|_, h| h.state != ServerState::Gone);
             entries
         };
         self.feed(if update.whole { Event::List { entries, saved } } else { Event::ListChange(entries) });
@@ -838,7 +845,7 @@
             kind: number_of(&host.kind),
             state,
             weight: host.weight,
-            started,
+            started_at: started,
         })
     }
 
@@ -906,29 +913,29 @@
 
     fn back(self: &Rc<Self>, name: &str, server: ServerId, ago: Duration) {
         log::line(format!("{name} is back in use"));
-        self.feed(Event::Enable { server, returned: self.clock.ago(ago) });
+        self.feed(Event::Enable { server, enabled_at: self.clock.ago(ago) });
     }
 
     /// Where a server listens, if something new may be sent to it.
     pub fn dial(&self, server: ServerId) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        let may = |h: &&Host| h.state == Listed::Up && !state.out(&h.name);
+        let may = |h: &&Host| h.state == ServerState::Up && !state.out(&h.name);
         state.hosts.get(&server).filter(may).map(|h| h.dial)
     }
 }
 
 /// What the list's word for a state means to the module.
-fn listed(health: Health) -> Listed {
+fn listed(health: Health) -> ServerState {
     match health {
-        Health::Active => Listed::Up,
-        Health::Leaving => Listed::Draining,
-        Health::Left => Listed::Gone,
+        Health::Active => ServerState::Up,
+        Health::Leaving => ServerState::Draining,
+        Health::Left => ServerState::Gone,
     }
 }
 
 /// The module's part of the settings, which knows servers by their numbers.
-fn settings(told: &Told) -> Settings {
-    let weights = told.weights.iter().map(|(name, factor)| (ServerId(number_of(name)), *factor));
+fn settings(told: &NodeSettings) -> Settings {
+    let weights = told.server_weights.iter().map(|(name, factor)| (ServerId(number_of(name)), *factor));
     Settings { server_weights: weights.collect(), ..told.settings.clone() }
 }
 
--- a/src/net/servers.rs
+++ b/src/net/servers.rs
@@ -208,9 +208,9 @@
             }
         };
         match (status, body) {
-            (StatusCode::OK, Some(body)) => (Outcome::Done, Some(Reply { headers, body }), rest),
+            (StatusCode::OK, Some(body)) => (Outcome::Success, Some(Reply { headers, body }), rest),
             (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if away => {
-                (Outcome::Full, None, None)
+                (Outcome::Rejected, None, None)
             }
             (status, _) => {
                 log::trouble(|| format!("answered {status}"));
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -12,7 +12,7 @@
 use crate::balance::Balancer;
 
 mod policy;
-pub use policy::with_policy;
+pub use policy::settings_with_policy;
 
 /// The bit of a request's marks that says its client's guess at the work holds.
 const GUESSED: u64 = 1;
@@ -32,7 +32,7 @@
 
 /// All instances that one process hosts.
 #[derive(Default)]
-pub struct Host {
+pub struct Adapter {
     instances: BTreeMap<u64, Instance>,
     tables: BTreeMap<u64, Vec<Entry>>,
     names: Names,
@@ -73,7 +73,7 @@
 const COUNT: Bound = (|n| n >= 1.0 && n.fract() == 0.0, "a whole number from 1 on");
 const NODES: Bound =
     (|n| (1.0..=NODES_MOST).contains(&n) && n.fract() == 0.0, "a whole number from 1 to 100,000");
-const FACTOR: Bound = (|n| SERVER_WEIGHTS.contains(&n), "a factor from 0.01 to 100");
+const FACTOR: Bound = (|n| SERVER_WEIGHT_RANGE.contains(&n), "a factor from 0.01 to 100");
 
 /// The longest time that settings may name: servers may remember keys for weeks.
 const LONGEST: Millis = 1e12;
@@ -185,53 +185,61 @@
 
 fn class(f: &Fields<'_>) -> Result<Class, WireError> {
     // The narrowest group is the safe reading of an absent one.
-    let group = match f.text_or("DedupScope", "cell")? {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
+    let scope = match f.text_or("DedupScope", "cell")? {
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
         other => return Err(format!("{}: {other} is unknown", f.at("DedupScope"))),
     };
-    let effect = match f.text("Idempotency")? {
-        "pure" => Effect::Safe,
-        "token" => Effect::Keyed { group, memory: f.within_or("MemorySpan", TIME, 0.0)? },
-        "side_effect" => Effect::Unsafe,
+    let idempotency = match f.text("Idempotency")? {
+        "pure" => Idempotency::Safe,
+        "token" => Idempotency::Keyed { scope, dedup_window: f.within_or("MemorySpan", TIME, 0.0)? },
+        "side_effect" => Idempotency::Unsafe,
         other => return Err(format!("{}: {other} is unknown", f.at("Idempotency"))),
     };
     Ok(Class {
-        aim: f.within("Slo", TIME_ABOVE)?,
+        slo: f.within("Slo", TIME_ABOVE)?,
         worth: f.within_or("Value", AMOUNT, 1.0)?,
         deadline: f.within_or("Deadline", TIME_ABOVE, f64::INFINITY)?,
         late_worth: f.within_or("LateValue", SHARE, 0.0)?,
-        effect,
+        idempotency,
     })
 }
 
 /// Votes are read, and refused, as the control group does it.
-fn votes(value: &Value) -> Result<Votes, WireError> {
+fn votes(value: &Value) -> Result<VoteSettings, WireError> {
     let figures = Figures::deserialize(value).map_err(|e| format!("Votes: {e}"))?;
     figures.check().map_err(|e| e.to_string())?;
     let Figures { window, attempts, failed, doubt, aside, trickle, word, .. } = figures;
-    Ok(Votes { window, attempts, failed, doubt, aside, trickle, word })
+    Ok(VoteSettings {
+        evidence_window: window,
+        min_attempts: attempts,
+        failure_threshold: failed,
+        self_doubt_threshold: doubt,
+        suspect_pause: aside,
+        trickle_share: trickle,
+        contact_timeout: word,
+    })
 }
 
 /// What the settings object says: the module's part, and what only a node on sockets needs.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct NodeSettings {
     /// The module's settings.
     pub settings: Settings,
     /// The names of the classes, by index.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// The names of the tenants, by index.
-    pub tenants: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// The longest time that a client waits in any class.
-    pub longest: Millis,
+    pub max_deadline: Millis,
     /// Servers close connections that have been idle for this long.
     pub keepalive: Millis,
     /// The most requests that may be open at a node.
-    pub open_cap: usize,
+    pub max_open_requests: usize,
     /// The operators' factors to servers' sizes, by the servers' names; who knows the servers' ids puts them
     /// into the settings.
-    pub weights: BTreeMap<String, f64>,
+    pub server_weights: BTreeMap<String, f64>,
     /// The names of the servers that get nothing new.
     pub bans: Vec<String>,
 }
@@ -240,19 +248,19 @@
 ///
 /// # Errors
 /// Names the first field that is missing or malformed.
-pub fn told(value: &Value) -> Result<Told, WireError> {
+pub fn parse_settings(value: &Value) -> Result<NodeSettings, WireError> {
     let f = Fields::of(value, "")?;
     let (class_names, classes) = f.named("Classes", class)?;
     if classes.is_empty() {
         return Err("Classes: no classes, one is needed at least".to_string());
     }
-    let longest = classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+    let max_deadline = classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     let tenant = |t: &Fields<'_>| Ok(Tenant { quota_per_s: t.within("QuotaPerS", AMOUNT)? });
     let (tenant_names, tenants) = f.named("Customers", tenant)?;
     let l = Fields::of(f.need("Limits")?, "Limits")?;
     let r = Fields::of(f.need("Contract")?, "Contract")?;
     let (g, t, e) = (f.object("Goal")?, f.object("Retry")?, f.object("Ejection")?);
-    let (retry, ejection) = (Retry::default(), Ejection::default());
+    let (retry, ejection) = (RetryBudget::default(), Ejection::default());
     let weights = f.object("ServerWeights")?;
     let factor =
         |(name, factor): (&String, &Value)| Ok((name.clone(), within(factor, &weights.at(name), FACTOR)?));
@@ -263,19 +271,19 @@
         return Err(format!("Me: {number} is not below PeersTotal"));
     }
     let settings = Settings {
-        number: number as usize,
-        nodes: nodes as usize,
+        node_index: number as usize,
+        node_count: nodes as usize,
         classes,
         tenants,
-        over_share_worth: f.within_or("OverShareWorth", SHARE, 1.0)?,
+        over_quota_worth: f.within_or("OverShareWorth", SHARE, 1.0)?,
         goal: Goal {
             worth: g.within_or("Whole", AMOUNT, 1.0)? + g.within_or("WorstWindow", AMOUNT, 0.0)?,
             worst_class: g.within_or("WorstClass", AMOUNT, 0.0)?,
             worst_tenant: g.within_or("WorstTenant", AMOUNT, 0.0)?,
         },
         limits: Limits {
-            attempts: l.within("AttemptsCap", COUNT)? as usize,
-            second_copies: l.flag_or("MayDuplicate", false)?,
+            max_attempts: l.within("AttemptsCap", COUNT)? as usize,
+            hedging: l.flag_or("MayDuplicate", false)?,
             cancel: l.flag_or("Cancel", false)?,
             probes: l.flag_or("Probes", false)?,
             connect_timeout: l.within("ConnectTimeout", TIME)?,
@@ -285,53 +293,54 @@
                 0.0
             },
         },
-        retry: Retry {
-            share: t.within_or("BudgetShare", SHARE, retry.share)?,
-            most: t.within_or("BudgetMax", AMOUNT, retry.most)?,
+        retry_budget: RetryBudget {
+            ratio: t.within_or("BudgetShare", SHARE, retry.ratio)?,
+            max: t.within_or("BudgetMax", AMOUNT, retry.max)?,
         },
         ejection: Ejection {
-            failures: e.within_or("Failures", COUNT, f64::from(ejection.failures))? as u32,
-            at_most: e.within_or("AtMost", SHARE, ejection.at_most)?,
+            consecutive_failures: e.within_or("Failures", COUNT, f64::from(ejection.consecutive_failures))?
+                as u32,
+            max_fraction: e.within_or("AtMost", SHARE, ejection.max_fraction)?,
         },
         votes: f.get("Votes").map(votes).transpose()?,
         server_weights: BTreeMap::new(),
         rules: Rules {
-            ask_within: r.within_or("AskWithin", TIME, 10_000.0)?,
-            cold_share: r.within("ColdShare", SHARE)?,
-            warm_within: r.within("WarmWithin", TIME)?,
-            fall_multiple: r.within("FallMultiple", AMOUNT)?,
-            fall_window: r.within("Fall", TIME)?,
+            discovery_deadline: r.within_or("AskWithin", TIME, 10_000.0)?,
+            cold_capacity: r.within("ColdShare", SHARE)?,
+            warmup_time: r.within("WarmWithin", TIME)?,
+            overload_multiple: r.within("FallMultiple", AMOUNT)?,
+            overload_window: r.within("Fall", TIME)?,
         },
         discovery: match f.text_or("Discovery", "automatic")? {
-            "subscribe" => Discovery::Asked,
+            "subscribe" => Discovery::Subscribed,
             "automatic" => Discovery::Pushed,
             other => return Err(format!("Discovery: {other} is unknown")),
         },
         weights: match f.text_or("Weights", "silent")? {
-            "nominal" | "rough" => Weights::Listed,
+            "nominal" | "rough" => Weights::Static,
             "live" => Weights::Live,
             "silent" => Weights::None,
             other => return Err(format!("Weights: {other} is unknown")),
         },
         tick: f.within_or("Tick", TIME, 1.0)?,
     };
-    Ok(Told {
+    Ok(NodeSettings {
         settings,
-        classes: class_names,
-        tenants: tenant_names,
-        longest,
+        class_names,
+        tenant_names,
+        max_deadline,
         keepalive: l.within_or("Keepalive", TIME, 15_000.0)?,
-        open_cap: l.within_or("OpenCap", COUNT, 20_000.0)? as usize,
-        weights: factors.collect::<Result<_, WireError>>()?,
+        max_open_requests: l.within_or("OpenCap", COUNT, 20_000.0)? as usize,
+        server_weights: factors.collect::<Result<_, WireError>>()?,
         bans: bans.collect::<Result<_, WireError>>()?,
     })
 }
 
 fn outcome(word: &str) -> Result<Outcome, WireError> {
     Ok(match word {
-        "done" => Outcome::Done,
+        "done" => Outcome::Success,
         "err" => Outcome::Error,
-        "busy" => Outcome::Full,
+        "busy" => Outcome::Rejected,
         "etimedout" => Outcome::TimedOut,
         "econnrefused" => Outcome::ConnectFailed,
         "econnreset" => Outcome::Reset,
@@ -350,7 +359,7 @@
     match action {
         Action::Send { id, server, timeout } => json!(["SUBMIT_TO", id.0, server.0, timeout.unwrap_or(0.0)]),
         Action::Cancel { id, attempt } => json!(["ABORT_ATTEMPT", id.0, attempt]),
-        Action::Refuse { id, stay_away } => json!(["NOT_NOW", id.0, stay_away]),
+        Action::Refuse { id, retry_after } => json!(["NOT_NOW", id.0, retry_after]),
         Action::Fail(id) => json!(["GIVE_UP", id.0]),
         Action::SetTimer(after) => json!(["WAKE_AT", after, 0]),
         Action::Subscribe => json!(["LISTEN", true]),
@@ -358,12 +367,12 @@
     }
 }
 
-impl Host {
+impl Adapter {
     /// Reads one batch and gives the reply, without its line end.
     ///
     /// # Errors
     /// Says what is malformed; the line then has no reply, and the host should not be used any further.
-    pub fn line(&mut self, line: &str) -> Result<String, WireError> {
+    pub fn handle_line(&mut self, line: &str) -> Result<String, WireError> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let f = Fields::of(&batch, "batch")?;
         let now = f.number("Time")?;
@@ -392,7 +401,8 @@
                 self.tables.insert(whole(at(1), "Table")?, entries);
             }
             "CREATE" => {
-                let Told { settings, classes, tenants, .. } = told(at(2))?;
+                let NodeSettings { settings, class_names: classes, tenant_names: tenants, .. } =
+                    parse_settings(at(2))?;
                 let balancer = Balancer::new(settings, whole(at(1), "Prng")?).map_err(|e| e.to_string())?;
                 self.instances.insert(me, Instance { balancer, classes, tenants });
             }
@@ -435,13 +445,13 @@
             cell: if at(3).is_null() { 0 } else { whole(at(3), "Cluster")? },
             kind,
             state: match text(at(4), "Condition")? {
-                "on" => Listed::Up,
-                "fading" => Listed::Draining,
-                "off" => Listed::Gone,
+                "on" => ServerState::Up,
+                "fading" => ServerState::Draining,
+                "off" => ServerState::Gone,
                 other => return Err(format!("Condition: {other} is unknown")),
             },
             weight: optional(at(5), "Weight")?.unwrap_or(1.0),
-            started: optional(at(6), "LastStart")?.filter(|t| *t != 0.0),
+            started_at: optional(at(6), "LastStart")?.filter(|t| *t != 0.0),
         })
     }
 }
@@ -472,23 +482,25 @@
                 class: index(&self.classes, at(2)).ok_or_else(|| "Band: unknown".to_string())?,
                 tenant: index(&self.tenants, at(3)),
                 deadline: number(at(5), "DropDead")?,
-                coming: false,
-                again: at(7).as_u64().is_some_and(|marks| marks & REPEAT != 0),
-                work: at(6).as_f64().filter(|_| at(7).as_u64().is_some_and(|marks| marks & GUESSED != 0)),
+                streaming_body: false,
+                is_retry: at(7).as_u64().is_some_and(|marks| marks & REPEAT != 0),
+                estimated_work: at(6)
+                    .as_f64()
+                    .filter(|_| at(7).as_u64().is_some_and(|marks| marks & GUESSED != 0)),
             },
             "STREAMING" => Event::Streaming { id: id()?, attempt: attempt()? },
-            "RESPONSE" => Event::Ended {
+            "RESPONSE" => Event::AttemptEnded {
                 id: id()?,
                 attempt: attempt()?,
                 server: ServerId(whole(at(3), "Server")?),
                 outcome: outcome(text(at(4), "Outcome")?)?,
-                took: number(at(5), "Rtt")?,
-                finished: at(6).as_bool().ok_or("Terminal: true or false expected")?,
+                elapsed: number(at(5), "Rtt")?,
+                answered: at(6).as_bool().ok_or("Terminal: true or false expected")?,
             },
-            "STATUS_BACK" => Event::Probed {
+            "STATUS_BACK" => Event::ProbeEnded {
                 server: ServerId(whole(at(1), "Server")?),
                 outcome: outcome(text(at(2), "Outcome")?)?,
-                took: number(at(3), "Rtt")?,
+                elapsed: number(at(3), "Rtt")?,
             },
             "GONE" => Event::ClientGone(id()?),
             "WAKE" => Event::Timer,
--- a/src/wire/policy.rs
+++ b/src/wire/policy.rs
@@ -4,17 +4,17 @@
 use member::Policy;
 use serde_json::Value;
 
-use super::{told, Told};
+use super::{parse_settings, NodeSettings};
 
 /// Reads a node's settings object with a policy laid over it.
 ///
 /// # Errors
 /// Names the first field of the policy that may not change, is unknown or has no proper value.
-pub fn with_policy(settings: &Value, policy: &Policy) -> Result<Told, PolicyError> {
+pub fn settings_with_policy(settings: &Value, policy: &Policy) -> Result<NodeSettings, PolicyError> {
     let wrong = |e: &dyn std::fmt::Display| PolicyError::Settings(e.to_string());
-    let before = told(settings).map_err(|e| wrong(&e))?;
-    let after = told(&policy.over(settings)?).map_err(|e| wrong(&e))?;
-    before.settings.may_become(&after.settings).map_err(|e| wrong(&e))?;
+    let before = parse_settings(settings).map_err(|e| wrong(&e))?;
+    let after = parse_settings(&policy.over(settings)?).map_err(|e| wrong(&e))?;
+    before.settings.check_update(&after.settings).map_err(|e| wrong(&e))?;
     Ok(after)
 }
 
@@ -36,8 +36,8 @@
         })
     }
 
-    fn with(policy: Value) -> Result<Told, String> {
-        with_policy(&settings(), &Policy(policy.as_object().expect("an object").clone()))
+    fn with(policy: Value) -> Result<NodeSettings, String> {
+        settings_with_policy(&settings(), &Policy(policy.as_object().expect("an object").clone()))
             .map_err(|e| e.to_string())
     }
 
@@ -52,14 +52,29 @@
         }))
         .expect("a good policy");
         let set = &told.settings;
-        assert_eq!((set.classes[0].aim, set.classes[1].aim, set.classes[1].late_worth), (100.0, 90.0, 0.5));
-        assert_eq!((set.tenants[0].quota_per_s, set.limits.attempts, told.open_cap), (25.0, 1, 77));
-        assert_eq!((set.retry.share, set.retry.most, set.limits.max_retry_after), (0.05, 10.0, 900.0));
-        assert_eq!((set.ejection.failures, set.ejection.at_most), (5, 0.25));
-        assert_eq!(set.votes.as_ref().map(|v| (v.failed, v.word)), Some((0.4, 5_000.0)));
-        assert_eq!((told.weights.get("s-1"), told.bans.as_slice()), (Some(&0.5), &["s-2".to_string()][..]));
+        assert_eq!((set.classes[0].slo, set.classes[1].slo, set.classes[1].late_worth), (100.0, 90.0, 0.5));
+        assert_eq!(
+            (set.tenants[0].quota_per_s, set.limits.max_attempts, told.max_open_requests),
+            (25.0, 1, 77)
+        );
+        assert_eq!(
+            (set.retry_budget.ratio, set.retry_budget.max, set.limits.max_retry_after),
+            (0.05, 10.0, 900.0)
+        );
+        assert_eq!((set.ejection.consecutive_failures, set.ejection.max_fraction), (5, 0.25));
+        assert_eq!(
+            set.votes.as_ref().map(|v| (v.failure_threshold, v.contact_timeout)),
+            Some((0.4, 5_000.0))
+        );
+        assert_eq!(
+            (told.server_weights.get("s-1"), told.bans.as_slice()),
+            (Some(&0.5), &["s-2".to_string()][..])
+        );
         let plain = with(json!({})).expect("no change");
-        assert_eq!(format!("{plain:?}"), format!("{:?}", super::told(&settings()).expect("good settings")));
+        assert_eq!(
+            format!("{plain:?}"),
+            format!("{:?}", super::parse_settings(&settings()).expect("good settings"))
+        );
     }
 
     #[test]
@@ -72,6 +87,6 @@
             let error = with(policy).expect_err(words);
             assert!(error.starts_with(words), "{error}");
         }
-        assert_eq!(member::policy::SERVER_WEIGHTS, crate::api::SERVER_WEIGHTS);
+        assert_eq!(member::policy::SERVER_WEIGHTS, crate::api::SERVER_WEIGHT_RANGE);
     }
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,7 +1,7 @@
 //! The adapter on lines written by hand, and the limits on the module's text.
 
 use serde_json::{json, Value};
-use tulipmount::wire::Host;
+use tulipmount::wire::Adapter;
 
 fn options() -> Value {
     json!({
@@ -22,8 +22,8 @@
     json!({"Time": time, "round": round, "parts": parts}).to_string()
 }
 
-fn reply(host: &mut Host, round: u64, time: f64, parts: Value) -> Value {
-    let line = host.line(&batch(round, time, parts)).expect("a reply");
+fn reply(host: &mut Adapter, round: u64, time: f64, parts: Value) -> Value {
+    let line = host.handle_line(&batch(round, time, parts)).expect("a reply");
     let value: Value = serde_json::from_str(&line).expect("JSON");
     assert_eq!(value["round"], round);
     value["parts"].clone()
@@ -39,13 +39,13 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     assert_eq!(reply(&mut host, 1, 5.0, json!([])), json!([]));
 }
 
 #[test]
 fn a_request_goes_out_and_comes_back() {
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let parts = reply(&mut host, 1, 100.0, json!([{"I": 3, "input": start(two_servers())}]));
     let steps = parts[0]["steps"].as_array().expect("steps");
     assert_eq!(parts[0]["I"], 3);
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_restart_in_one_batch_forgets_all() {
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     reply(&mut host, 1, 100.0, json!([{"I": 0, "input": start(two_servers())}]));
     let mut input = vec![json!(["HALT"])];
     let news = json!([[13, "a", "x", 0, "on", 1, null]]);
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_table_used_again_within_a_batch_is_read_in_order() {
-    let mut host = Host::default();
+    let mut host = Adapter::default();
     let mut input = start(two_servers()).as_array().expect("events").clone();
     input.push(json!(["ROSTER", 0, [[11, "a", "x", 0, "fading", 1, null]]]));
     input.push(json!(["TOPOLOGY", 2, "Partial", 0]));
@@ -132,7 +132,7 @@
         (no_me, "Me is missing"),
         (no_classes, "no classes"),
     ] {
-        let error = Host::default().line(&line).expect_err(words);
+        let error = Adapter::default().handle_line(&line).expect_err(words);
         assert!(error.contains(words), "{error}");
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,45 +14,51 @@
 pub const DRAIN_GRACE: f64 = 0.0;
 
 pub fn settings() -> Settings {
-    let class = |aim, worth, effect| Class { aim, deadline: 2.0 * PATIENCE, worth, late_worth: 0.0, effect };
+    let class = |slo, worth, idempotency| Class {
+        slo,
+        deadline: 2.0 * PATIENCE,
+        worth,
+        late_worth: 0.0,
+        idempotency,
+    };
     Settings {
-        number: 0,
-        nodes: 2,
+        node_index: 0,
+        node_count: 2,
         classes: vec![
-            class(100.0, 1.0, Effect::Safe),
-            class(200.0, 3.0, Effect::Keyed { group: Group::Cell, memory: MEMORY }),
-            class(100.0, 10.0, Effect::Unsafe),
+            class(100.0, 1.0, Idempotency::Safe),
+            class(200.0, 3.0, Idempotency::Keyed { scope: DedupScope::Cell, dedup_window: MEMORY }),
+            class(100.0, 10.0, Idempotency::Unsafe),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.2,
+        over_quota_worth: 0.2,
         goal: Goal { worth: 0.8, worst_class: 0.2, worst_tenant: 0.0 },
         limits: Limits {
-            attempts: 4,
-            second_copies: true,
+            max_attempts: 4,
+            hedging: true,
             cancel: true,
             probes: true,
             connect_timeout: 50.0,
             max_retry_after: 1000.0,
         },
-        retry: Retry::default(),
+        retry_budget: RetryBudget::default(),
         ejection: Ejection::default(),
         votes: None,
         server_weights: Default::default(),
         rules: Rules {
-            ask_within: 10_000.0,
-            cold_share: 0.15,
-            warm_within: 20_000.0,
-            fall_multiple: 3.0,
-            fall_window: 1000.0,
+            discovery_deadline: 10_000.0,
+            cold_capacity: 0.15,
+            warmup_time: 20_000.0,
+            overload_multiple: 3.0,
+            overload_window: 1000.0,
         },
         discovery: Discovery::Pushed,
-        weights: Weights::Listed,
+        weights: Weights::Static,
         tick: 2.0,
     }
 }
 
 pub fn entry(server: u64, weight: f64) -> Entry {
-    let state = Listed::Up;
+    let state = ServerState::Up;
     Entry {
         server: ServerId(server),
         zone: server % 2,
@@ -60,7 +66,7 @@
         kind: 0,
         state,
         weight,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -133,7 +139,18 @@
         let id = RequestId(self.next);
         self.next += 1;
         let deadline = self.now + left;
-        (id, self.event(Event::Request { id, class, tenant, deadline, coming: false, again, work }))
+        (
+            id,
+            self.event(Event::Request {
+                id,
+                class,
+                tenant,
+                deadline,
+                streaming_body: false,
+                is_retry: again,
+                estimated_work: work,
+            }),
+        )
     }
 
     /// A request whose body is still coming.
@@ -148,9 +165,9 @@
                 class,
                 tenant: None,
                 deadline,
-                coming: true,
-                again: false,
-                work: None,
+                streaming_body: true,
+                is_retry: false,
+                estimated_work: None,
             }),
         )
     }
@@ -161,8 +178,8 @@
         let attempt = sent.len() - 1;
         let (server, at) = sent[attempt];
         let took = self.now - at;
-        let finished = outcome == Outcome::Done;
-        self.event(Event::Ended { id, attempt, server, outcome, took, finished })
+        let finished = outcome == Outcome::Success;
+        self.event(Event::AttemptEnded { id, attempt, server, outcome, elapsed: took, answered: finished })
     }
 
     /// One request that is served after `took`; gives its server.
@@ -184,7 +201,7 @@
         let server = sent_to(&actions);
         self.now += took;
         if server.is_some() {
-            self.end(id, Outcome::Done);
+            self.end(id, Outcome::Success);
         }
         server
     }
@@ -226,9 +243,17 @@
 }
 
 /// Figures of votes for days of some seconds.
-pub fn votes() -> Votes {
-    let (window, aside, word) = (500.0, 50.0, 500.0);
-    Votes { window, attempts: 3, failed: 0.5, doubt: 0.4, aside, trickle: 0.1, word }
+pub fn votes() -> VoteSettings {
+    let (evidence_window, suspect_pause, contact_timeout) = (500.0, 50.0, 500.0);
+    VoteSettings {
+        evidence_window,
+        min_attempts: 3,
+        failure_threshold: 0.5,
+        self_doubt_threshold: 0.4,
+        suspect_pause,
+        trickle_share: 0.1,
+        contact_timeout,
+    }
 }
 
 /// Watches what a node is told and does, and notes each breach of a rule.
@@ -251,7 +276,7 @@
         match event {
             Event::List { entries, .. } => {
                 for (entry, gone) in self.servers.values_mut() {
-                    entry.state = Listed::Gone;
+                    entry.state = ServerState::Gone;
                     gone.get_or_insert(now);
                 }
                 self.listed(now, entries);
@@ -270,10 +295,10 @@
                 self.requests.insert(*id, held);
                 self.asked.push(now);
             }
-            Event::Ended { id, attempt, outcome, finished, .. } => {
+            Event::AttemptEnded { id, attempt, outcome, answered, .. } => {
                 if let Some(held) = self.requests.get_mut(id) {
                     held.attempts[*attempt].3 = Some(*outcome);
-                    held.over |= *finished;
+                    held.over |= *answered;
                 }
             }
             Event::ClientGone(id) => {
@@ -287,9 +312,9 @@
 
     fn listed(&mut self, now: f64, entries: &[Entry]) {
         for entry in entries {
-            let gone = (entry.state != Listed::Up).then_some(now);
+            let gone = (entry.state != ServerState::Up).then_some(now);
             let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone));
-            if known.0.started != entry.started {
+            if known.0.started_at != entry.started_at {
                 self.ruled.entry(entry.server).and_modify(|(_, runs)| *runs = false);
             }
             known.1 = if gone.is_some() { known.1.or(gone) } else { None };
@@ -299,9 +324,9 @@
 
     /// Is a server removed by votes, and is it probed? Not where too few would be left, nor without news.
     fn removed(&self, settings: &Settings, now: f64, server: ServerId) -> Option<bool> {
-        let fresh = settings.votes.as_ref().is_some_and(|v| now - self.heard < v.word);
-        let listed = self.servers.values().filter(|(e, _)| e.state != Listed::Gone).count();
-        let up = self.servers.iter().filter(|(_, (e, _))| e.state == Listed::Up);
+        let fresh = settings.votes.as_ref().is_some_and(|v| now - self.heard < v.contact_timeout);
+        let listed = self.servers.values().filter(|(e, _)| e.state != ServerState::Gone).count();
+        let up = self.servers.iter().filter(|(_, (e, _))| e.state == ServerState::Up);
         let left = up.filter(|(id, _)| !self.ruled.contains_key(id)).count();
         let ruled = self.ruled.get(&server).filter(|(_, runs)| *runs && fresh && 2 * left >= listed);
         ruled.map(|(probe, _)| *probe)
@@ -329,17 +354,19 @@
                     note(format!("rule 3: {server:?} got work after its drain"));
                 }
                 let mut ran = held.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
-                let harmless = match settings.classes[held.class].effect {
-                    Effect::Safe => true,
-                    Effect::Unsafe => ran.next().is_none(),
-                    Effect::Keyed { memory, .. } => ran.all(|a| a.1 == entry.cell && now < a.2 + memory),
+                let harmless = match settings.classes[held.class].idempotency {
+                    Idempotency::Safe => true,
+                    Idempotency::Unsafe => ran.next().is_none(),
+                    Idempotency::Keyed { dedup_window, .. } => {
+                        ran.all(|a| a.1 == entry.cell && now < a.2 + dedup_window)
+                    }
                 };
                 if !harmless {
                     note(format!("rule 2: {id:?} sent again"));
                 }
                 held.attempts.push((*server, entry.cell, now, None));
-                let age = entry.started.map_or(f64::INFINITY, |t| now - t);
-                let cold = age < settings.rules.warm_within;
+                let age = entry.started_at.map_or(f64::INFINITY, |t| now - t);
+                let cold = age < settings.rules.warmup_time;
                 let sends = if cold { &mut self.cold_sends } else { &mut self.warm_sends };
                 sends.push((*server, now));
                 if cold {
@@ -349,7 +376,7 @@
             Action::Refuse { id, .. } => {
                 let Some(held) = self.requests.get_mut(id) else { return note(format!("{id:?} is unknown")) };
                 let ran = held.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
-                if ran && settings.classes[held.class].effect != Effect::Safe {
+                if ran && settings.classes[held.class].idempotency != Idempotency::Safe {
                     note(format!("rule 2: {id:?} refused though it may have run"));
                 }
                 Self::answered(held, settings, now, *id, &mut self.breaches);
@@ -378,14 +405,14 @@
     fn check_cold(&mut self, settings: &Settings, now: f64, server: ServerId, age: f64) {
         let rules = &settings.rules;
         let recent = |sends: &[(ServerId, f64)], s: ServerId| {
-            sends.iter().filter(|x| x.0 == s && x.1 > now - rules.fall_window).count()
+            sends.iter().filter(|x| x.0 == s && x.1 > now - rules.overload_window).count()
         };
         let warm = self.warm_sends.iter().map(|x| recent(&self.warm_sends, x.0)).max().unwrap_or(0);
-        let asked = self.asked.iter().filter(|t| **t > now - rules.fall_window).count();
+        let asked = self.asked.iter().filter(|t| **t > now - rules.overload_window).count();
         let up = self.servers.values().filter(|(_, gone)| gone.is_none()).count().max(1);
         let warm = (warm as f64).max(asked as f64 / up as f64);
-        let share = rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_within;
-        let budget = rules.fall_multiple * share * warm;
+        let share = rules.cold_capacity + (1.0 - rules.cold_capacity) * age / rules.warmup_time;
+        let budget = rules.overload_multiple * share * warm;
         if recent(&self.cold_sends, server) as f64 > budget.max(1.0) + 1.0 {
             self.breaches.push(format!("rule 4: {server:?} pushed"));
         }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -40,7 +40,7 @@
 fn a_request_keeps_the_aim_that_it_came_under() {
     let mut node = Node::fleet(settings(), 1);
     let mut short = settings();
-    short.classes[SAFE].aim = 40.0;
+    short.classes[SAFE].slo = 40.0;
     let timeout = |actions: &[Action]| {
         actions.iter().find_map(|a| if let Action::Send { timeout, .. } = a { *timeout } else { None })
     };
@@ -54,14 +54,14 @@
     // A quarter of an aim is how long one is held: 10 of 40, 25 of 100.
     let actions = node.wait(15.0);
     assert!(refused(&actions, late) && !refused(&actions, held), "{actions:?}");
-    assert!(actions.contains(&Action::Refuse { id: late, stay_away: 10.0 }), "{actions:?}");
-    let actions = node.end(out[0].0, Outcome::Done);
+    assert!(actions.contains(&Action::Refuse { id: late, retry_after: 10.0 }), "{actions:?}");
+    let actions = node.end(out[0].0, Outcome::Success);
     assert_eq!(
         (sends(&actions), timeout(&actions)),
         (vec![held], Some(83.0)),
         "its own aim, less the 15 held"
     );
-    node.end(out[1].0, Outcome::Done);
+    node.end(out[1].0, Outcome::Success);
     assert_eq!(timeout(&node.ask(SAFE).1), Some(38.0));
 }
 
@@ -69,7 +69,7 @@
 fn attempts_cut_to_one_leave_retries_under_way() {
     let mut node = Node::fleet(settings(), 3);
     let (old, _) = node.ask(SAFE);
-    policy(&mut node, Settings { limits: Limits { attempts: 1, ..settings().limits }, ..settings() });
+    policy(&mut node, Settings { limits: Limits { max_attempts: 1, ..settings().limits }, ..settings() });
     let (new, _) = node.ask(SAFE);
     assert_eq!(sends(&node.end(old, Outcome::Error)), [old], "it came when four were permitted");
     assert_eq!(sends(&node.end(old, Outcome::Error)), [old]);
@@ -80,7 +80,7 @@
 #[test]
 fn a_smaller_retry_budget_takes_what_was_saved_up() {
     let mut node = Node::fleet(settings(), 3);
-    policy(&mut node, Settings { retry: Retry { share: 0.0, most: 1.0 }, ..settings() });
+    policy(&mut node, Settings { retry_budget: RetryBudget { ratio: 0.0, max: 1.0 }, ..settings() });
     let retried = |node: &mut Node| {
         let (id, _) = node.ask(SAFE);
         !sends(&node.end(id, Outcome::Error)).is_empty()
@@ -94,7 +94,7 @@
 fn a_quota_that_halves_gives_no_burst() {
     // Over its share a tenant's requests are worth nothing: with one server full, those within go first.
     let set =
-        |quota_per_s| Settings { tenants: vec![Tenant { quota_per_s }], over_share_worth: 0.0, ..settings() };
+        |quota_per_s| Settings { tenants: vec![Tenant { quota_per_s }], over_quota_worth: 0.0, ..settings() };
     let mut node = Node::fleet(set(40.0), 1);
     node.wait(1000.0);
     assert_eq!(within_share(&mut node), 20, "all that two nodes may save up in a second");
@@ -136,7 +136,7 @@
         policy(&mut node, Settings { server_weights: weights.iter().copied().collect(), ..settings() });
         turns(&mut node, 400);
         let started = Some(node.now);
-        node.event(Event::ListChange(vec![Entry { started, ..entry(2, 1.0) }]));
+        node.event(Event::ListChange(vec![Entry { started_at: started, ..entry(2, 1.0) }]));
         count(&turns(&mut node, 200), 2)
     };
     let (even, heavy) = (sent(&[]), sent(&[(ServerId(2), 50.0)]));
@@ -146,7 +146,10 @@
 #[test]
 fn fewer_failures_eject_sooner() {
     let mut node = Node::fleet(settings(), 3);
-    policy(&mut node, Settings { ejection: Ejection { failures: 1, at_most: 0.4 }, ..settings() });
+    policy(
+        &mut node,
+        Settings { ejection: Ejection { consecutive_failures: 1, max_fraction: 0.4 }, ..settings() },
+    );
     for ejected in [1, 1] {
         let (id, _) = node.ask(UNSAFE);
         node.end(id, Outcome::Error);
@@ -171,7 +174,7 @@
     let (id, _) = node.ask_with(SAFE, None, 90.0);
     let mut long = settings();
     for class in &mut long.classes {
-        class.aim = 5000.0;
+        class.slo = 5000.0;
     }
     policy(&mut node, long);
     let actions = node.wait(35.0);
@@ -182,28 +185,28 @@
 fn what_may_not_change_changes_nothing() {
     type Change = fn(&mut Settings);
     let changes: [(&str, Change); 11] = [
-        ("number", |s| s.number = 1),
-        ("nodes", |s| s.nodes = 3),
+        ("node_index", |s| s.node_index = 1),
+        ("node_count", |s| s.node_count = 3),
         ("classes: their number", |s| s.classes.truncate(1)),
-        ("classes: an effect", |s| s.classes[UNSAFE].effect = Effect::Safe),
+        ("classes: an effect", |s| s.classes[UNSAFE].idempotency = Idempotency::Safe),
         ("tenants", |s| s.tenants.push(Tenant { quota_per_s: 1.0 })),
-        ("rules", |s| s.rules.cold_share = 1.0),
-        ("discovery", |s| s.discovery = Discovery::Asked),
+        ("rules", |s| s.rules.cold_capacity = 1.0),
+        ("discovery", |s| s.discovery = Discovery::Subscribed),
         ("weights", |s| s.weights = Weights::None),
         ("limits.probes", |s| s.limits.probes = false),
-        ("ejection.failures", |s| s.ejection.failures = 0),
+        ("ejection.consecutive_failures", |s| s.ejection.consecutive_failures = 0),
         ("server_weights[3]: 0 is outside 0.01 to 100", |s| s.server_weights = [(ServerId(3), 0.0)].into()),
     ];
     for (name, change) in changes {
         let mut other = settings();
         change(&mut other);
-        other.limits.attempts = 1;
-        let error = settings().may_become(&other).expect_err(name);
+        other.limits.max_attempts = 1;
+        let error = settings().check_update(&other).expect_err(name);
         assert!(error.0.starts_with(name), "{error}");
         let mut node = Node::fleet(settings(), 3);
         policy(&mut node, other);
         let (id, _) = node.ask(SAFE);
         assert_eq!(sends(&node.end(id, Outcome::Error)), [id], "{name}: the settings are as they were");
     }
-    assert_eq!(settings().may_become(&settings()), Ok(()));
+    assert_eq!(settings().check_update(&settings()), Ok(()));
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -12,7 +12,7 @@
     Ask(usize, f64),
     /// Ends some attempt that is out, in some way.
     End(usize, Outcome),
-    List(usize, Listed, bool),
+    List(usize, ServerState, bool),
     ListFailed,
     Leave(usize),
     Wait(f64),
@@ -27,14 +27,14 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let outcome = prop_oneof![
-        6 => Just(Outcome::Done),
+        6 => Just(Outcome::Success),
         1 => Just(Outcome::Error),
-        2 => Just(Outcome::Full),
+        2 => Just(Outcome::Rejected),
         1 => Just(Outcome::TimedOut),
         2 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::Reset),
     ];
-    let state = prop_oneof![3 => Just(Listed::Up), 1 => Just(Listed::Draining), 1 => Just(Listed::Gone)];
+    let state = prop_oneof![3 => Just(ServerState::Up), 1 => Just(ServerState::Draining), 1 => Just(ServerState::Gone)];
     prop_oneof![
         8 => (0..3usize, 20.0..400.0).prop_map(|(class, time)| Step::Ask(class, time)),
         8 => (any::<prop::sample::Index>(), outcome).prop_map(|(i, o)| Step::End(i.index(1000), o)),
@@ -107,12 +107,19 @@
     fn end(&mut self, index: usize, outcome: Outcome) {
         let out = self.out.remove(index);
         let owed = self.open.contains_key(&out.id);
-        let finished = !owed || outcome == Outcome::Done;
+        let finished = !owed || outcome == Outcome::Success;
         if finished {
             self.open.remove(&out.id);
         }
         let (id, attempt, server) = (out.id, out.attempt, out.server);
-        self.event(Event::Ended { id, attempt, server, outcome, took: self.now - out.sent, finished });
+        self.event(Event::AttemptEnded {
+            id,
+            attempt,
+            server,
+            outcome,
+            elapsed: self.now - out.sent,
+            answered: finished,
+        });
     }
 
     fn wait(&mut self, span: f64) {
@@ -142,15 +149,15 @@
             Step::Ask(class, time) => {
                 let (id, deadline) = (RequestId(next), day.now + time);
                 next += 1;
-                day.open.insert(id, (deadline, 0, day.settings.limits.attempts));
+                day.open.insert(id, (deadline, 0, day.settings.limits.max_attempts));
                 day.event(Event::Request {
                     id,
                     class: *class,
                     tenant: None,
                     deadline,
-                    coming: false,
-                    again: false,
-                    work: None,
+                    streaming_body: false,
+                    is_retry: false,
+                    estimated_work: None,
                 });
             }
             Step::End(i, outcome) => {
@@ -160,7 +167,7 @@
             }
             Step::List(server, state, cold) => {
                 let started = cold.then_some(day.now - 500.0);
-                let changed = Entry { state: *state, started, ..entry(*server as u64, 1.0) };
+                let changed = Entry { state: *state, started_at: started, ..entry(*server as u64, 1.0) };
                 day.event(Event::ListChange(vec![changed]));
             }
             Step::ListFailed => day.event(Event::ListFailed),
@@ -172,11 +179,11 @@
             }
             Step::Wait(span) => day.wait(*span),
             Step::Probe(server, up) => {
-                let outcome = if *up { Outcome::Done } else { Outcome::ConnectFailed };
-                day.event(Event::Probed { server: ServerId(*server as u64), outcome, took: 1.0 });
+                let outcome = if *up { Outcome::Success } else { Outcome::ConnectFailed };
+                day.event(Event::ProbeEnded { server: ServerId(*server as u64), outcome, elapsed: 1.0 });
             }
             Step::Verdicts(out, probe) => {
-                let ruling = |(server, probe)| Ruling { server: ServerId(server as u64), probe };
+                let ruling = |(server, probe)| ServerVerdict { server: ServerId(server as u64), probe };
                 let rulings = [Some((*out, false)), probe.map(|server| (server, true))];
                 day.event(Event::Verdicts(rulings.into_iter().flatten().map(ruling).collect()));
             }
@@ -184,11 +191,11 @@
                 let mut new = common::settings();
                 new.votes = Some(votes()).filter(|_| *attempts != 5);
                 for (class, part) in new.classes.iter_mut().zip(aims) {
-                    class.aim *= part;
+                    class.slo *= part;
                 }
-                new.limits.attempts = *attempts;
-                new.ejection.failures = *failures;
-                new.retry.most = *most;
+                new.limits.max_attempts = *attempts;
+                new.ejection.consecutive_failures = *failures;
+                new.retry_budget.max = *most;
                 new.server_weights = [(ServerId(*attempts as u64), *weight)].into();
                 day.settings = new.clone();
                 day.event(Event::Policy(Box::new(new)));
@@ -196,10 +203,17 @@
             Step::Odd(n) => {
                 let (id, server) = (RequestId(n | 1 << 40), ServerId(*n));
                 let (outcome, took) = (Outcome::TimedOut, 3.0);
-                day.event(Event::Ended { id, attempt: 9, server, outcome, took, finished: false });
+                day.event(Event::AttemptEnded {
+                    id,
+                    attempt: 9,
+                    server,
+                    outcome,
+                    elapsed: took,
+                    answered: false,
+                });
                 day.event(Event::Streaming { id, attempt: 0 });
                 day.event(Event::ClientGone(id));
-                day.event(Event::Probed { server, outcome, took });
+                day.event(Event::ProbeEnded { server, outcome, elapsed: took });
             }
         }
     }
@@ -238,7 +252,7 @@
             log.push(format!("{actions:?}"));
             node.now += (n * seed % 17) as f64;
             if sent_to(&actions).is_some() {
-                log.push(format!("{:?}", node.end(id, Outcome::Done)));
+                log.push(format!("{:?}", node.end(id, Outcome::Success)));
             }
         }
         log
@@ -265,7 +279,7 @@
 #[test]
 fn the_referee_catches_a_refusal_of_what_may_have_run() {
     caught("rule 2", |a| match a {
-        Action::Fail(id) => Some(Action::Refuse { id: *id, stay_away: 0.0 }),
+        Action::Fail(id) => Some(Action::Refuse { id: *id, retry_after: 0.0 }),
         a => Some(a.clone()),
     });
 }
--- a/tests/rotation.rs
+++ b/tests/rotation.rs
@@ -20,9 +20,9 @@
 
 #[test]
 fn each_node_starts_at_its_own_number() {
-    let mut node = Node::fleet(Settings { number: 1, nodes: 7, ..settings() }, 4);
+    let mut node = Node::fleet(Settings { node_index: 1, node_count: 7, ..settings() }, 4);
     assert_eq!(turns(&mut node, 5), [1, 2, 3, 0, 1]);
-    let mut node = Node::fleet(Settings { number: 6, nodes: 7, ..settings() }, 4);
+    let mut node = Node::fleet(Settings { node_index: 6, node_count: 7, ..settings() }, 4);
     assert_eq!(turns(&mut node, 5), [2, 3, 0, 1, 2]);
 }
 
@@ -53,11 +53,11 @@
 /// the servers after the offsets got everything.
 #[test]
 fn a_change_of_members_keeps_the_place() {
-    let mut node = Node::fleet(Settings { number: 1, ..settings() }, 3);
+    let mut node = Node::fleet(Settings { node_index: 1, ..settings() }, 3);
     assert_eq!(turns(&mut node, 2), [1, 2]);
     node.event(Event::ListChange(vec![entry(3, 1.0)]));
     assert_eq!(turns(&mut node, 8), [3, 0, 1, 2, 3, 0, 1, 2]);
-    node.event(Event::ListChange(vec![Entry { state: Listed::Gone, ..entry(1, 1.0) }]));
+    node.event(Event::ListChange(vec![Entry { state: ServerState::Gone, ..entry(1, 1.0) }]));
     assert_eq!(turns(&mut node, 4), [3, 0, 2, 3]);
 }
 
@@ -71,7 +71,7 @@
         node.now += 30.0;
         let actions = node.end(id, Outcome::ConnectFailed);
         assert_eq!(sent_to(&actions), Some(ServerId(2)), "a further attempt takes the next turn");
-        node.end(id, Outcome::Done);
+        node.end(id, Outcome::Success);
         assert_eq!(turns(&mut node, 2), [3, 0]);
     }
     assert_eq!(turns(&mut node, 6), [2, 3, 0, 2, 3, 0]);
@@ -94,7 +94,7 @@
         let server = sent_to(&actions).expect("sent");
         // The listed sizes are alike, yet server 0 takes most of the aim.
         node.now += if server.0 == 0 { 90.0 } else { 10.0 };
-        node.end(id, Outcome::Done);
+        node.end(id, Outcome::Success);
         if round >= 300 {
             sent[server.0 as usize] += 1;
         }
@@ -105,7 +105,8 @@
 /// The servers that each of `nodes` nodes sends to in two rounds.
 fn subsets(nodes: usize, servers: &[Entry]) -> Vec<Vec<u64>> {
     let of = |number| {
-        let mut node = Node::new(Settings { number, nodes, ..settings() }, servers.to_vec());
+        let mut node =
+            Node::new(Settings { node_index: number, node_count: nodes, ..settings() }, servers.to_vec());
         let mut met = turns(&mut node, 12);
         met.sort_unstable();
         met.dedup();
@@ -159,7 +160,7 @@
 #[test]
 fn a_subset_that_is_down_widens() {
     let fleet: Vec<_> = (0..60).map(|id| entry(id, 1.0)).collect();
-    let mut node = Node::new(Settings { nodes: 300, ..settings() }, fleet);
+    let mut node = Node::new(Settings { node_count: 300, ..settings() }, fleet);
     let first = turns(&mut node, 8);
     let mut served = 0;
     for _ in 0..40 {
@@ -170,7 +171,7 @@
             node.now += 0.3;
             let down = first.contains(&server.0);
             actions.retain(|a| !matches!(a, Action::Send { id: of, .. } if *of == id));
-            actions.extend(node.end(id, if down { Outcome::ConnectFailed } else { Outcome::Done }));
+            actions.extend(node.end(id, if down { Outcome::ConnectFailed } else { Outcome::Success }));
             served += usize::from(!down);
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn an_unsafe_request_that_never_ran_is_resent() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut node = Node::fleet(settings(), 3);
         let (id, _) = node.ask(UNSAFE);
         assert_eq!(sent_to(&node.end(id, outcome)), Some(ServerId(1)));
@@ -35,8 +35,8 @@
 #[test]
 fn a_keyed_request_is_not_resent_once_forgotten() {
     let mut slow = settings();
-    slow.classes[KEYED].aim = 2000.0;
-    slow.classes[KEYED].effect = Effect::Keyed { group: Group::All, memory: 5.0 };
+    slow.classes[KEYED].slo = 2000.0;
+    slow.classes[KEYED].idempotency = Idempotency::Keyed { scope: DedupScope::All, dedup_window: 5.0 };
     let mut node = Node::fleet(slow, 4);
     let (id, _) = node.ask(KEYED);
     node.now += 6.0;
@@ -47,7 +47,7 @@
 #[test]
 fn a_draining_server_gets_nothing_new() {
     let mut node = Node::fleet(settings(), 2);
-    node.event(Event::ListChange(vec![Entry { state: Listed::Draining, ..entry(0, 1.0) }]));
+    node.event(Event::ListChange(vec![Entry { state: ServerState::Draining, ..entry(0, 1.0) }]));
     for _ in 0..5 {
         assert_eq!(node.serve(SAFE, 1.0), Some(ServerId(1)));
     }
@@ -80,13 +80,13 @@
     node.now += 5000.0;
     assert!(node.serve(SAFE, 1.0).is_some(), "there is room for others");
     for (id, _) in &coming {
-        node.event(Event::Whole { id: *id, deadline: node.now + PATIENCE });
+        node.event(Event::BodyComplete { id: *id, deadline: node.now + PATIENCE });
     }
     let (held, actions) = node.ask(SAFE);
     assert!(sent_to(&actions).is_none(), "the server has all of them now");
     let (first, _) = coming[0];
     for (id, _) in &coming {
-        node.end(*id, Outcome::Done);
+        node.end(*id, Outcome::Success);
     }
     assert!(!refused(&node.wait(1.0), held) && !failed(&node.wait(1.0), first));
 }
@@ -101,14 +101,14 @@
     node.event(Event::Disable(ServerId(1)));
     let again = node.end(held, Outcome::ConnectFailed);
     assert_eq!(sent_to(&again), Some(ServerId(0)), "a repeat goes to the one that is left");
-    node.end(held, Outcome::Done);
+    node.end(held, Outcome::Success);
     for _ in 0..5 {
         assert_eq!(node.serve(SAFE, 1.0), Some(ServerId(0)));
         node.event(Event::List { entries: vec![entry(0, 1.0), entry(1, 1.0)], saved: false });
-        node.event(Event::ListChange(vec![Entry { started: Some(node.now), ..entry(1, 1.0) }]));
+        node.event(Event::ListChange(vec![Entry { started_at: Some(node.now), ..entry(1, 1.0) }]));
     }
     let returned = node.now;
-    node.event(Event::Enable { server: ServerId(1), returned });
+    node.event(Event::Enable { server: ServerId(1), enabled_at: returned });
     let sent: Vec<_> = (0..400).filter_map(|_| node.serve(SAFE, 5.0)).collect();
     assert!(sent.contains(&ServerId(1)), "in use again within 2 s");
 }
@@ -122,14 +122,14 @@
     }
     node.event(Event::Disable(ServerId(3)));
     let returned = node.now;
-    node.event(Event::Enable { server: ServerId(3), returned });
+    node.event(Event::Enable { server: ServerId(3), enabled_at: returned });
     let mut sent = [0; 4];
     for _ in 0..200 {
         sent[node.serve(SAFE, 5.0).expect("sent").0 as usize] += 1;
     }
     assert!(sent[3] >= 5 && sent[3] * 4 < sent[0], "{sent:?}");
     // To a node that starts much later, it is as warm as the others.
-    node.event(Event::Enable { server: ServerId(2), returned: node.now - 30_000.0 });
+    node.event(Event::Enable { server: ServerId(2), enabled_at: node.now - 30_000.0 });
     let before = sent;
     for _ in 0..200 {
         sent[node.serve(SAFE, 5.0).expect("sent").0 as usize] += 1;
@@ -142,21 +142,21 @@
 fn disabling_all_that_there_is_refuses_in_time() {
     let mut node = Node::fleet(settings(), 3);
     node.event(Event::ListChange(vec![
-        Entry { state: Listed::Draining, ..entry(1, 1.0) },
-        Entry { state: Listed::Gone, ..entry(2, 1.0) },
+        Entry { state: ServerState::Draining, ..entry(1, 1.0) },
+        Entry { state: ServerState::Gone, ..entry(2, 1.0) },
     ]));
     let (out, _) = node.ask(SAFE);
     for id in 0..4 {
         node.event(Event::Disable(ServerId(id)));
     }
-    node.end(out, Outcome::Done);
+    node.end(out, Outcome::Success);
     let (id, actions) = node.ask(UNSAFE);
     assert!(sent_to(&actions).is_none());
     assert!(refused(&node.wait(60.0), id));
     let (held, _) = node.ask(SAFE);
     for id in (0..4).rev() {
         assert!(!node.balancer.status().to_string().is_empty());
-        let actions = node.event(Event::Enable { server: ServerId(id), returned: node.now - 60_000.0 });
+        let actions = node.event(Event::Enable { server: ServerId(id), enabled_at: node.now - 60_000.0 });
         assert!(sent_to(&actions).is_none_or(|to| to == ServerId(0)), "the others are not up: {actions:?}");
     }
     let sent = node.wait(20.0);
@@ -191,7 +191,7 @@
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
     }
-    let cold = Entry { started: Some(node.now), ..entry(3, 1.0) };
+    let cold = Entry { started_at: Some(node.now), ..entry(3, 1.0) };
     node.event(Event::ListChange(vec![cold]));
     let mut sent = [0; 4];
     for _ in 0..200 {
@@ -206,8 +206,8 @@
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
     }
-    let cold = Entry { started: Some(node.now), ..entry(1, 1.0) };
-    node.event(Event::ListChange(vec![Entry { state: Listed::Gone, ..entry(0, 1.0) }, cold]));
+    let cold = Entry { started_at: Some(node.now), ..entry(1, 1.0) };
+    node.event(Event::ListChange(vec![Entry { state: ServerState::Gone, ..entry(0, 1.0) }, cold]));
     let sent = (0..200).filter(|_| node.serve(SAFE, 5.0).is_some()).count();
     assert!(sent <= 50, "a second's budget at 15% of some 100 a second, times 3, not {sent}");
 }
@@ -220,7 +220,7 @@
     let mut node = Node::new(settings(), Vec::new());
     let started = Some(node.now);
     node.event(Event::List {
-        entries: (0..4).map(|id| Entry { started, ..entry(id, 1.0) }).collect(),
+        entries: (0..4).map(|id| Entry { started_at: started, ..entry(id, 1.0) }).collect(),
         saved: false,
     });
     let mut sent = [0.0; 4];
@@ -234,7 +234,7 @@
         while let Some(action) = actions.pop() {
             if let Action::Send { id, server, .. } = action {
                 sent[server.0 as usize] += 1.0;
-                actions.extend(node.end(id, Outcome::Done));
+                actions.extend(node.end(id, Outcome::Success));
             }
         }
     }
@@ -249,20 +249,20 @@
     let mut sent = [0usize; 8];
     let set = settings();
     for number in 0..NODES {
-        let own = Settings { number, nodes: NODES, ..set.clone() };
+        let own = Settings { node_index: number, node_count: NODES, ..set.clone() };
         let mut node = Node::new_seeded(own, (0..8).map(|id| entry(id, 1.0)).collect(), number as u64);
         for _ in 0..40 {
             node.serve(SAFE, 5.0);
             node.wait(245.0);
         }
-        let cold = Entry { started: Some(node.now), ..entry(3, 1.0) };
+        let cold = Entry { started_at: Some(node.now), ..entry(3, 1.0) };
         node.event(Event::ListChange(vec![cold]));
         for _ in 0..4 {
             sent[node.serve(SAFE, 5.0).expect("sent").0 as usize] += 1;
             node.wait(245.0);
         }
     }
-    let budget = set.rules.fall_multiple * set.rules.cold_share * sent[7] as f64;
+    let budget = set.rules.overload_multiple * set.rules.cold_capacity * sent[7] as f64;
     assert!(sent[3] > 0 && (sent[3] as f64) < 0.7 * budget, "{sent:?}, budget {budget}");
 }
 
@@ -286,13 +286,13 @@
             if sent_to(&actions) == Some(ServerId(2)) && !probed {
                 node.now += took;
                 node.end(id, outcome);
-                node.end(id, Outcome::Done);
+                node.end(id, Outcome::Success);
             } else {
-                node.end(id, Outcome::Done);
+                node.end(id, Outcome::Success);
             }
             probed |= node.wait(5.0).contains(&Action::Probe(ServerId(2)));
         }
-        node.event(Event::Probed { server: ServerId(2), outcome: Outcome::Done, took: 1.0 });
+        node.event(Event::ProbeEnded { server: ServerId(2), outcome: Outcome::Success, elapsed: 1.0 });
         for _ in 0..60 {
             node.serve(SAFE, 5.0);
         }
@@ -321,7 +321,7 @@
                 }
                 // Not where the retry budget is spent.
                 if sent_to(&actions).is_some() {
-                    node.end(id, Outcome::Done);
+                    node.end(id, Outcome::Success);
                 }
             }
             tried
@@ -344,7 +344,7 @@
             let server = sent_to(&actions).expect("sent").0 as usize;
             turns[server] += 1;
             node.now += if server == 1 { left - 1.0 } else { 1.0 };
-            node.end(id, if server == 1 { Outcome::TimedOut } else { Outcome::Done });
+            node.end(id, if server == 1 { Outcome::TimedOut } else { Outcome::Success });
             node.event(Event::ClientGone(id));
         }
         turns[1]
@@ -364,7 +364,7 @@
             server = sent_to(&node.end(id, Outcome::ConnectFailed)).expect("resent");
         }
         node.now += 30.0;
-        node.end(id, Outcome::Done);
+        node.end(id, Outcome::Success);
     }
     for _ in 0..10 {
         assert_eq!(node.serve(SAFE, 1.0), Some(ServerId(3)));
@@ -384,7 +384,7 @@
     assert_eq!((to(0), to(1)), (4, 4), "8 for a server, divided among 2 nodes");
     let held = sent[8].0;
     node.now += 10.0;
-    assert!(sent_to(&node.end(sent[0].0, Outcome::Done)).is_some(), "a held one takes the room");
+    assert!(sent_to(&node.end(sent[0].0, Outcome::Success)).is_some(), "a held one takes the room");
     assert!(refused(&node.wait(30.0), held), "the rest is refused early");
 }
 
@@ -392,7 +392,7 @@
 /// down was crowded until it choked, and its neighbours after it.
 #[test]
 fn a_server_that_slows_down_rests_where_many_nodes_share_it() {
-    let mut node = Node::fleet(Settings { nodes: 300, ..settings() }, 60);
+    let mut node = Node::fleet(Settings { node_count: 300, ..settings() }, 60);
     let mut ask = |slow: Option<u64>| {
         node.wait(60.0);
         let (id, mut actions) = node.ask(SAFE);
@@ -401,7 +401,7 @@
         }
         let server = sent_to(&actions).expect("soon free");
         node.now += if slow == Some(server.0) { 60.0 } else { 5.0 };
-        node.end(id, Outcome::Done);
+        node.end(id, Outcome::Success);
         server.0
     };
     let calm: Vec<_> = (0..400).map(|_| ask(None)).collect();
@@ -465,7 +465,7 @@
     let (poor, _) = node.ask(SAFE);
     let (rich, _) = node.ask(UNSAFE);
     node.now += 10.0;
-    let actions = node.end(sent[0], Outcome::Done);
+    let actions = node.end(sent[0], Outcome::Success);
     assert!(actions.iter().any(|a| matches!(a, Action::Send { id, .. } if *id == rich)), "{actions:?}");
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { id, .. } if *id == poor)));
 }
@@ -474,7 +474,7 @@
 #[test]
 fn a_free_turn_goes_to_the_held_class_that_suits_its_kind() {
     let mut two = settings();
-    two.classes[KEYED] = Class { effect: Effect::Safe, ..two.classes[SAFE].clone() };
+    two.classes[KEYED] = Class { idempotency: Idempotency::Safe, ..two.classes[SAFE].clone() };
     let kinds: Vec<_> = (0..2).map(|id| Entry { kind: id, ..entry(id, 1.0) }).collect();
     for server in [0, 1] {
         let mut node = Node::new(two.clone(), kinds.clone());
@@ -482,7 +482,7 @@
             let (id, actions) = node.ask(class);
             let suits = sent_to(&actions) == Some(ServerId(class as u64));
             node.now += if suits { 10.0 } else { 30.0 };
-            node.end(id, Outcome::Done);
+            node.end(id, Outcome::Success);
         }
         let mut at_server = None;
         loop {
@@ -493,7 +493,7 @@
         node.ask(SAFE);
         let held = [node.ask(SAFE).0, node.ask(KEYED).0, node.ask(SAFE).0];
         node.now += 1.0;
-        let actions = node.end(at_server.expect("one was sent there"), Outcome::Done);
+        let actions = node.end(at_server.expect("one was sent there"), Outcome::Success);
         let next =
             actions.iter().find_map(|a| if let Action::Send { id, .. } = a { Some(*id) } else { None });
         assert_eq!(next == Some(held[1]), server == 1, "room at {server}: {actions:?}");
@@ -508,7 +508,7 @@
     let (beyond, _) = node.ask_for(SAFE, Some(0));
     let (within, _) = node.ask_for(SAFE, Some(1));
     node.now += 10.0;
-    let actions = node.end(sent[0], Outcome::Done);
+    let actions = node.end(sent[0], Outcome::Success);
     assert!(actions.iter().any(|a| matches!(a, Action::Send { id, .. } if *id == within)), "{actions:?}");
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { id, .. } if *id == beyond)));
 }
@@ -524,7 +524,7 @@
         let sent: Vec<_> = (0..16).map(|_| node.ask(UNSAFE).0).collect();
         node.now += 5.0;
         for id in &sent[..12] {
-            node.end(*id, Outcome::Done);
+            node.end(*id, Outcome::Success);
         }
         node.now += took - 5.0;
         for id in &sent[12..] {
@@ -532,7 +532,7 @@
         }
         (0..40).filter(|_| sent_to(&node.ask(UNSAFE).1).is_some()).count()
     };
-    assert!(room_after(Outcome::TimedOut, 98.0) < room_after(Outcome::Done, 101.0));
+    assert!(room_after(Outcome::TimedOut, 98.0) < room_after(Outcome::Success, 101.0));
 }
 
 /// Guards incident i19f915: the whole fleet slowed down at once, and each limit took ten seconds to learn it from
@@ -561,7 +561,7 @@
     for _ in 0..400 {
         node.now += 10.0;
         for id in std::mem::take(&mut out) {
-            let actions = node.end(id, Outcome::Done);
+            let actions = node.end(id, Outcome::Success);
             out.extend(sends(&actions));
         }
         let (_, actions) = node.ask(SAFE);
@@ -569,7 +569,7 @@
     }
     node.now += 10.0;
     for id in out {
-        node.end(id, Outcome::Done);
+        node.end(id, Outcome::Success);
     }
     let again = taken(&mut node).len();
     assert!(again > 5, "{again} attempts after quick answers");
@@ -606,7 +606,7 @@
 
 #[test]
 fn discovery_is_asked_and_asked_again_with_growing_pauses() {
-    let mut node = Node::fleet(Settings { discovery: Discovery::Asked, ..settings() }, 2);
+    let mut node = Node::fleet(Settings { discovery: Discovery::Subscribed, ..settings() }, 2);
     let mut pauses = Vec::new();
     for _ in 0..5 {
         // The first call goes out with the first list, before this loop.
@@ -628,10 +628,10 @@
     type Spoil = fn(&mut Settings);
     let cases: [(&str, Spoil); 5] = [
         ("no classes", |s| s.classes.clear()),
-        ("own number", |s| s.number = s.nodes),
-        ("negative", |s| s.rules.fall_window = -1.0),
-        ("share", |s| s.rules.cold_share = 1.5),
-        ("attempts", |s| s.limits.attempts = 0),
+        ("node_index", |s| s.node_index = s.node_count),
+        ("negative", |s| s.rules.overload_window = -1.0),
+        ("share", |s| s.rules.cold_capacity = 1.5),
+        ("attempts", |s| s.limits.max_attempts = 0),
     ];
     for (words, spoil) in cases {
         let mut bad = settings();
@@ -647,7 +647,7 @@
     let mut node = Node::fleet(settings(), 4);
     let (first, actions) = node.ask_with(SAFE, None, PATIENCE);
     assert!(sent_to(&actions).is_some());
-    node.end(first, Outcome::Done);
+    node.end(first, Outcome::Success);
     let (late, actions) = node.ask_again(SAFE, 0.7 * PATIENCE);
     assert!(refused(&actions, late) && sent_to(&actions).is_none(), "{actions:?}");
     let (_, actions) = node.ask_with(SAFE, None, 0.7 * PATIENCE);
@@ -661,7 +661,7 @@
     for _ in 0..20 {
         let (id, _) = node.ask_guessed(SAFE, 10.0);
         node.now += 12.0;
-        node.end(id, Outcome::Done);
+        node.end(id, Outcome::Success);
     }
     let (heavy, actions) = node.ask_guessed(SAFE, 250.0);
     assert!(refused(&actions, heavy) && sent_to(&actions).is_none(), "{actions:?}");
@@ -689,9 +689,9 @@
         class: UNSAFE,
         tenant: None,
         deadline: node.now + PATIENCE,
-        coming: false,
-        again: false,
-        work: None,
+        streaming_body: false,
+        is_retry: false,
+        estimated_work: None,
     };
     let actions = node.event(again.clone());
     assert!(!failed(&actions, id) && !refused(&actions, id), "{actions:?}");
@@ -736,7 +736,7 @@
 #[test]
 fn the_more_nodes_share_a_slow_server_the_rarer_each_looks() {
     let sends_of = |nodes| {
-        let mut node = Node::fleet(Settings { nodes, ..settings() }, 60);
+        let mut node = Node::fleet(Settings { node_count: nodes, ..settings() }, 60);
         let (mut count, start) = (0, node.now);
         while node.now < start + 60_000.0 {
             let (id, mut actions) = node.ask(SAFE);
@@ -746,7 +746,7 @@
             if sent_to(&actions).is_some() {
                 count += 1;
                 node.now += 150.0;
-                node.end(id, Outcome::Done);
+                node.end(id, Outcome::Success);
             }
         }
         count
@@ -758,7 +758,7 @@
 #[test]
 fn a_wholly_draining_list_gets_nothing_and_answers_are_given() {
     let mut node = Node::fleet(settings(), 3);
-    let draining = (0..3).map(|id| Entry { state: Listed::Draining, ..entry(id, 1.0) }).collect();
+    let draining = (0..3).map(|id| Entry { state: ServerState::Draining, ..entry(id, 1.0) }).collect();
     node.event(Event::List { entries: draining, saved: false });
     let (id, mut actions) = node.ask(UNSAFE);
     actions.extend(node.wait(100.0));
@@ -769,12 +769,12 @@
 fn news_of_what_is_over_or_was_not_asked_changes_nothing() {
     let mut node = Node::fleet(settings(), 2);
     let (id, _) = node.ask(SAFE);
-    node.end(id, Outcome::Done);
+    node.end(id, Outcome::Success);
     let quiet = |actions: &[Action]| actions.iter().all(|a| matches!(a, Action::SetTimer(_)));
     assert!(quiet(&node.event(Event::ClientGone(id))), "the client left in the batch that ended it");
     assert!(quiet(&node.event(Event::ListFailed)), "a pushed list is not asked for");
     let (server, outcome) = (ServerId(1), Outcome::TimedOut);
-    let late = Event::Ended { id, attempt: 0, server, outcome, took: 1.0, finished: false };
+    let late = Event::AttemptEnded { id, attempt: 0, server, outcome, elapsed: 1.0, answered: false };
     assert!(quiet(&node.event(late)), "an attempt ends once");
     assert!(quiet(&node.event(Event::List { entries: Vec::new(), saved: false })));
     let (id, _) = node.ask(SAFE);
@@ -785,7 +785,7 @@
 /// a server bears.
 #[test]
 fn quick_answers_raise_a_shared_limit_slowly_beyond_its_start() {
-    let mut node = Node::fleet(Settings { nodes: 1000, ..settings() }, 60);
+    let mut node = Node::fleet(Settings { node_count: 1000, ..settings() }, 60);
     let start = node.now;
     let served = (0..30).filter(|_| node.serve_held(SAFE, 5.0).is_some()).count();
     let each = (node.now - start) / served as f64;
@@ -801,8 +801,8 @@
         let mut node = Node::new(set, Vec::new());
         let (_, actions) = node.ask_with(SAFE, None, 1.0);
         actions.iter().find_map(|a| {
-            if let Action::Refuse { stay_away, .. } = a {
-                Some(*stay_away)
+            if let Action::Refuse { retry_after, .. } = a {
+                Some(*retry_after)
             } else {
                 None
             }
@@ -841,7 +841,8 @@
         let fleet = |servers| {
             let mut set = settings();
             set.classes[KEYED].late_worth = late_worth;
-            set.classes[KEYED].effect = Effect::Keyed { group: Group::All, memory: KNOWN };
+            set.classes[KEYED].idempotency =
+                Idempotency::Keyed { scope: DedupScope::All, dedup_window: KNOWN };
             Node::fleet(set, servers)
         };
         // Usual is a quarter of the aim of 200.
@@ -879,7 +880,7 @@
         let mut actions = node.end(id, Outcome::Error);
         actions.extend(node.wait(60.0));
         let returned = node.now - 60_000.0;
-        actions.extend(node.event(Event::Enable { server: ServerId(0), returned }));
+        actions.extend(node.event(Event::Enable { server: ServerId(0), enabled_at: returned }));
         assert!(sent_to(&actions).is_none() && refused(&actions, id), "{actions:?}");
     }
 }
