--- a/crates/control/examples/fleet/sim.rs
+++ b/crates/control/examples/fleet/sim.rs
@@ -8,7 +8,8 @@
 use control::leader::{Effect, Input, Leader, Terms};
 use control::machine::Agreement;
 use member::{
-    Agreed, Answer, Beat, ChangeId, Epoch, Member, MemberConfig, Millis, Policy, Process, Start, DRIFT,
+    AgreedState, ChangeId, Epoch, Heartbeat, HeartbeatReply, Member, MemberConfig, Millis, Policy, Process,
+    StartMode, MAX_CLOCK_DRIFT,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -51,7 +52,7 @@
 
 /// The longest that two policies may be in service at once.
 pub fn bound() -> Millis {
-    Terms::default().promise_ms * (1.0 + 2.0 * DRIFT)
+    Terms::default().promise_ms * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
 }
 
 /// A quantile of sorted figures.
@@ -64,10 +65,10 @@
 
 enum Event {
     Beat(usize),
-    BeatComes { node: usize, token: u64, beat: Beat },
+    BeatComes { node: usize, token: u64, beat: Heartbeat },
     NoAnswer { node: usize, token: u64 },
-    AnswerComes { node: usize, token: u64, answer: Box<Answer> },
-    NewsComes { node: usize, agreed: Box<Agreed> },
+    AnswerComes { node: usize, token: u64, answer: Box<HeartbeatReply> },
+    NewsComes { node: usize, agreed: Box<AgreedState> },
     Checked { node: usize, change: ChangeId },
     Confirmed { term: u64, asked: Millis },
     Written { term: u64, command: Command },
@@ -130,8 +131,13 @@
     let mut draw = Pcg64Mcg::seed_from_u64(plan.seed);
     let nodes = (0..plan.nodes).map(|node| {
         let process = Process { name: format!("node-{node}"), boot: draw.random() };
-        let life = "127.0.0.1:9".parse().expect("an address");
-        let config = MemberConfig { process, life, beside: false, start: Start::Wait };
+        let liveness_addr = "127.0.0.1:9".parse().expect("an address");
+        let config = MemberConfig {
+            process,
+            liveness_addr,
+            coexists_with_previous: false,
+            start_mode: StartMode::Wait,
+        };
         let (offset, rate) = (draw.random_range(0.0..1e6), draw.random_range(0.9955..1.0045));
         Node { member: Member::new(config, None, offset), offset, rate, out: None }
     });
@@ -212,13 +218,13 @@
             Event::Beat(node) => {
                 let clock = self.nodes[node].clock(self.now);
                 let other = &mut self.nodes[node];
-                if other.out.is_some() || clock + 0.001 < other.member.next_beat() {
+                if other.out.is_some() || clock + 0.001 < other.member.next_heartbeat_at() {
                     return; // It was due earlier for another reason.
                 }
                 self.tokens += 1;
                 let token = self.tokens;
                 other.out = Some((token, clock));
-                let beat = other.member.beat(clock);
+                let beat = other.member.heartbeat(clock);
                 self.count(&beat);
                 let link = self.link();
                 self.after(link, Event::BeatComes { node, token, beat });
@@ -242,21 +248,23 @@
                 let now = self.now;
                 let other = &mut self.nodes[node];
                 let Some((_, sent)) = other.out.take_if(|(out, _)| *out == token) else { return };
-                let (clock, before, admits) = (other.clock(now), other.member.active(), other.admits(now));
-                let effects = other.member.answered(sent, *answer, clock);
+                let (clock, before, admits) =
+                    (other.clock(now), other.member.active_epoch(), other.admits(now));
+                let effects = other.member.on_reply(sent, *answer, clock);
                 self.told(node, effects, before, admits);
                 self.next_beat(node);
             }
             Event::NewsComes { node, agreed } => {
                 let now = self.now;
                 let other = &mut self.nodes[node];
-                let (clock, before, admits) = (other.clock(now), other.member.active(), other.admits(now));
-                let effects = other.member.news(*agreed, clock);
+                let (clock, before, admits) =
+                    (other.clock(now), other.member.active_epoch(), other.admits(now));
+                let effects = other.member.on_agreed_state(*agreed, clock);
                 self.told(node, effects, before, admits);
             }
             Event::Checked { node, change } => {
                 let clock = self.nodes[node].clock(self.now);
-                self.nodes[node].member.checked(change, Ok(()), clock);
+                self.nodes[node].member.on_check_result(change, Ok(()), clock);
                 self.next_beat(node);
             }
             Event::Confirmed { term, asked } if term == self.term => self.lead(Input::Confirmed { asked }),
@@ -285,7 +293,7 @@
 
     fn next_beat(&mut self, node: usize) {
         let other = &self.nodes[node];
-        let delay = (other.member.next_beat() - other.clock(self.now)).max(0.0) / other.rate;
+        let delay = (other.member.next_heartbeat_at() - other.clock(self.now)).max(0.0) / other.rate;
         self.after(delay + 0.001, Event::Beat(node));
     }
 
@@ -373,7 +381,7 @@
                     self.after(check, Event::Checked { node, change: change.id });
                 }
                 member::Effect::Activate { epoch, .. } if before.is_some() => self.active(epoch, admitted),
-                member::Effect::BeatNow => self.next_beat(node),
+                member::Effect::SendHeartbeat => self.next_beat(node),
                 _ => {}
             }
         }
--- a/crates/control/examples/votes/sim.rs
+++ b/crates/control/examples/votes/sim.rs
@@ -9,7 +9,7 @@
 use control::command::{Command, PolicyCommand, RosterCommand, VerdictCommand};
 use control::machine::Agreement;
 use control::tally::{Input, Tally};
-use member::votes::{Ballot, Evidence, Figures, Stand, Verdicts, Votes, BALLOTS_MOST};
+use member::votes::{Ballot, Evidence, Verdicts, Vote, VoteReport, VoteSettings, MAX_BALLOTS};
 use member::{ChangeId, Millis, Policy, Process, Stamp};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -53,7 +53,7 @@
 enum Event {
     Request(usize),
     Beat(usize),
-    Comes { node: usize, echo: Option<Stamp>, votes: Votes },
+    Comes { node: usize, echo: Option<Stamp>, votes: VoteReport },
     Answer { node: usize, stamp: Stamp, asked: Rc<Vec<String>> },
     News { node: usize, told: Rc<Verdicts> },
     Written(VerdictCommand),
@@ -82,7 +82,7 @@
 
 struct Fleet {
     plan: Plan,
-    figures: Figures,
+    figures: VoteSettings,
     draw: Pcg64Mcg,
     now: Millis,
     order: u64,
@@ -113,7 +113,7 @@
 
 /// Runs a plan to its end, or until the bad server is gone from all nodes.
 pub fn run(plan: Plan) -> Report {
-    let figures = Figures::default();
+    let figures = VoteSettings::default();
     let mut draw = Pcg64Mcg::seed_from_u64(plan.seed);
     let mut log = Agreement::new();
     let policy = Policy(
@@ -230,7 +230,7 @@
                 // The leader answers once it has made sure that it leads.
                 let confirm = self.draw.random_range(1.0..6.0);
                 let (stamp, asked) =
-                    (Stamp { term: 1, at: self.now + confirm }, Rc::new(self.tally.asked().to_vec()));
+                    (Stamp { term: 1, time: self.now + confirm }, Rc::new(self.tally.asked().to_vec()));
                 if !asked.is_empty() {
                     self.count(serde_json::to_vec(&*asked).expect("names serialize").len());
                 }
@@ -255,8 +255,8 @@
     fn request(&mut self, node: usize) {
         let place = self.draw.random_range(0..self.nodes[node].servers.len());
         let server = self.nodes[node].servers[place];
-        let keeps = self.draw.random_bool(self.figures.trickle);
-        let (now, half) = (self.now, (self.now / (self.figures.window / 2.0)) as u64);
+        let keeps = self.draw.random_bool(self.figures.suspect_share);
+        let (now, half) = (self.now, (self.now / (self.figures.evidence_window / 2.0)) as u64);
         let other = &mut self.nodes[node];
         let me = format!("node-{node}");
         let out = other.told.verdicts.iter().find(|verdict| verdict.server == name(server));
@@ -274,7 +274,7 @@
         seen.now.1 += u32::from(fails);
         seen.row = if fails { seen.row + 1 } else { 0 };
         if seen.row >= IN_A_ROW {
-            seen.aside = now + self.figures.aside;
+            seen.aside = now + self.figures.suspect_pause;
         }
         if bad {
             self.first.get_or_insert(now);
@@ -283,38 +283,45 @@
     }
 
     /// What a node says of servers.
-    fn votes(&mut self, node: usize) -> Votes {
-        let half = (self.now / (self.figures.window / 2.0)) as u64;
+    fn votes(&mut self, node: usize) -> VoteReport {
+        let half = (self.now / (self.figures.evidence_window / 2.0)) as u64;
         let (mut ballots, mut known, mut suspects) = (Vec::new(), 0, 0);
         let Node { seen, asked, .. } = &mut self.nodes[node];
         for (&server, seen) in seen.iter_mut() {
             seen.turn(half);
             let (attempts, failed) = (seen.now.0 + seen.before.0, seen.now.1 + seen.before.1);
-            if attempts < self.figures.attempts {
+            if attempts < self.figures.min_attempts {
                 continue;
             }
             known += 1;
             let suspect = seen.row >= IN_A_ROW;
-            let favour = suspect || f64::from(failed) >= self.figures.failed * f64::from(attempts);
+            let favour = suspect || f64::from(failed) >= self.figures.failure_ratio * f64::from(attempts);
             suspects += usize::from(favour);
             if !favour && !asked.contains(&name(server)) {
                 continue;
             }
             // Of a suspect, what has made it one.
             let attempts = if suspect { seen.row.min(attempts) } else { attempts };
-            let evidence = Evidence { attempts, connects: failed.min(attempts), ..Evidence::default() };
-            let stand = if favour { Stand::For } else { Stand::Against };
-            ballots.push(Ballot { server: name(server), born_ms: 1.0, zone: zone(server), stand, evidence });
+            let evidence =
+                Evidence { attempts, connect_failures: failed.min(attempts), ..Evidence::default() };
+            let stand = if favour { Vote::For } else { Vote::Against };
+            ballots.push(Ballot {
+                server: name(server),
+                born_ms: 1.0,
+                zone: zone(server),
+                vote: stand,
+                evidence,
+            });
         }
-        ballots.sort_by_key(|ballot| ballot.stand);
-        ballots.truncate(BALLOTS_MOST);
-        let doubts = suspects >= 2 && suspects as f64 > self.figures.doubt * f64::from(known);
+        ballots.sort_by_key(|ballot| ballot.vote);
+        ballots.truncate(MAX_BALLOTS);
+        let doubts = suspects >= 2 && suspects as f64 > self.figures.abstain_ratio * f64::from(known);
         if doubts {
             ballots.clear();
         }
         let up =
             (0..ZONES).map(|place| (zone(place), ((self.plan.servers + ZONES - 1 - place) / ZONES) as u32));
-        Votes { zone: Some(zone(node)), up: up.collect(), doubts, ballots }
+        VoteReport { zone: Some(zone(node)), up_servers: up.collect(), abstains: doubts, ballots }
     }
 
     fn news(&mut self, node: usize, told: Rc<Verdicts>) {
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use member::{Abort, ChangeId, Epoch, Policy, Process};
+use member::{AbortReason, ChangeId, Epoch, Policy, Process};
 use serde::{Deserialize, Serialize};
 
 use crate::verdicts::{Case, Why};
@@ -90,7 +90,7 @@
         /// Which.
         change: ChangeId,
         /// Why.
-        why: Abort,
+        why: AbortReason,
     },
 }
 
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -9,7 +9,7 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-use member::DRIFT;
+use member::MAX_CLOCK_DRIFT;
 use serde::Deserialize;
 
 use crate::leader::{Terms, TermsError, Unreachable};
@@ -271,7 +271,7 @@
     /// `after_ms[1]`, told by heartbeats), two beats and the write's reserve. Measured: 1.48 s without writes (p99).
     fn fits(&self, terms: &Terms) -> Result<(), Wrong> {
         let gap = 2.0 * (self.after_ms.1 + self.heartbeat_ms) as f64 + 2.0 * terms.beat_ms;
-        let least = ((gap + terms.reserve_ms) / (1.0 - DRIFT)).ceil();
+        let least = ((gap + terms.reserve_ms) / (1.0 - MAX_CLOCK_DRIFT)).ceil();
         let mut spans = vec![("terms.promise_ms", terms.promise_ms)];
         if terms.unreachable == Unreachable::Fence {
             spans.push(("terms.lease_ms", terms.lease_ms));
--- a/crates/control/src/edge/actor.rs
+++ b/crates/control/src/edge/actor.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use consensus::{Leading, Replica};
-use member::{Answer, Beat, Epoch, Millis, Process, Word};
+use member::{Epoch, Heartbeat, HeartbeatReply, Millis, Process, StageReply};
 use serde::Serialize;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -33,7 +33,7 @@
 
 /// A call to the leader here; dropped unanswered where this replica does not lead.
 enum Call {
-    Beat(Box<Beat>, oneshot::Sender<Result<Answer, Refusal>>),
+    Beat(Box<Heartbeat>, oneshot::Sender<Result<HeartbeatReply, Refusal>>),
     Nodes(oneshot::Sender<Nodes>),
     Votes(oneshot::Sender<Option<Shown>>),
 }
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// Where there is none here, or it says no.
-    pub async fn beat(&self, beat: Beat) -> Result<Answer, Unanswered> {
+    pub async fn beat(&self, beat: Heartbeat) -> Result<HeartbeatReply, Unanswered> {
         self.call(|answer| Call::Beat(Box::new(beat), answer)).await?.map_err(Unanswered::Refused)
     }
 
@@ -219,7 +219,7 @@
 
 /// Who waits for an answer to a beat.
 struct Waiting {
-    answer: oneshot::Sender<Result<Answer, Refusal>>,
+    answer: oneshot::Sender<Result<HeartbeatReply, Refusal>>,
     /// The version of the verdicts that the beat knows, where it has votes.
     verdicts: Option<u64>,
 }
@@ -241,7 +241,7 @@
     /// Writes, confirms and probes on their way; at most one a process, one change and one round.
     tasks: JoinSet<Input>,
     /// What each member last said of its epoch and of a change.
-    said: BTreeMap<Process, (Option<Epoch>, Option<Word>)>,
+    said: BTreeMap<Process, (Option<Epoch>, Option<StageReply>)>,
 }
 
 impl Term {
@@ -311,10 +311,11 @@
                 Event::Call(Call::Votes(answer)) => drop(answer.send(self.votes())),
                 Event::Call(Call::Beat(mut beat, answer)) => {
                     self.token += 1;
-                    let verdicts = beat.votes.as_ref().map(|_| beat.verdicts.unwrap_or_default());
+                    let verdicts =
+                        beat.vote_report.as_ref().map(|_| beat.verdicts_version.unwrap_or_default());
                     self.waiting.insert(self.token, Waiting { answer, verdicts });
-                    let (process, echo) = (beat.process.clone(), beat.echo);
-                    ballots.push(tally::Input::Beat { process, echo, votes: beat.votes.take() });
+                    let (process, echo) = (beat.process.clone(), beat.echoed_stamp);
+                    ballots.push(tally::Input::Beat { process, echo, votes: beat.vote_report.take() });
                     inputs.push(Input::Beat { token: self.token, beat: *beat });
                 }
             }
@@ -335,7 +336,7 @@
             for input in &inputs {
                 match input {
                     Input::Beat { beat, .. } if member(&beat.process) => {
-                        said.insert(beat.process.clone(), (beat.active, beat.change.clone()));
+                        said.insert(beat.process.clone(), (beat.active_epoch, beat.stage_reply.clone()));
                     }
                     Input::Applied => said.retain(|process, _| member(process)),
                     _ => {}
@@ -348,7 +349,7 @@
                     let Some(known) = waiting.get(token).and_then(|waiting| waiting.verdicts) else {
                         continue;
                     };
-                    answer.asked = tally.asked().to_vec();
+                    answer.queried_servers = tally.asked().to_vec();
                     // Another one, not a newer one: a group that was set up again counts from less.
                     if known != agreement.verdicts().version() {
                         answer.verdicts = Some(agreement.verdicts().told());
@@ -407,7 +408,7 @@
         }
     }
 
-    fn answer(&mut self, token: u64, answer: Result<Answer, Refusal>) {
+    fn answer(&mut self, token: u64, answer: Result<HeartbeatReply, Refusal>) {
         if let Some(waiting) = self.waiting.remove(&token) {
             // Who asked may have gone.
             let _ = waiting.answer.send(answer);
@@ -429,8 +430,8 @@
                 let heard_ms = heard.get(process).copied().unwrap_or_default();
                 let (active, word) = self.said.get(process).cloned().unwrap_or_default();
                 let (staged, refused) = match word {
-                    Some(Word::Staged { change: about, .. }) => (change == Some(about), None),
-                    Some(Word::Refused { change: about, words }) if change == Some(about) => {
+                    Some(StageReply::Staged { change: about, .. }) => (change == Some(about), None),
+                    Some(StageReply::Refused { change: about, reason: words }) if change == Some(about) => {
                         (false, Some(words))
                     }
                     _ => (false, None),
--- a/crates/control/src/edge/calls.rs
+++ b/crates/control/src/edge/calls.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, Either, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
-use member::{Abort, Beat, ChangeId, Ended, Epoch, Policy};
+use member::{AbortReason, ChangeId, EndedChange, Epoch, Heartbeat, Policy};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::json;
@@ -149,13 +149,13 @@
         }
     }
 
-    async fn beat(&self, peer: SocketAddr, beat: Beat) -> Answered {
+    async fn beat(&self, peer: SocketAddr, beat: Heartbeat) -> Answered {
         if !is_name(&beat.process.name, NAME_MOST) {
             let advice =
                 format!("a node's name has 1 to {NAME_MOST} letters, digits, dots, dashes or underscores");
             return Err(Refused::bad("process.name is no name", advice));
         }
-        let life = beat.life;
+        let life = beat.liveness_addr;
         // A connection to it that is refused is taken for the process's end: it must be an address of that process.
         if life.port() == 0
             || life.ip().is_unspecified()
@@ -188,7 +188,7 @@
         let in_touch = *self.in_touch.borrow();
         self.replica.read(|agreement, version| {
             let book = agreement.book();
-            let ended: Vec<&Ended> = book.ended().collect();
+            let ended: Vec<&EndedChange> = book.ended().collect();
             json!({
                 "version": version, "in_touch": in_touch, "epoch": book.epoch(), "policy": book.policy(),
                 "change": book.change(), "ended": ended,
@@ -261,7 +261,7 @@
                 return Err(Refused::unavailable(error, advice).with("change", change).with("epoch", epoch));
             }
         };
-        match ended.aborted {
+        match ended.abort_reason {
             None => {
                 let done = json!({"epoch": epoch, "outcome": "committed", "change": change});
                 Ok(json(StatusCode::OK, &done))
@@ -282,7 +282,8 @@
             self.replica.confirm().await?;
             return Err(none());
         };
-        match self.write(Command::Policy(PolicyCommand::Abort { change, why: Abort::Operator })).await? {
+        match self.write(Command::Policy(PolicyCommand::Abort { change, why: AbortReason::Operator })).await?
+        {
             Outcome::Done => Ok(json(StatusCode::OK, &json!({"outcome": "aborted", "change": change}))),
             Outcome::Over => Err(none()),
             other => Err(unexpected(&other)),
@@ -388,17 +389,17 @@
 }
 
 /// Why a change was aborted, and what to do about it.
-fn words(why: &Abort) -> (String, &'static str) {
+fn words(why: &AbortReason) -> (String, &'static str) {
     match why {
-        Abort::Refused { node, words } => {
+        AbortReason::Refused { node, reason: words } => {
             (format!("node {node} refused it: {words}"), "mend the policy, or that node's settings, and propose again")
         }
-        Abort::Silent { nodes } => (
+        AbortReason::Unresponsive { nodes } => (
             format!("not staged in time by {}", nodes.join(", ")),
             "see whether they run and reach the leader; one that is gone for good is removed: DELETE /v1/nodes/NAME",
         ),
-        Abort::Operator => ("operators called it off".to_owned(), "propose again when you are ready"),
-        Abort::Late => ("the group could not end it in time".to_owned(), "propose again"),
+        AbortReason::Operator => ("operators called it off".to_owned(), "propose again when you are ready"),
+        AbortReason::NoLeader => ("the group could not end it in time".to_owned(), "propose again"),
     }
 }
 
--- a/crates/control/src/edge/mod.rs
+++ b/crates/control/src/edge/mod.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 use consensus::{ConsensusError, Failure, Replica, ReplicaConfig};
-use member::News;
+use member::WatchEvent;
 use store::{Owner, Store, StoreError};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch::{channel, Receiver, Sender};
@@ -263,14 +263,14 @@
         });
         if let Some((mark, agreed, verdicts)) = fresh {
             let policy = shown.is_none_or(|(policy, _): (u64, u64)| policy != mark.0);
-            match (&agreed.change, agreed.ended.last()) {
+            match (&agreed.change, agreed.ended_changes.last()) {
                 _ if !policy => {}
                 (Some(change), _) => {
                     tracing::info!(change = change.id.0, epoch = change.epoch, "a change is under way");
                 }
                 (None, Some(ended)) => {
                     let (change, epoch) = (ended.id.0, ended.epoch);
-                    match &ended.aborted {
+                    match &ended.abort_reason {
                         None => tracing::info!(change, epoch, "the change is committed"),
                         Some(why) => tracing::info!(change, epoch, ?why, "the change is aborted"),
                     }
@@ -280,7 +280,7 @@
             let version = mark.0.max(mark.1);
             shown = Some(mark);
             let verdicts = Some(verdicts).filter(|verdicts| verdicts.version > 0);
-            let news = News { agreed: Some(agreed), version, verdicts };
+            let news = WatchEvent { agreed_state: Some(agreed), version, verdicts };
             match serde_json::to_vec(&news) {
                 Ok(mut line) => {
                     line.push(b'\n');
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -7,15 +7,15 @@
 //!
 //! Why each span holds:
 //! - *Promise.* A member's `left_ms` counts from its beat's sending, which is after it had the stamp that the beat
-//!   echoes, so `stamp + left_ms * (1 - DRIFT)` is no later than the promise's end. A late or repeated beat makes it
+//!   echoes, so `stamp + left_ms * (1 - MAX_CLOCK_DRIFT)` is no later than the promise's end. A late or repeated beat makes it
 //!   no later, one out of order changes nothing, as the latest end counts: promises about one change only grow. Stamps
 //!   of another term say nothing and count for nothing. A commit is decided only while each has `reserve_ms` left.
 //! - *Lease.* A member counts it from its beat's sending, the leader from its answer, which is later; with
-//!   `* (1 + DRIFT)` it is over at the member first. A new leader counts from its own start: an earlier one confirmed
+//!   `* (1 + MAX_CLOCK_DRIFT)` it is over at the member first. A new leader counts from its own start: an earlier one confirmed
 //!   after the beat came, so before this one was elected.
 //! - *Answers.* Each goes out only after a confirm that was begun after the beat came, so a leader that was deposed
 //!   without knowing makes no promise longer and grants no lease that its follower does not count. What is agreed is
-//!   told whole unless the beat names just that state; [`Told::Same`] then proves as much.
+//!   told whole unless the beat names just that state; [`AgreedUpdate::Unchanged`] then proves as much.
 //! - *A commit in flight.* From its decision until its fate is known no fenced member that it counts on gets a lease,
 //!   and where the write's fate stays unknown, not until the change ends. Answers go on making promises longer: they
 //!   are counted from before the commit.
@@ -32,7 +32,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use member::{Abort, Answer, Beat, ChangeId, Epoch, Known, Millis, Process, Stamp, Told, Word, DRIFT};
+use member::{
+    AbortReason, AgreedUpdate, ChangeId, Epoch, Heartbeat, HeartbeatReply, Millis, Process, StageReply,
+    Stamp, StateId, MAX_CLOCK_DRIFT,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::command::{Command, Outcome, PolicyCommand, Proof, RosterCommand};
@@ -105,7 +108,7 @@
     /// The first one that does not.
     pub fn check(&self) -> Result<(), TermsError> {
         let twice = 2.0 * self.beat_ms;
-        let over = self.lease_ms * (1.0 + 2.0 * DRIFT);
+        let over = self.lease_ms * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
         let rules = [
             ("beat_ms", self.beat_ms, 1.0, "a beat"),
             ("reserve_ms", self.reserve_ms, 1.0, "a write's time"),
@@ -113,7 +116,7 @@
             (
                 "promise_ms",
                 self.promise_ms,
-                (twice + self.reserve_ms) / (1.0 - DRIFT),
+                (twice + self.reserve_ms) / (1.0 - MAX_CLOCK_DRIFT),
                 "two beats and the reserve",
             ),
             ("lease_ms", self.lease_ms, twice, "two beats"),
@@ -136,7 +139,7 @@
         /// Never the same again.
         token: u64,
         /// The beat.
-        beat: Beat,
+        beat: Heartbeat,
     },
     /// The confirm that was asked for at `asked` has succeeded: the replica still led *in this term* at some moment
     /// after that, and the agreement given holds all that was committed by then.
@@ -177,7 +180,7 @@
         /// Which.
         token: u64,
         /// With what.
-        answer: Box<Answer>,
+        answer: Box<HeartbeatReply>,
     },
     /// Say no to a beat, or let go of it.
     Refuse {
@@ -246,7 +249,7 @@
     life: SocketAddr,
     beside: bool,
     active: Option<Epoch>,
-    known: Option<Known>,
+    known: Option<StateId>,
     bye: bool,
 }
 
@@ -270,7 +273,7 @@
     /// The version that sessions and change were last taken from.
     synced: Option<u64>,
     /// The state of what is agreed that nodes are told, as of then.
-    known: Option<Known>,
+    known: Option<StateId>,
     sessions: BTreeMap<Process, Session>,
     waiting: BTreeMap<Process, Waiting>,
     staging: Option<Staging>,
@@ -391,7 +394,7 @@
         }
         self.synced = Some(agreement.version());
         if self.known.map(|known| known.version) != Some(agreement.book().version()) {
-            self.known = Some(agreement.agreed().known());
+            self.known = Some(agreement.agreed().state_id());
         }
         self.sessions.retain(|process, _| agreement.roster().seat(process).is_some());
         for (process, _) in agreement.roster().members() {
@@ -420,11 +423,21 @@
         &mut self,
         now: Millis,
         token: u64,
-        beat: Beat,
+        beat: Heartbeat,
         agreement: &Agreement,
         effects: &mut Vec<Effect>,
     ) {
-        let Beat { process, life, beside, echo, active, known, change, bye, .. } = beat;
+        let Heartbeat {
+            process,
+            liveness_addr: life,
+            coexists_with_previous: beside,
+            echoed_stamp: echo,
+            active_epoch: active,
+            known_state: known,
+            stage_reply: change,
+            leaving: bye,
+            ..
+        } = beat;
         if process.name.is_empty() || process.name.len() > NAME_MOST {
             effects.push(Effect::Refuse { token, why: Refusal::Name });
             return;
@@ -532,8 +545,8 @@
         for process in ready {
             let Waiting { token, known, .. } = self.waiting.remove(&process).expect("it was just found");
             let told = match known.filter(|_| known == self.known) {
-                Some(known) => Told::Same(known),
-                None => Told::News(agreed.get_or_init(|| agreement.agreed()).clone()),
+                Some(known) => AgreedUpdate::Unchanged(known),
+                None => AgreedUpdate::Changed(agreed.get_or_init(|| agreement.agreed()).clone()),
             };
             let seat = roster.seat(&process);
             let fenced = seat.is_some_and(|seat| seat.fenced);
@@ -541,15 +554,15 @@
             if let Some(session) = self.sessions.get_mut(&process).filter(|_| fenced && !frozen) {
                 session.granted = now;
             }
-            let answer = Box::new(Answer {
-                stamp: Stamp { term: self.term, at: now },
-                told,
-                beat_ms: self.terms.beat_ms,
+            let answer = Box::new(HeartbeatReply {
+                stamp: Stamp { term: self.term, time: now },
+                update: told,
+                heartbeat_interval_ms: self.terms.beat_ms,
                 lease_ms: (fenced && !frozen).then_some(self.terms.lease_ms),
                 fenced,
                 promise_ms: self.terms.promise_ms,
                 superseded: seat.is_none(),
-                asked: Vec::new(),
+                queried_servers: Vec::new(),
                 verdicts: None,
             });
             effects.push(Effect::Answer { token, answer });
@@ -558,7 +571,7 @@
 
     /// Its lease is over at the member, too.
     fn lease_over(&self, now: Millis, session: &Session) -> bool {
-        now > session.granted + self.terms.lease_ms * (1.0 + DRIFT)
+        now > session.granted + self.terms.lease_ms * (1.0 + MAX_CLOCK_DRIFT)
     }
 
     /// Whether the change under way can end now.
@@ -569,7 +582,7 @@
         }
         let (change, began) = (staging.id, staging.began);
         let due = began + self.terms.stage_ms;
-        let last = due + self.terms.lease_ms * (1.0 + DRIFT) + self.terms.beat_ms;
+        let last = due + self.terms.lease_ms * (1.0 + MAX_CLOCK_DRIFT) + self.terms.beat_ms;
         let may_fence = self.terms.unreachable == Unreachable::Fence;
         let mut abort = None;
         let (mut staged, mut fenced, mut missing) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
@@ -577,7 +590,7 @@
         for (process, seat) in agreement.roster().members() {
             let session = &self.sessions[process];
             if let Some(words) = &session.refused {
-                abort = Some(Abort::Refused { node: process.name.clone(), words: words.clone() });
+                abort = Some(AbortReason::Refused { node: process.name.clone(), reason: words.clone() });
                 break;
             }
             if session.until.is_some_and(|until| until > now + self.terms.reserve_ms) {
@@ -599,7 +612,7 @@
             PolicyCommand::Commit { change, staged, fenced: fenced.iter().cloned().collect() }
         } else if now >= due && !waits {
             let nodes = missing.into_iter().take(NAMED).collect();
-            PolicyCommand::Abort { change, why: Abort::Silent { nodes } }
+            PolicyCommand::Abort { change, why: AbortReason::Unresponsive { nodes } }
         } else {
             return;
         };
@@ -701,20 +714,22 @@
         term: u64,
         staging: Option<&Staging>,
         echo: Option<Stamp>,
-        word: Option<Word>,
+        word: Option<StageReply>,
         promise_ms: Millis,
     ) {
         let about = |change: ChangeId| staging.is_some_and(|staging| staging.id == change);
         match word {
-            Some(Word::Staged { change, left_ms }) if about(change) => {
-                let Some(echo) = echo.filter(|echo| echo.term == term && echo.at <= now) else { return };
+            Some(StageReply::Staged { change, remaining_ms: left_ms }) if about(change) => {
+                let Some(echo) = echo.filter(|echo| echo.term == term && echo.time <= now) else { return };
                 if left_ms.is_nan() {
                     return;
                 }
-                let until = echo.at + left_ms.clamp(0.0, promise_ms) * (1.0 - DRIFT);
+                let until = echo.time + left_ms.clamp(0.0, promise_ms) * (1.0 - MAX_CLOCK_DRIFT);
                 self.until = Some(self.until.map_or(until, |known| known.max(until)));
             }
-            Some(Word::Refused { change, words }) if about(change) => self.refused = Some(words),
+            Some(StageReply::Refused { change, reason: words }) if about(change) => {
+                self.refused = Some(words)
+            }
             _ => {}
         }
     }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,7 +1,7 @@
 //! Roster, policy and verdicts on the log: what [`consensus`] drives.
 
 use consensus::Machine;
-use member::Agreed;
+use member::AgreedState;
 use serde::{Deserialize, Serialize};
 
 use crate::command::{Command, Outcome, RosterCommand};
@@ -66,7 +66,7 @@
     }
 
     /// What nodes are told of policy.
-    pub fn agreed(&self) -> Agreed {
+    pub fn agreed(&self) -> AgreedState {
         self.book.agreed()
     }
 }
--- a/crates/control/src/policy.rs
+++ b/crates/control/src/policy.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hasher as _};
 
-use member::{Abort, Agreed, Change, ChangeId, Ended, Epoch, Policy, Process};
+use member::{AbortReason, AgreedState, Change, ChangeId, EndedChange, Epoch, Policy, Process};
 use serde::{Deserialize, Serialize};
 
 use crate::command::{Outcome, PolicyCommand};
@@ -18,7 +18,7 @@
 pub const POLICY_MOST: usize = 64 * 1024;
 /// How many ended changes are kept.
 pub const HISTORY: usize = 32;
-/// How many of them each [`Agreed`] tells of.
+/// How many of them each [`AgreedState`] tells of.
 pub const TOLD: usize = 4;
 /// How many nodes or processes a list of missing ones names.
 pub const NAMED: usize = 8;
@@ -35,7 +35,7 @@
     /// The highest number that was given, or that a member has known.
     given: Epoch,
     change: Option<Change>,
-    ended: VecDeque<Ended>,
+    ended: VecDeque<EndedChange>,
 }
 
 impl Book {
@@ -103,7 +103,7 @@
     }
 
     /// How the last changes ended, newest last.
-    pub fn ended(&self) -> impl DoubleEndedIterator<Item = &Ended> {
+    pub fn ended(&self) -> impl DoubleEndedIterator<Item = &EndedChange> {
         self.ended.iter()
     }
 
@@ -119,19 +119,19 @@
     }
 
     /// What nodes are told.
-    pub fn agreed(&self) -> Agreed {
+    pub fn agreed(&self) -> AgreedState {
         let told = self.ended.len().saturating_sub(TOLD);
-        let mut agreed = Agreed {
+        let mut agreed = AgreedState {
             version: self.version(),
-            sum: 0,
+            fingerprint: 0,
             epoch: self.epoch,
             policy: self.policy.clone(),
             change: self.change.clone(),
-            ended: self.ended.iter().skip(told).cloned().collect(),
+            ended_changes: self.ended.iter().skip(told).cloned().collect(),
         };
         let mut hasher = DefaultHasher::new();
         hasher.write(&serde_json::to_vec(&agreed).expect("names and JSON values always serialize"));
-        agreed.sum = hasher.finish();
+        agreed.fingerprint = hasher.finish();
         agreed
     }
 
@@ -152,9 +152,13 @@
         Outcome::Proposed { change: id, epoch }
     }
 
-    fn end(&mut self, aborted: Option<Abort>) {
+    fn end(&mut self, aborted: Option<AbortReason>) {
         let Some(change) = self.change.take() else { return };
-        self.ended.push_back(Ended { id: change.id, epoch: change.epoch, aborted: aborted.clone() });
+        self.ended.push_back(EndedChange {
+            id: change.id,
+            epoch: change.epoch,
+            abort_reason: aborted.clone(),
+        });
         if self.ended.len() > HISTORY {
             self.ended.pop_front();
         }
@@ -165,14 +169,16 @@
 }
 
 /// The reason with its lists and words cut to their bounds.
-fn bounded(why: &Abort) -> Abort {
+fn bounded(why: &AbortReason) -> AbortReason {
     match why {
-        Abort::Refused { node, words } => {
+        AbortReason::Refused { node, reason: words } => {
             let end = (0..=words.len().min(WORDS_MOST)).rev().find(|&at| words.is_char_boundary(at));
-            Abort::Refused { node: node.clone(), words: words[..end.unwrap_or(0)].to_owned() }
+            AbortReason::Refused { node: node.clone(), reason: words[..end.unwrap_or(0)].to_owned() }
         }
-        Abort::Silent { nodes } => Abort::Silent { nodes: nodes.iter().take(NAMED).cloned().collect() },
-        Abort::Operator => Abort::Operator,
-        Abort::Late => Abort::Late,
+        AbortReason::Unresponsive { nodes } => {
+            AbortReason::Unresponsive { nodes: nodes.iter().take(NAMED).cloned().collect() }
+        }
+        AbortReason::Operator => AbortReason::Operator,
+        AbortReason::NoLeader => AbortReason::NoLeader,
     }
 }
--- a/crates/control/src/tally.rs
+++ b/crates/control/src/tally.rs
@@ -35,7 +35,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use member::votes::{Figures, Stand, Votes, BALLOTS_MOST, SERVER_MOST, ZONES_MOST};
+use member::votes::{Vote, VoteReport, VoteSettings, MAX_BALLOTS, MAX_NAME_BYTES, MAX_ZONES};
 use member::{Millis, Process, Stamp};
 
 use crate::command::{Outcome, VerdictCommand};
@@ -67,7 +67,7 @@
         /// The stamp that it echoes.
         echo: Option<Stamp>,
         /// What it says of servers.
-        votes: Option<Votes>,
+        votes: Option<VoteReport>,
     },
     /// How a command ended that was to be written; comes for each, and with an agreement that holds it where it has an
     /// outcome.
@@ -174,7 +174,7 @@
     }
 
     /// Voters are of the roster, clocks are of the verdicts; without figures nothing is kept.
-    fn sync(&mut self, now: Millis, agreement: &Agreement) -> Option<Figures> {
+    fn sync(&mut self, now: Millis, agreement: &Agreement) -> Option<VoteSettings> {
         let figures = figures(agreement.book().policy());
         if figures.is_some() != self.on {
             *self =
@@ -201,7 +201,7 @@
             self.synced = Some(agreement.version());
             self.dirty = true;
         }
-        self.back.retain(|_, (at, _)| now - *at < RECALL * figures.term * Millis::from(TERM_GROWTH));
+        self.back.retain(|_, (at, _)| now - *at < RECALL * figures.verdict_term * Millis::from(TERM_GROWTH));
         Some(figures)
     }
 
@@ -210,14 +210,14 @@
         now: Millis,
         process: Process,
         echo: Option<Stamp>,
-        votes: Option<Votes>,
+        votes: Option<VoteReport>,
         agreement: &Agreement,
     ) {
         let roster = agreement.roster();
         if roster.seat(&process).is_none() {
             return;
         }
-        let echo = echo.filter(|echo| echo.term == self.term && echo.at <= now).map(|echo| echo.at);
+        let echo = echo.filter(|echo| echo.term == self.term && echo.time <= now).map(|echo| echo.time);
         let Process { name, boot } = process;
         let older = match self.voters.get(&name) {
             Some(known) if known.boot == boot => {
@@ -236,16 +236,16 @@
             }
             None => Vec::new(),
         };
-        let Votes { zone, up, doubts, ballots } = votes.unwrap_or_default();
-        let fits = |text: &String| text.len() <= SERVER_MOST;
+        let VoteReport { zone, up_servers: up, abstains: doubts, ballots } = votes.unwrap_or_default();
+        let fits = |text: &String| text.len() <= MAX_NAME_BYTES;
         let mut standing = BTreeMap::new();
-        for ballot in ballots.into_iter().take(BALLOTS_MOST) {
+        for ballot in ballots.into_iter().take(MAX_BALLOTS) {
             let sane = ballot.born_ms.is_finite() && ballot.evidence.attempts > 0;
             if sane && fits(&ballot.server) && fits(&ballot.zone) && echo.is_some() {
                 standing.entry(ballot.server.clone()).or_insert(ballot);
             }
         }
-        let up = up.into_iter().take(ZONES_MOST).filter(|(zone, _)| fits(zone)).collect();
+        let up = up.into_iter().take(MAX_ZONES).filter(|(zone, _)| fits(zone)).collect();
         let (zone, ballots) = (zone.filter(fits), standing);
         self.dirty = true;
         self.voters.insert(name, Voter { boot, older, heard: now, echo, zone, up, doubts, ballots });
@@ -260,7 +260,7 @@
     }
 
     /// Looks at all that stands: what is asked from now on, and what is to be written.
-    fn judge(&mut self, now: Millis, figures: &Figures, agreement: &Agreement) -> Vec<VerdictCommand> {
+    fn judge(&mut self, now: Millis, figures: &VoteSettings, agreement: &Agreement) -> Vec<VerdictCommand> {
         let voters = std::mem::take(&mut self.voters);
         let poll = Poll::new(now, self.began, figures, &voters, agreement.roster());
         self.ask(&poll, agreement.verdicts());
@@ -275,15 +275,16 @@
 
     /// Opens and ends questions.
     fn ask(&mut self, poll: &Poll, verdicts: &Verdicts) {
-        let Figures { voters, evidence, weight, .. } = *poll.figures;
+        let VoteSettings { min_voters: voters, min_failures: evidence, max_voter_weight: weight, .. } =
+            *poll.figures;
         let mut suspects = BTreeMap::new();
         for (server, voices) in poll.servers() {
             let entry = verdicts.get(server);
             let mut by_process: BTreeMap<u64, (u32, u32)> = BTreeMap::new();
-            for voice in uncovered(voices, entry).filter(|v| v.ballot.stand == Stand::For) {
+            for voice in uncovered(voices, entry).filter(|v| v.ballot.vote == Vote::For) {
                 let (count, sum) = by_process.entry(voice.ballot.born_ms.to_bits()).or_default();
                 *count += 1;
-                *sum += voice.ballot.evidence.failed().min(weight);
+                *sum += voice.ballot.evidence.failures().min(weight);
             }
             if let Some((&process, &(count, sum))) = by_process.iter().max_by_key(|(_, counted)| **counted) {
                 let born_ms = f64::from_bits(process);
@@ -345,19 +346,19 @@
                             voices.iter().filter(|v| v.zone == Some(zone)).copied().collect();
                         poll.condemns(&poll.count(&of, question.since, Some(zone)), before)
                     })
-                    .take(ZONES_MOST)
+                    .take(MAX_ZONES)
                     .map(str::to_owned)
                     .collect();
                 Some(zones).filter(|zones| !zones.is_empty())
             };
-            let over = poll.now >= question.since + poll.figures.ballot || whole.hopeless(poll.figures);
+            let over = poll.now >= question.since + poll.figures.ballot_ttl || whole.hopeless(poll.figures);
             let weight = whole.case.favour.weight;
             match zones {
                 Some(zones) => {
                     condemned.push((server.clone(), question.born_ms, zones, whole.case, zone_of(&voices)))
                 }
                 None if over => {
-                    question.rests = Some((poll.now + poll.figures.window, weight));
+                    question.rests = Some((poll.now + poll.figures.evidence_window, weight));
                     question.capped = false;
                 }
                 None => {}
@@ -369,9 +370,9 @@
             let coming = self.writing.values().flatten().filter(|other| **other == zone).count();
             let others =
                 verdicts.entries().filter(|(other, entry)| **other != server && entry.zone == zone).count();
-            if others + coming >= allowed(poll.figures.cap, up) {
+            if others + coming >= allowed(poll.figures.removal_cap, up) {
                 let question = self.questions.get_mut(&server).expect("it was condemned by one");
-                question.rests = Some((poll.now + poll.figures.window, case.favour.weight));
+                question.rests = Some((poll.now + poll.figures.evidence_window, case.favour.weight));
                 question.capped = true;
                 continue;
             }
@@ -386,7 +387,7 @@
         let now = poll.now;
         let mut probed = verdicts.entries().filter(|(_, entry)| !entry.probers.is_empty()).count();
         // A leader that knows nobody yet would take all for silent.
-        let learnt = now >= self.began + poll.figures.ballot;
+        let learnt = now >= self.began + poll.figures.ballot_ttl;
         for (server, entry) in verdicts.entries().filter(|_| learnt) {
             if self.writing.contains_key(server) {
                 continue;
@@ -413,7 +414,7 @@
                     !voter.doubts && (entry.zones.is_empty() || zone.is_some_and(|z| entry.zones.contains(z)))
                 };
                 let names = poll.standing.iter().filter(|(_, voter)| may(voter)).map(|(name, _)| *name);
-                let most = (poll.figures.probers as usize).min(PROBERS_MOST);
+                let most = (poll.figures.prober_count as usize).min(PROBERS_MOST);
                 let drawn = draw(entry.at, server, names, &entry.case).into_iter().take(most);
                 let probers: Vec<String> = drawn.map(str::to_owned).collect();
                 if probers.is_empty() {
@@ -441,8 +442,8 @@
 }
 
 /// How long the term is that follows so many.
-fn term(figures: &Figures, terms: u32) -> Millis {
-    figures.term * Millis::from(2_u32.saturating_pow(terms).min(TERM_GROWTH))
+fn term(figures: &VoteSettings, terms: u32) -> Millis {
+    figures.verdict_term * Millis::from(2_u32.saturating_pow(terms).min(TERM_GROWTH))
 }
 
 /// Ballots of voters that no verdict keeps from the server that they are about.
@@ -474,7 +475,7 @@
 fn restarted(poll: &Poll, server: &str, entry: &Entry) -> bool {
     let voices = poll.on(server);
     let other = voices.iter().filter(|voice| voice.ballot.born_ms != entry.born_ms).count();
-    other >= poll.figures.voters as usize && 2 * other > voices.len()
+    other >= poll.figures.min_voters as usize && 2 * other > voices.len()
 }
 
 /// More are removed of its zone than may be now, and it is the newest of them.
@@ -482,7 +483,7 @@
     let up = poll.up(&entry.zone);
     let newest =
         || verdicts.entries().all(|(_, other)| other.zone != entry.zone || other.since <= entry.since);
-    up.is_some_and(|up| verdicts.removed(&entry.zone) > allowed(poll.figures.cap, up)) && newest()
+    up.is_some_and(|up| verdicts.removed(&entry.zone) > allowed(poll.figures.removal_cap, up)) && newest()
 }
 
 /// What probers say, once that decides.
@@ -491,12 +492,12 @@
         voice.ballot.born_ms == entry.born_ms && entry.probers.iter().any(|name| name == voice.name)
     };
     let voices: Vec<Voice> = poll.on(server).iter().filter(of).copied().collect();
-    let case = case(&voices, poll.figures.weight);
+    let case = case(&voices, poll.figures.max_voter_weight);
     let (favour, against) = (&case.favour, &case.against);
-    let over = poll.now >= since + poll.figures.window + poll.figures.ballot;
+    let over = poll.now >= since + poll.figures.evidence_window + poll.figures.ballot_ttl;
     let live = entry.probers.iter().filter(|name| poll.standing.contains_key(name.as_str())).count();
     let agree = favour.voters == 0 || against.voters == 0;
-    let enough = voices.len() >= live.max(1) && favour.weight + against.weight >= poll.figures.evidence;
+    let enough = voices.len() >= live.max(1) && favour.weight + against.weight >= poll.figures.min_failures;
     if voices.is_empty() {
         return over.then_some(Heard::Nothing);
     }
--- a/crates/control/src/tally/poll.rs
+++ b/crates/control/src/tally/poll.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use member::votes::{Ballot, Figures, Stand};
+use member::votes::{Ballot, Vote, VoteSettings};
 use member::Millis;
 
 use crate::roster::Roster;
@@ -46,7 +46,7 @@
 /// What stands at one moment.
 pub(super) struct Poll<'a> {
     pub now: Millis,
-    pub figures: &'a Figures,
+    pub figures: &'a VoteSettings,
     /// Voters that have said something of late.
     pub standing: BTreeMap<&'a str, &'a Voter>,
     /// Ballots of those that don't doubt themselves, by server.
@@ -69,7 +69,7 @@
     pub fn new(
         now: Millis,
         began: Millis,
-        figures: &'a Figures,
+        figures: &'a VoteSettings,
         voters: &'a BTreeMap<String, Voter>,
         roster: &'a Roster,
     ) -> Self {
@@ -77,7 +77,7 @@
         let mut voices: BTreeMap<&str, Vec<Voice>> = BTreeMap::new();
         let mut told: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
         for (name, voter) in voters {
-            let until = voter.echo.map_or(Millis::NEG_INFINITY, |echo| echo + figures.ballot);
+            let until = voter.echo.map_or(Millis::NEG_INFINITY, |echo| echo + figures.ballot_ttl);
             if now >= until {
                 continue;
             }
@@ -96,7 +96,7 @@
             roster.members().filter(|(process, _)| last.replace(&process.name) != Some(&process.name))
         {
             let voter = voters.get(&process.name);
-            let until = voter.map_or(began, |voter| voter.heard) + figures.ballot;
+            let until = voter.map_or(began, |voter| voter.heard) + figures.ballot_ttl;
             if now < until {
                 let zone = voter.map(|voter| voter.zone.as_deref());
                 members.push(Member { name: &process.name, zone, echo: voter.and_then(|voter| voter.echo) });
@@ -124,7 +124,7 @@
     /// What a voice weighs at the most.
     fn lid(&self, voices: &[Voice]) -> u32 {
         let mut attempts: Vec<u32> = voices.iter().map(|voice| voice.ballot.evidence.attempts).collect();
-        median(&mut attempts).clamp(1, self.figures.weight)
+        median(&mut attempts).clamp(1, self.figures.max_voter_weight)
     }
 
     /// Counts ballots about one process of a server that was asked about since `asked`, in one zone or in all.
@@ -135,11 +135,11 @@
             let may = zone.is_none() || member.zone.is_none_or(|its| its == zone);
             may && !spoken.contains(member.name)
                 && member.echo.is_none_or(|echo| echo <= asked)
-                && self.now < asked + self.figures.ballot
+                && self.now < asked + self.figures.ballot_ttl
         });
         let waited = lid.saturating_mul(silent.count() as u32);
         let zones = |favour: bool| {
-            let some = voices.iter().filter(|voice| !favour || voice.ballot.stand == Stand::For);
+            let some = voices.iter().filter(|voice| !favour || voice.ballot.vote == Vote::For);
             some.map(|voice| voice.zone).collect::<BTreeSet<_>>().len()
         };
         Count { case: case(voices, lid), waited, zones: (zones(true), zones(false)) }
@@ -151,8 +151,8 @@
         let (voters, failed) = before.map_or((0, 0), |side| (side.voters, side.failed));
         let all = f64::from(favour.weight) + f64::from(against.weight) + f64::from(count.waited);
         favour.voters > 0
-            && favour.voters.saturating_add(voters) >= self.figures.voters
-            && favour.failed.saturating_add(failed) >= self.figures.evidence
+            && favour.voters.saturating_add(voters) >= self.figures.min_voters
+            && favour.failed.saturating_add(failed) >= self.figures.min_failures
             && f64::from(favour.weight) >= self.figures.majority * all - 1e-9
     }
 }
@@ -164,7 +164,7 @@
     }
 
     /// Nobody is waited for, and far from enough is for the removal.
-    pub fn hopeless(&self, figures: &Figures) -> bool {
+    pub fn hopeless(&self, figures: &VoteSettings) -> bool {
         let Case { favour, against } = &self.case;
         let all = f64::from(favour.weight) + f64::from(against.weight);
         self.waited == 0 && 2.0 * f64::from(favour.weight) < figures.majority * all
@@ -173,20 +173,20 @@
 
 /// Both sides, each voice weighing no more than `lid`.
 pub(super) fn case(voices: &[Voice], lid: u32) -> Case {
-    let side = |stand: Stand| {
-        let mut of: Vec<&Voice> = voices.iter().filter(|voice| voice.ballot.stand == stand).collect();
+    let side = |stand: Vote| {
+        let mut of: Vec<&Voice> = voices.iter().filter(|voice| voice.ballot.vote == stand).collect();
         of.sort_by_key(|voice| std::cmp::Reverse(voice.ballot.evidence.attempts));
         let mut side = Side { voters: of.len() as u32, ..Side::default() };
         for voice in &of {
             let evidence = &voice.ballot.evidence;
             side.weight = side.weight.saturating_add(evidence.attempts.min(lid));
-            side.failed = side.failed.saturating_add(evidence.failed().min(lid));
-            side.evidence = side.evidence.and(evidence);
+            side.failed = side.failed.saturating_add(evidence.failures().min(lid));
+            side.evidence = side.evidence.combined(evidence);
         }
         side.named = of.iter().take(NAMED).map(|voice| voice.name.to_owned()).collect();
         side
     };
-    Case { favour: side(Stand::For), against: side(Stand::Against) }
+    Case { favour: side(Vote::For), against: side(Vote::Against) }
 }
 
 /// The one in the middle; of two the smaller one, of none 0.
--- a/crates/control/src/tally/shown.rs
+++ b/crates/control/src/tally/shown.rs
@@ -1,6 +1,6 @@
 //! What operators are shown of votes: who voted what on what evidence, when it lapses, what the cap holds back.
 
-use member::votes::{Evidence, Stand};
+use member::votes::{Evidence, Vote};
 use member::Millis;
 use serde::Serialize;
 
@@ -74,7 +74,7 @@
     /// Its zone.
     pub zone: Option<String>,
     /// For or against.
-    pub stand: Stand,
+    pub stand: Vote,
     /// By what.
     pub evidence: Evidence,
     /// When it lapses, unless it is renewed.
@@ -94,7 +94,7 @@
             let since = self.held.get(server).map_or(now, |(_, since)| *since);
             let span = match entry.probers.is_empty() {
                 true => term(&figures, entry.terms),
-                false => figures.window + figures.ballot,
+                false => figures.evidence_window + figures.ballot_ttl,
             };
             let probes = |voice: &&Voice| entry.probers.iter().any(|name| name == voice.name);
             let ballots = shots(now, poll.on(server).iter().filter(probes));
@@ -106,7 +106,7 @@
             let voices: Vec<Voice> = poll.on(server).iter().filter(of).copied().collect();
             let Count { case, waited, .. } = poll.count(&voices, question.since, None);
             let zone = zone_of(&voices);
-            let most = allowed(figures.cap, poll.up(&zone).unwrap_or(0));
+            let most = allowed(figures.removal_cap, poll.up(&zone).unwrap_or(0));
             Asked {
                 server: server.clone(),
                 born_ms: question.born_ms,
@@ -138,7 +138,7 @@
     let shot = |voice: &Voice| Shot {
         node: voice.name.to_owned(),
         zone: voice.zone.map(str::to_owned),
-        stand: voice.ballot.stand,
+        stand: voice.ballot.vote,
         evidence: voice.ballot.evidence,
         lapses_ms: (voice.until - now).round(),
     };
--- a/crates/control/src/verdicts.rs
+++ b/crates/control/src/verdicts.rs
@@ -8,13 +8,13 @@
 //! - *Cap.* `Cap` of the agreed policy, times the servers that are up in the zone (draining ones are not), rounded
 //!   down and never up: of 3 servers 1 at 0.34, of 2 or 1 none. Fleets with two servers a zone set 0.5. A verdict counts
 //!   in its server's zone once, in however many zones it holds. Who came first stays; a leader writes the worst first.
-//! - *Figures.* The cap alone is read here, and by itself: replicas whose programs know different figures don't part.
+//! - *VoteSettings.* The cap alone is read here, and by itself: replicas whose programs know different figures don't part.
 //!   A policy without `Votes` ends all verdicts, one with a smaller cap the newest that are over it.
 //! - *Process.* A verdict is about one process of a server; one about another process of the server takes its place.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use member::votes::{Evidence, Figures, Verdict, Verdicts as Told, SERVER_MOST, ZONES_MOST};
+use member::votes::{Evidence, Verdict, Verdicts as Told, VoteSettings, MAX_NAME_BYTES, MAX_ZONES};
 use member::Policy;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -130,15 +130,15 @@
 }
 
 /// The figures of the votes, where the policy has them on. One that can't be read has them off.
-pub fn figures(policy: &Policy) -> Option<Figures> {
-    let figures: Figures = serde_json::from_value(policy.0.get("Votes")?.clone()).ok()?;
+pub fn figures(policy: &Policy) -> Option<VoteSettings> {
+    let figures: VoteSettings = serde_json::from_value(policy.0.get("Votes")?.clone()).ok()?;
     figures.check().ok().map(|()| figures)
 }
 
 /// The cap alone, where the policy has votes on.
 fn cap(policy: &Policy) -> Option<f64> {
     let cap = policy.0.get("Votes")?.as_object()?.get("Cap").and_then(Value::as_f64);
-    Some(cap.filter(|cap| *cap > 0.0 && *cap <= 1.0).unwrap_or(Figures::default().cap))
+    Some(cap.filter(|cap| *cap > 0.0 && *cap <= 1.0).unwrap_or(VoteSettings::default().removal_cap))
 }
 
 /// How many of a zone's servers may be removed at a time, of so many that are up.
@@ -152,7 +152,7 @@
         let Some(cap) = cap(policy) else { return Outcome::Over };
         match command {
             VerdictCommand::Remove { server, born_ms, zone, zones, up, terms, case } => {
-                let long = |name: &String| name.len() > SERVER_MOST;
+                let long = |name: &String| name.len() > MAX_NAME_BYTES;
                 let known = self.entries.get(server).filter(|entry| entry.born_ms == *born_ms);
                 if known.is_some_and(|entry| within(zones, &entry.zones)) {
                     return Outcome::Done;
@@ -161,7 +161,7 @@
                 if !born_ms.is_finite()
                     || long(server)
                     || long(zone)
-                    || zones.len() > ZONES_MOST
+                    || zones.len() > MAX_ZONES
                     || zones.iter().any(long)
                     || (new && self.entries.len() >= VERDICTS_MOST)
                 {
@@ -306,7 +306,7 @@
         return Vec::new();
     }
     let all: BTreeSet<&String> = zones.iter().chain(others).collect();
-    all.into_iter().take(ZONES_MOST).cloned().collect()
+    all.into_iter().take(MAX_ZONES).cloned().collect()
 }
 
 /// The case with its lists cut to their bounds.
--- a/crates/control/tests/edge.rs
+++ b/crates/control/tests/edge.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::StatusCode;
-use member::News;
+use member::WatchEvent;
 use support::{call, open, Group, Node, Told, HASTY, PATIENCE, TERMS};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -16,7 +16,7 @@
 const POLICY: &str = "{\"Limits\":{\"AttemptsCap\":2}}";
 
 /// The next line of a watch that is not empty.
-async fn line(watch: &mut Incoming) -> News {
+async fn line(watch: &mut Incoming) -> WatchEvent {
     let read = async {
         loop {
             let frame = watch.frame().await.expect("the watch goes on").expect("it is whole");
@@ -44,7 +44,7 @@
     let mut watches = Vec::new();
     for at in group.addresses.values() {
         let mut watch = open(*at, "GET", "/v1/watch", "").await.expect("it answers").into_body();
-        assert_eq!(line(&mut watch).await.agreed.expect("what is agreed").epoch, 0);
+        assert_eq!(line(&mut watch).await.agreed_state.expect("what is agreed").epoch, 0);
         watches.push(watch);
     }
     let told = group.propose(0, POLICY).await;
@@ -55,7 +55,7 @@
     }
     for watch in &mut watches {
         let agreed = loop {
-            let agreed = line(watch).await.agreed.expect("what is agreed");
+            let agreed = line(watch).await.agreed_state.expect("what is agreed");
             if agreed.change.is_none() {
                 break agreed;
             }
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -7,7 +7,10 @@
 use control::leader::{Effect, Input, Leader, Refusal, Terms, Unreachable};
 use control::machine::Agreement;
 use control::{policy, roster};
-use member::{Abort, Answer, Beat, ChangeId, Epoch, Known, Millis, Policy, Process, Stamp, Told, Word};
+use member::{
+    AbortReason, AgreedUpdate, ChangeId, Epoch, Heartbeat, HeartbeatReply, Millis, Policy, Process,
+    StageReply, Stamp, StateId,
+};
 
 const TERM: u64 = 3;
 
@@ -19,23 +22,26 @@
     "127.0.0.1:9".parse().expect("an address")
 }
 
-fn beat(process: &Process, echo: Option<Millis>) -> Beat {
-    Beat {
+fn beat(process: &Process, echo: Option<Millis>) -> Heartbeat {
+    Heartbeat {
         process: process.clone(),
-        life: life(),
-        beside: false,
-        echo: echo.map(|at| Stamp { term: TERM, at }),
-        active: Some(0),
-        known: None,
-        change: None,
-        bye: false,
-        votes: None,
-        verdicts: None,
+        liveness_addr: life(),
+        coexists_with_previous: false,
+        echoed_stamp: echo.map(|at| Stamp { term: TERM, time: at }),
+        active_epoch: Some(0),
+        known_state: None,
+        stage_reply: None,
+        leaving: false,
+        vote_report: None,
+        verdicts_version: None,
     }
 }
 
-fn staged(process: &Process, echo: Millis, change: ChangeId, left_ms: Millis) -> Beat {
-    Beat { change: Some(Word::Staged { change, left_ms }), ..beat(process, Some(echo)) }
+fn staged(process: &Process, echo: Millis, change: ChangeId, left_ms: Millis) -> Heartbeat {
+    Heartbeat {
+        stage_reply: Some(StageReply::Staged { change, remaining_ms: left_ms }),
+        ..beat(process, Some(echo))
+    }
 }
 
 fn join(process: &Process, fenced: bool) -> Command {
@@ -89,7 +95,7 @@
         self.leader.handle(now, input, &self.agreement)
     }
 
-    fn beat(&mut self, now: Millis, beat: Beat) -> Vec<Effect> {
+    fn beat(&mut self, now: Millis, beat: Heartbeat) -> Vec<Effect> {
         self.tokens += 1;
         self.input(now, Input::Beat { token: self.tokens, beat })
     }
@@ -101,7 +107,7 @@
     }
 
     /// A beat and the confirm that it waits for.
-    fn answered(&mut self, now: Millis, beat: Beat) -> (Option<Answer>, Vec<Command>) {
+    fn answered(&mut self, now: Millis, beat: Heartbeat) -> (Option<HeartbeatReply>, Vec<Command>) {
         let mut effects = self.beat(now, beat);
         if effects.contains(&Effect::Confirm) {
             effects.extend(self.input(now, Input::Confirmed { asked: now }));
@@ -132,7 +138,9 @@
 
 fn silent(commands: &[Command]) -> Vec<String> {
     match commands {
-        [Command::Policy(PolicyCommand::Abort { why: Abort::Silent { nodes }, .. })] => nodes.clone(),
+        [Command::Policy(PolicyCommand::Abort { why: AbortReason::Unresponsive { nodes }, .. })] => {
+            nodes.clone()
+        }
         _ => Vec::new(),
     }
 }
@@ -169,7 +177,7 @@
     let effects = desk.write(20.0, &commands[0]);
     let Some(Effect::Answer { answer, .. }) = effects.first() else { panic!("{effects:?}") };
     assert_eq!((answer.lease_ms, answer.fenced), (Some(2000.0), true));
-    assert!(matches!(&answer.told, Told::News(agreed) if agreed.epoch == 0), "{answer:?}");
+    assert!(matches!(&answer.update, AgreedUpdate::Changed(agreed) if agreed.epoch == 0), "{answer:?}");
 }
 
 #[test]
@@ -177,20 +185,22 @@
     let a = process("a", 1);
     let mut desk = Desk::new(Unreachable::Abort, &[&a]);
     let tell = |desk: &mut Desk, now, known| {
-        desk.answered(now, Beat { known, ..beat(&a, None) }).0.expect("a member").told
+        desk.answered(now, Heartbeat { known_state: known, ..beat(&a, None) }).0.expect("a member").update
     };
-    let Told::News(none) = tell(&mut desk, 10.0, None) else { panic!("it knew nothing") };
-    let known = none.known();
+    let AgreedUpdate::Changed(none) = tell(&mut desk, 10.0, None) else { panic!("it knew nothing") };
+    let known = none.state_id();
     desk.apply(&join(&process("b", 1), false));
-    assert_eq!(tell(&mut desk, 20.0, Some(known)), Told::Same(known), "who joins is no news");
-    let other = Some(Known { sum: !known.sum, ..known });
-    assert_eq!(tell(&mut desk, 25.0, other), Told::News(none), "another log gave that version");
+    assert_eq!(tell(&mut desk, 20.0, Some(known)), AgreedUpdate::Unchanged(known), "who joins is no news");
+    let other = Some(StateId { fingerprint: !known.fingerprint, ..known });
+    assert_eq!(tell(&mut desk, 25.0, other), AgreedUpdate::Changed(none), "another log gave that version");
     let change = desk.propose(30.0);
-    let Told::News(asked) = tell(&mut desk, 40.0, Some(known)) else { panic!("a change is under way") };
-    let known = asked.known();
-    assert_eq!(tell(&mut desk, 50.0, Some(known)), Told::Same(known));
-    desk.apply(&Command::Policy(PolicyCommand::Abort { change, why: Abort::Operator }));
-    let Told::News(ended) = tell(&mut desk, 60.0, Some(known)) else { panic!("it has ended") };
+    let AgreedUpdate::Changed(asked) = tell(&mut desk, 40.0, Some(known)) else {
+        panic!("a change is under way")
+    };
+    let known = asked.state_id();
+    assert_eq!(tell(&mut desk, 50.0, Some(known)), AgreedUpdate::Unchanged(known));
+    desk.apply(&Command::Policy(PolicyCommand::Abort { change, why: AbortReason::Operator }));
+    let AgreedUpdate::Changed(ended) = tell(&mut desk, 60.0, Some(known)) else { panic!("it has ended") };
     assert!(ended.version > asked.version && ended.change.is_none());
     let next = desk.propose(70.0);
     assert!(next.0 > ended.version);
@@ -203,7 +213,10 @@
     let change = desk.propose(100.0);
     assert!(!is_commit(&desk.answered(200.0, staged(&a, 190.0, change, 2000.0)).1));
     // b: another term's stamp, one from the future, a word on another change, a promise nearly over.
-    let other = Beat { echo: Some(Stamp { term: TERM - 1, at: 190.0 }), ..staged(&b, 0.0, change, 2000.0) };
+    let other = Heartbeat {
+        echoed_stamp: Some(Stamp { term: TERM - 1, time: 190.0 }),
+        ..staged(&b, 0.0, change, 2000.0)
+    };
     for word in [
         other,
         staged(&b, 900.0, change, 2000.0),
@@ -265,8 +278,11 @@
     let mut desk = Desk::new(Unreachable::Abort, &[&a, &b]);
     let change = desk.propose(100.0);
     let words = "no class gold".to_owned();
-    let no = Beat { change: Some(Word::Refused { change, words: words.clone() }), ..beat(&b, None) };
-    let why = Abort::Refused { node: "b".to_owned(), words };
+    let no = Heartbeat {
+        stage_reply: Some(StageReply::Refused { change, reason: words.clone() }),
+        ..beat(&b, None)
+    };
+    let why = AbortReason::Refused { node: "b".to_owned(), reason: words };
     let abort = Command::Policy(PolicyCommand::Abort { change, why });
     assert_eq!(desk.answered(200.0, no).1, [abort]);
 }
@@ -373,10 +389,10 @@
 fn in_a_hot_upgrade_both_are_members_until_the_older_closes() {
     let (old, new) = (process("a", 1), process("a", 2));
     let mut desk = Desk::new(Unreachable::Abort, &[&old]);
-    let (_, commands) = desk.answered(10.0, Beat { beside: true, ..beat(&new, None) });
+    let (_, commands) = desk.answered(10.0, Heartbeat { coexists_with_previous: true, ..beat(&new, None) });
     desk.write(20.0, &commands[0]);
     assert_eq!(desk.agreement.roster().len(), 2);
-    let (answer, commands) = desk.answered(30.0, Beat { bye: true, ..beat(&old, None) });
+    let (answer, commands) = desk.answered(30.0, Heartbeat { leaving: true, ..beat(&old, None) });
     assert_eq!((answer, &commands[..]), (None, &[ended(&old, Proof::Closed)][..]));
     let effects = desk.write(40.0, &commands[0]);
     assert!(matches!(&effects[..], [Effect::Answer { answer, .. }] if answer.superseded), "{effects:?}");
@@ -388,10 +404,10 @@
 fn an_epoch_that_a_member_has_known_is_given_to_no_other_policy() {
     let a = process("a", 1);
     let mut desk = Desk::new(Unreachable::Abort, &[&a]);
-    let (_, commands) = desk.answered(10.0, Beat { active: Some(7), ..beat(&a, None) });
+    let (_, commands) = desk.answered(10.0, Heartbeat { active_epoch: Some(7), ..beat(&a, None) });
     desk.write(20.0, &commands[0]);
     assert_eq!(desk.apply(&propose(0)), Outcome::Proposed { change: ChangeId(3), epoch: 8 });
-    let far = Beat { active: Some(u64::MAX), ..beat(&a, None) };
+    let far = Heartbeat { active_epoch: Some(u64::MAX), ..beat(&a, None) };
     assert_eq!(desk.answered(30.0, far).1, [], "nonsense is not believed");
 }
 
@@ -401,7 +417,7 @@
     assert_eq!(log.apply(1, &propose(1)), Outcome::Stale { epoch: 0 });
     assert_eq!(log.apply(2, &propose(0)), Outcome::Proposed { change: ChangeId(2), epoch: 1 });
     assert_eq!(log.apply(3, &propose(0)), Outcome::Busy { change: ChangeId(2) });
-    let abort = |change| Command::Policy(PolicyCommand::Abort { change, why: Abort::Operator });
+    let abort = |change| Command::Policy(PolicyCommand::Abort { change, why: AbortReason::Operator });
     assert_eq!(log.apply(4, &abort(ChangeId(2))), Outcome::Done);
     assert_eq!(log.apply(5, &abort(ChangeId(2))), Outcome::Over);
     assert_eq!(log.apply(6, &propose(0)), Outcome::Proposed { change: ChangeId(6), epoch: 2 });
@@ -447,13 +463,12 @@
     for round in 0..40u64 {
         let id = ChangeId(6000 + 2 * round);
         log.apply(id.0, &propose(0));
-        let why = Abort::Silent { nodes: vec!["n".to_owned(); 4096] };
+        let why = AbortReason::Unresponsive { nodes: vec!["n".to_owned(); 4096] };
         log.apply(id.0 + 1, &Command::Policy(PolicyCommand::Abort { change: id, why }));
     }
     assert_eq!(log.book().ended().count(), policy::HISTORY);
-    assert_eq!(log.agreed().ended.len(), policy::TOLD);
-    let named =
-        |ended: &member::Ended| matches!(&ended.aborted, Some(Abort::Silent { nodes }) if nodes.len() == 8);
+    assert_eq!(log.agreed().ended_changes.len(), policy::TOLD);
+    let named = |ended: &member::EndedChange| matches!(&ended.abort_reason, Some(AbortReason::Unresponsive { nodes }) if nodes.len() == 8);
     assert!(log.book().ended().all(named));
 }
 
--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -18,7 +18,8 @@
 use control::leader::{Effect, Input, Leader, Terms, Unreachable};
 use control::machine::Agreement;
 use member::{
-    Answer, Beat, Epoch, Held, Known, Member, MemberConfig, Millis, Policy, Process, Start, Told, DRIFT,
+    AdmissionError, AgreedUpdate, Epoch, Heartbeat, HeartbeatReply, Member, MemberConfig, Millis, Policy,
+    Process, StartMode, StateId, MAX_CLOCK_DRIFT,
 };
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
@@ -86,7 +87,7 @@
     member: Member,
     boot: u64,
     /// The beat that waits for its answer, when it was handed out, and what it named.
-    out: Option<(u8, Millis, Option<Known>)>,
+    out: Option<(u8, Millis, Option<StateId>)>,
     sent: u8,
     /// The highest epoch that it took a request under.
     top: Epoch,
@@ -110,8 +111,8 @@
     log: Agreement,
     leads: Vec<Lead>,
     nodes: Vec<Node>,
-    beats: Vec<(Token, Beat)>,
-    answers: Vec<(Token, Answer)>,
+    beats: Vec<(Token, Heartbeat)>,
+    answers: Vec<(Token, HeartbeatReply)>,
     /// Writes of unknown fate.
     maybe: Vec<Command>,
     restarts: u8,
@@ -172,9 +173,11 @@
         terms.check().expect("they hold");
         match self.mutant {
             Mutant::LateCommit => Terms { reserve_ms: -9000.0, ..terms },
-            Mutant::NoDrift => {
-                Terms { lease_ms: SPAN / (1.0 + DRIFT), promise_ms: SPAN / (1.0 - DRIFT), ..terms }
-            }
+            Mutant::NoDrift => Terms {
+                lease_ms: SPAN / (1.0 + MAX_CLOCK_DRIFT),
+                promise_ms: SPAN / (1.0 - MAX_CLOCK_DRIFT),
+                ..terms
+            },
             _ => terms,
         }
     }
@@ -194,16 +197,23 @@
 
     fn process(&self, node: usize, boot: u64) -> Member {
         let process = Process { name: format!("n{node}"), boot };
-        let life = format!("127.0.0.1:{}", 100 * node as u64 + boot).parse().expect("an address");
-        let config = MemberConfig { process, life, beside: false, start: Start::Wait };
+        let liveness_addr = format!("127.0.0.1:{}", 100 * node as u64 + boot).parse().expect("an address");
+        let config = MemberConfig {
+            process,
+            liveness_addr,
+            coexists_with_previous: false,
+            start_mode: StartMode::Wait,
+        };
         Member::new(config, None, 0.0)
     }
 
     /// Whether a node would take a request now.
-    fn admit(&self, state: &State, node: usize) -> Result<Epoch, Held> {
+    fn admit(&self, state: &State, node: usize) -> Result<Epoch, AdmissionError> {
         let member = &state.nodes[node].member;
         match member.admit(self.node_clock(state.tick, node)) {
-            Err(Held::Doubt) if self.mutant == Mutant::NoDoubt => member.active().ok_or(Held::Unknown),
+            Err(AdmissionError::InDoubt) if self.mutant == Mutant::NoDoubt => {
+                member.active_epoch().ok_or(AdmissionError::NoEpoch)
+            }
             result => result,
         }
     }
@@ -235,7 +245,7 @@
         }
     }
 
-    fn answer(&self, state: &mut State, token: u64, mut answer: Answer) {
+    fn answer(&self, state: &mut State, token: u64, mut answer: HeartbeatReply) {
         let token = ((token >> 16) as usize, (token >> 8) & 255, (token & 255) as u8);
         answer.promise_ms = SPAN;
         if answer.fenced && (self.mutant == Mutant::NoFreeze || answer.lease_ms.is_some()) {
@@ -252,7 +262,7 @@
         let Command::Policy(PolicyCommand::Commit { staged, .. }) = command else { return };
         for (node, other) in state.nodes.iter().enumerate() {
             let process = Process { name: format!("n{node}"), boot: other.boot };
-            let doubt = other.member.admit(self.node_clock(state.tick, node)) == Err(Held::Doubt);
+            let doubt = other.member.admit(self.node_clock(state.tick, node)) == Err(AdmissionError::InDoubt);
             if doubt && staged.contains(&process) {
                 state.bad = Some("a commit was decided when a promise had passed");
             }
@@ -272,7 +282,7 @@
             }
         }
         let agreed = state.log.agreed();
-        if agreed.epoch < before.epoch || agreed.ended.len() > 1 {
+        if agreed.epoch < before.epoch || agreed.ended_changes.len() > 1 {
             state.bad = Some("the change has ended twice, or the agreed epoch has gone back");
         }
         if agreed.epoch > before.epoch {
@@ -288,7 +298,7 @@
         let now = self.node_clock(state.tick, node);
         for effect in effects {
             if let member::Effect::Check(change) = effect {
-                state.nodes[node].member.checked(change.id, Ok(()), now);
+                state.nodes[node].member.on_check_result(change.id, Ok(()), now);
             }
         }
     }
@@ -297,7 +307,7 @@
     fn observe(&self, state: &mut State) {
         for node in 0..state.nodes.len() {
             let Ok(epoch) = self.admit(state, node) else { continue };
-            let aborted = |ended: &member::Ended| ended.epoch == epoch && ended.aborted.is_some();
+            let aborted = |ended: &member::EndedChange| ended.epoch == epoch && ended.abort_reason.is_some();
             if state.log.book().ended().any(aborted) || epoch > state.log.book().epoch() {
                 state.bad = Some("a request was taken under an epoch that was not agreed");
             }
@@ -329,8 +339,8 @@
                 state.answers.retain(|(token, _)| token.0 != node);
                 let other = &mut state.nodes[node];
                 other.sent += 1;
-                let beat = other.member.beat(now);
-                other.out = Some((other.sent, now, beat.known));
+                let beat = other.member.heartbeat(now);
+                other.out = Some((other.sent, now, beat.known_state));
                 state.beats.push(((node, other.boot, other.sent), beat));
                 if state.beats.iter().filter(|(token, _)| token.0 == node).count() > self.late {
                     let oldest = state.beats.iter().position(|(token, _)| token.0 == node);
@@ -345,10 +355,10 @@
                     state.beats.remove(place);
                 }
                 let now = self.leader_clock(tick, state.leads[lead].term);
-                match (&mut beat.echo, &mut beat.change, self.mutant) {
-                    (Some(echo), _, Mutant::FromComing) => echo.at = now,
-                    (_, Some(member::Word::Staged { left_ms, .. }), Mutant::NoDrift) => {
-                        *left_ms /= 1.0 - DRIFT
+                match (&mut beat.echoed_stamp, &mut beat.stage_reply, self.mutant) {
+                    (Some(echo), _, Mutant::FromComing) => echo.time = now,
+                    (_, Some(member::StageReply::Staged { remaining_ms: left_ms, .. }), Mutant::NoDrift) => {
+                        *left_ms /= 1.0 - MAX_CLOCK_DRIFT
                     }
                     _ => {}
                 }
@@ -366,15 +376,15 @@
                     sent = now;
                 }
                 if let Some(known) = known.filter(|_| self.mutant == Mutant::OldNews) {
-                    answer.told = Told::Same(known);
+                    answer.update = AgreedUpdate::Unchanged(known);
                 }
-                let effects = state.nodes[node].member.answered(sent, answer, now);
+                let effects = state.nodes[node].member.on_reply(sent, answer, now);
                 self.member_effects(state, node, effects);
             }
             Action::News(node) => {
                 let now = self.node_clock(tick, node);
                 let agreed = state.log.agreed();
-                let effects = state.nodes[node].member.news(agreed, now);
+                let effects = state.nodes[node].member.on_agreed_state(agreed, now);
                 self.member_effects(state, node, effects);
             }
             Action::Write => {
@@ -502,10 +512,9 @@
         // When all is known everywhere, nothing more can come of it.
         let agreed = state.log.book();
         let settled = agreed.change().is_none()
-            && state
-                .nodes
-                .iter()
-                .all(|node| node.member.active() == Some(agreed.epoch()) && node.member.change().is_none());
+            && state.nodes.iter().all(|node| {
+                node.member.active_epoch() == Some(agreed.epoch()) && node.member.pending_change().is_none()
+            });
         if state.bad.is_none() && !settled {
             self.possible(state, actions);
         }
@@ -524,7 +533,7 @@
                 (0..state.nodes.len()).all(|node| model.admit(state, node) == Ok(1))
             }),
             Property::sometimes("a change is aborted", |_, state: &State| {
-                state.log.book().ended().any(|ended| ended.aborted.is_some())
+                state.log.book().ended().any(|ended| ended.abort_reason.is_some())
             }),
         ]
     }
--- a/crates/control/tests/steps.rs
+++ b/crates/control/tests/steps.rs
@@ -17,7 +17,7 @@
 use control::config::Config;
 use control::edge::Control;
 use hyper::StatusCode;
-use member::{Epoch, Held, DRIFT};
+use member::{AdmissionError, Epoch, MAX_CLOCK_DRIFT};
 use serde_json::Value;
 use support::{free, try_call, Node, Said, Told, PATIENCE};
 use tempfile::TempDir;
@@ -218,7 +218,7 @@
 
 impl Referee {
     fn hear(&mut self, node: usize, asked: Instant, said: &Said) {
-        self.doubts += usize::from(said.admitted == Err(Held::Doubt));
+        self.doubts += usize::from(said.admitted == Err(AdmissionError::InDoubt));
         let Ok(epoch) = said.admitted else { return };
         if said.in_change && said.heard_ms > PROMISE_MS && self.refuses != Some(node) {
             self.faults.push(format!("node {node} takes requests in doubt: {said:?}"));
@@ -233,7 +233,7 @@
         if let Some((newer, late)) =
             newer.map(|(newer, first)| (newer, asked.saturating_duration_since(*first)))
         {
-            if late.as_secs_f64() * 1000.0 > PROMISE_MS * (1.0 + 2.0 * DRIFT) + SLACK_MS {
+            if late.as_secs_f64() * 1000.0 > PROMISE_MS * (1.0 + 2.0 * MAX_CLOCK_DRIFT) + SLACK_MS {
                 self.faults.push(format!("node {node} at {epoch} {late:?} after {newer}"));
             }
         }
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use member::{Answer, Effect, Epoch, Held, Member, MemberConfig, Process, Start};
+use member::{AdmissionError, Effect, Epoch, HeartbeatReply, Member, MemberConfig, Process, StartMode};
 use serde_json::Value;
 use tempfile::TempDir;
 use tokio::net::{TcpListener, TcpStream};
@@ -204,25 +204,30 @@
     }
 
     /// Takes an answer, and looks at a change that it brings; what is admitted then, and whether it is all over.
-    fn take(&self, sent: f64, answer: Answer, refuses: Option<&'static str>) -> (Option<Epoch>, bool) {
+    fn take(
+        &self,
+        sent: f64,
+        answer: HeartbeatReply,
+        refuses: Option<&'static str>,
+    ) -> (Option<Epoch>, bool) {
         let mut guard = self.member.lock().expect("no test panics with it");
         let now = self.start.elapsed().as_secs_f64() * 1000.0;
         let (member, heard) = &mut *guard;
         *heard = now;
-        for effect in member.answered(sent, answer, now) {
+        for effect in member.on_reply(sent, answer, now) {
             if let Effect::Check(change) = effect {
                 let result = refuses.map_or(Ok(()), |words| Err(words.to_owned()));
-                member.checked(change.id, result, now);
+                member.on_check_result(change.id, result, now);
             }
         }
-        (member.admit(now).ok(), member.superseded())
+        (member.admit(now).ok(), member.is_superseded())
     }
 }
 
 /// What a node says when it is asked for admission.
 #[derive(Clone, Debug)]
 pub struct Said {
-    pub admitted: Result<Epoch, Held>,
+    pub admitted: Result<Epoch, AdmissionError>,
     /// A change that it has staged or looks at.
     pub in_change: bool,
     /// How long before it took its last answer, in milliseconds.
@@ -239,9 +244,14 @@
     pub async fn join(replicas: Arc<[SocketAddr]>, name: &str, refuses: Option<&'static str>) -> Self {
         static BOOT: AtomicU64 = AtomicU64::new(1);
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a free port");
-        let life = listener.local_addr().expect("it is bound");
+        let liveness_addr = listener.local_addr().expect("it is bound");
         let process = Process { name: name.to_owned(), boot: BOOT.fetch_add(1, Ordering::Relaxed) };
-        let config = MemberConfig { process, life, beside: false, start: Start::Wait };
+        let config = MemberConfig {
+            process,
+            liveness_addr,
+            coexists_with_previous: false,
+            start_mode: StartMode::Wait,
+        };
         let (known, active) = watch::channel(None);
         let (orders, ordered) = mpsc::unbounded_channel();
         let member = Mutex::new((Member::new(config, None, 0.0), 0.0));
@@ -257,7 +267,11 @@
         let guard = self.seat.member.lock().expect("no test panics with it");
         let now = self.seat.start.elapsed().as_secs_f64() * 1000.0;
         let (member, heard) = &*guard;
-        Said { admitted: member.admit(now), in_change: member.change().is_some(), heard_ms: now - heard }
+        Said {
+            admitted: member.admit(now),
+            in_change: member.pending_change().is_some(),
+            heard_ms: now - heard,
+        }
     }
 
     /// Waits until it takes requests under such an epoch.
@@ -301,21 +315,21 @@
 ) {
     let mut at = 0;
     loop {
-        let wait = seat.with(|member, now| (member.next_beat() - now).clamp(0.0, 1000.0) / 1000.0);
+        let wait = seat.with(|member, now| (member.next_heartbeat_at() - now).clamp(0.0, 1000.0) / 1000.0);
         tokio::select! {
             () = sleep(Duration::from_secs_f64(wait)) => {}
             order = orders.recv() => match order {
-                Some(Order::Bye) => drop(seat.with(Member::bye)),
+                Some(Order::Bye) => drop(seat.with(Member::leave)),
                 Some(Order::Silent) => return std::future::pending().await,
                 None => return,
             }
         }
-        let (sent, beat) = seat.with(|member, now| (now, member.beat(now)));
+        let (sent, beat) = seat.with(|member, now| (now, member.heartbeat(now)));
         let beat = serde_json::to_string(&beat).expect("a beat has a form");
         let answered = timeout(BEAT, try_call(replicas[at], "POST", "/v1/session", &beat)).await;
         match answered.unwrap_or_else(|late| Err(late.into())) {
             Ok(Told { status: StatusCode::OK, body, .. }) => {
-                let answer: Answer = serde_json::from_value(body).expect("an answer");
+                let answer: HeartbeatReply = serde_json::from_value(body).expect("an answer");
                 let (admitted, superseded) = seat.take(sent, answer, refuses);
                 known.send_replace(admitted);
                 if superseded {
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -5,7 +5,7 @@
 use control::machine::Agreement;
 use control::tally::{Input, Tally};
 use control::verdicts::{Case, Why};
-use member::votes::{Ballot, Evidence, Stand, Votes};
+use member::votes::{Ballot, Evidence, Vote, VoteReport};
 use member::{ChangeId, Millis, Policy, Process, Stamp};
 
 /// A tally on a log of one; nodes' beats come in order, and are answered at once.
@@ -51,9 +51,14 @@
         process: Process,
         ballots: Vec<Ballot>,
     ) -> Vec<VerdictCommand> {
-        let echo = Some(Stamp { term: 1, at: now });
+        let echo = Some(Stamp { term: 1, time: now });
         let zone = zone.map(str::to_owned);
-        let votes = Some(Votes { zone, up: vec![("z".to_owned(), 9)], ballots, ..Votes::default() });
+        let votes = Some(VoteReport {
+            zone,
+            up_servers: vec![("z".to_owned(), 9)],
+            ballots,
+            ..VoteReport::default()
+        });
         self.tally.handle_all(now, [Input::Beat { process, echo, votes }], &self.log)
     }
 
@@ -68,10 +73,10 @@
     Process { name: name.to_owned(), boot }
 }
 
-fn ballot(server: &str, stand: Stand) -> Ballot {
+fn ballot(server: &str, vote: Vote) -> Ballot {
     let (server, zone) = (server.to_owned(), "z".to_owned());
     let evidence = Evidence { attempts: 9, errors: 9, ..Evidence::default() };
-    Ballot { server, born_ms: 1.0, zone, stand, evidence }
+    Ballot { server, born_ms: 1.0, zone, vote, evidence }
 }
 
 #[test]
@@ -109,13 +114,13 @@
     for round in 1..10 {
         let now = 1000.0 * Millis::from(round);
         for boot in [1, 2] {
-            let commands = desk.beat(now, process("a", boot), vec![ballot("s", Stand::For)]);
+            let commands = desk.beat(now, process("a", boot), vec![ballot("s", Vote::For)]);
             assert_eq!((commands, desk.tally.asked()), (vec![], &[][..]));
         }
     }
     desk.join("b", 1, false);
-    desk.beat(10_000.0, process("a", 2), vec![ballot("s", Stand::For)]);
-    let commands = desk.beat(10_100.0, process("b", 1), vec![ballot("s", Stand::For)]);
+    desk.beat(10_000.0, process("a", 2), vec![ballot("s", Vote::For)]);
+    let commands = desk.beat(10_100.0, process("b", 1), vec![ballot("s", Vote::For)]);
     assert!(matches!(&commands[..], [VerdictCommand::Remove { up: 9, .. }]), "{commands:?}");
 }
 
@@ -125,7 +130,7 @@
 fn a_verdict_for_a_zone_widens_by_the_word_of_one_node_of_another() {
     let mut desk = Desk::new(r#"{"Votes": {}}"#);
     [("a1", "a"), ("a2", "a"), ("b1", "b")].iter().for_each(|(name, _)| desk.join(name, 1, false));
-    let (bad, good) = (|| vec![ballot("s", Stand::For)], || vec![ballot("s", Stand::Against)]);
+    let (bad, good) = (|| vec![ballot("s", Vote::For)], || vec![ballot("s", Vote::Against)]);
     desk.beat_from(Some("b"), 0.0, process("b1", 1), good());
     desk.beat_from(Some("a"), 100.0, process("a1", 1), bad());
     let mut commands = desk.beat_from(Some("a"), 200.0, process("a2", 1), bad());
@@ -150,10 +155,10 @@
 fn a_node_that_floods_displaces_only_its_own() {
     let mut desk = Desk::new(r#"{"Votes": {}}"#);
     ["a", "b", "flood"].iter().for_each(|name| desk.join(name, 1, false));
-    let flood: Vec<Ballot> = (0..10_000).map(|n| ballot(&format!("x{n}"), Stand::For)).collect();
+    let flood: Vec<Ballot> = (0..10_000).map(|n| ballot(&format!("x{n}"), Vote::For)).collect();
     desk.beat(0.0, process("flood", 1), flood);
-    desk.beat(100.0, process("a", 1), vec![ballot("s", Stand::For)]);
-    desk.beat(200.0, process("b", 1), vec![ballot("s", Stand::For)]);
+    desk.beat(100.0, process("a", 1), vec![ballot("s", Vote::For)]);
+    desk.beat(200.0, process("b", 1), vec![ballot("s", Vote::For)]);
     // The flooding node has not been asked yet, and counts as against; then it is silent.
     assert_eq!(desk.tally.asked(), ["s"]);
     let said = desk.tally.shown(200.0, &desk.log);
--- a/crates/control/tests/votes_model.rs
+++ b/crates/control/tests/votes_model.rs
@@ -14,7 +14,7 @@
 use control::machine::Agreement;
 use control::tally::{Input, Tally};
 use control::verdicts::allowed;
-use member::votes::{Ballot, Evidence, Figures, Stand, Votes};
+use member::votes::{Ballot, Evidence, Vote, VoteReport, VoteSettings};
 use member::{ChangeId, Millis, Policy, Process, Stamp};
 
 use proptest::prelude::*;
@@ -87,7 +87,7 @@
     node: usize,
     sent: u8,
     echo: Option<(u64, Millis)>,
-    votes: Votes,
+    votes: VoteReport,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -157,9 +157,17 @@
     Depose(bool),
 }
 
-fn figures(voters: u32) -> Figures {
+fn figures(voters: u32) -> VoteSettings {
     let (window, ballot, term) = (WINDOW, BALLOT, TERM);
-    Figures { window, ballot, term, voters, evidence: 3, probers: 2, ..Figures::default() }
+    VoteSettings {
+        evidence_window: window,
+        ballot_ttl: ballot,
+        verdict_term: term,
+        min_voters: voters,
+        min_failures: 3,
+        prober_count: 2,
+        ..VoteSettings::default()
+    }
 }
 
 fn agreement(nodes: usize, voters: u32) -> Agreement {
@@ -191,7 +199,7 @@
     }
 
     /// What a node says now.
-    fn votes(&self, state: &State, node: usize) -> Votes {
+    fn votes(&self, state: &State, node: usize) -> VoteReport {
         let told = state.log.verdicts().told();
         let mut ballots = Vec::new();
         for (server, name) in SERVERS.iter().enumerate() {
@@ -202,23 +210,23 @@
             let lies = self.liar(node);
             let attempts = if lies { 1000 } else { 3 };
             let fails = if lies { server == 0 } else { state.failing[server] };
-            let stand = if fails { Stand::For } else { Stand::Against };
+            let stand = if fails { Vote::For } else { Vote::Against };
             let asked = state.nodes[node].asked.iter().any(|asked| asked == name);
-            if (lies || sends) && (stand == Stand::For || asked) {
+            if (lies || sends) && (stand == Vote::For || asked) {
                 let errors = if fails { attempts } else { 0 };
                 let evidence = Evidence { attempts, errors, ..Evidence::default() };
                 ballots.push(Ballot {
                     server: (*name).to_owned(),
                     born_ms,
                     zone: "z".to_owned(),
-                    stand,
+                    vote: stand,
                     evidence,
                 });
             }
         }
         let zone = self.zones.then(|| ["x", "y"][node % 2].to_owned());
         let up = vec![("z".to_owned(), if self.liar(node) { 1000 } else { UP })];
-        Votes { zone, up, doubts: false, ballots }
+        VoteReport { zone, up_servers: up, abstains: false, ballots }
     }
 
     fn feed(&self, state: &mut State, inputs: Vec<Input>) {
@@ -253,7 +261,7 @@
             };
             let against = honest.clone().filter(stands).count();
             let part = self.liars as f64 / (self.liars + against) as f64;
-            if self.liars < self.voters as usize || part < Figures::default().majority {
+            if self.liars < self.voters as usize || part < VoteSettings::default().majority {
                 state.bad = Some("a good server is removed");
             }
         }
@@ -272,7 +280,7 @@
             *up = 1000;
         }
         let outcome = state.log.apply(state.log.version() + 1, &Command::Verdict(command.clone()));
-        if state.log.verdicts().removed("z") > allowed(Figures::default().cap, UP) {
+        if state.log.verdicts().removed("z") > allowed(VoteSettings::default().removal_cap, UP) {
             state.bad = Some("more servers are removed than the cap allows");
         }
         state.returned |= matches!(command, VerdictCommand::Return { .. }) && outcome == Outcome::Done;
@@ -321,7 +329,7 @@
                 let votes = self.votes(state, node);
                 let other = &mut state.nodes[node];
                 other.sent = Some(state.tick);
-                for ballot in votes.ballots.iter().filter(|ballot| ballot.stand == Stand::For) {
+                for ballot in votes.ballots.iter().filter(|ballot| ballot.vote == Vote::For) {
                     let place = SERVERS.iter().position(|name| *name == ballot.server).expect("one of them");
                     other.said[place] = Some(state.tick);
                 }
@@ -340,9 +348,9 @@
                 } else {
                     state.flights.remove(place);
                 }
-                let mut echo = flight.echo.map(|(term, at)| Stamp { term, at });
+                let mut echo = flight.echo.map(|(term, at)| Stamp { term, time: at });
                 if self.mutant == Mutant::FromComing {
-                    echo = Some(Stamp { term: state.term, at: now });
+                    echo = Some(Stamp { term: state.term, time: now });
                 }
                 let process = process(flight.node);
                 self.feed(state, vec![Input::Beat { process, echo, votes: Some(flight.votes) }]);
--- a/crates/lab/src/bin/scripted-replica.rs
+++ b/crates/lab/src/bin/scripted-replica.rs
@@ -15,8 +15,8 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use member::votes::{Stand, Votes};
-use member::{Abort, Agreed, ChangeId, Ended, Policy};
+use member::votes::{Vote, VoteReport};
+use member::{AbortReason, AgreedState, ChangeId, EndedChange, Policy};
 use serde::Deserialize;
 use serde_json::json;
 use tokio::net::TcpListener;
@@ -30,7 +30,7 @@
 
 struct Replica {
     script: String,
-    agreed: RefCell<(Agreed, Instant)>,
+    agreed: RefCell<(AgreedState, Instant)>,
     /// The servers that a member wants removed.
     accused: RefCell<BTreeMap<String, f64>>,
 }
@@ -39,7 +39,7 @@
 #[derive(Deserialize)]
 struct Beat {
     bye: bool,
-    votes: Votes,
+    votes: VoteReport,
 }
 
 #[derive(Deserialize)]
@@ -60,7 +60,8 @@
 
 async fn serve(script: String, listen: SocketAddr) -> Result<(), Failure> {
     let policy = Policy::default();
-    let agreed = Agreed { version: 1, sum: 0, epoch: 0, policy, change: None, ended: Vec::new() };
+    let agreed =
+        AgreedState { version: 1, fingerprint: 0, epoch: 0, policy, change: None, ended_changes: Vec::new() };
     let agreed = RefCell::new((agreed, Instant::now()));
     let replica = Rc::new(Replica { script, agreed, accused: RefCell::default() });
     let listener = TcpListener::bind(listen).await?;
@@ -106,16 +107,16 @@
     }
 
     fn hear(&self, beat: Beat) -> Result<serde_json::Value, Failure> {
-        let against = beat.votes.ballots.into_iter().filter(|b| b.stand == Stand::For && !beat.bye);
+        let against = beat.votes.ballots.into_iter().filter(|b| b.vote == Vote::For && !beat.bye);
         *self.accused.borrow_mut() = against.map(|b| (b.server, b.born_ms)).collect();
         let (stamp, told) = (json!({"term": 1, "at": 0}), json!({"news": self.agreed()}));
         Ok(json!({"stamp": stamp, "told": told, "beat_ms": 100, "promise_ms": 300}))
     }
 
-    fn agreed(&self) -> Agreed {
+    fn agreed(&self) -> AgreedState {
         let (agreed, since) = &*self.agreed.borrow();
         let forgets = self.script == "forget" && since.elapsed() > KNOWS;
-        Agreed { epoch: if forgets { 0 } else { agreed.epoch }, ..agreed.clone() }
+        AgreedState { epoch: if forgets { 0 } else { agreed.epoch }, ..agreed.clone() }
     }
 
     fn propose(&self, proposal: Proposal) -> (StatusCode, serde_json::Value) {
@@ -124,9 +125,13 @@
             return (StatusCode::CONFLICT, json!({"error": "stale"}));
         }
         agreed.version += 1;
-        let aborted = (self.script == "abort").then_some(Abort::Operator);
+        let aborted = (self.script == "abort").then_some(AbortReason::Operator);
         let done = aborted.is_none();
-        agreed.ended.push(Ended { id: ChangeId(agreed.version), epoch: agreed.epoch + 1, aborted });
+        agreed.ended_changes.push(EndedChange {
+            id: ChangeId(agreed.version),
+            epoch: agreed.epoch + 1,
+            abort_reason: aborted,
+        });
         if !done {
             return (StatusCode::CONFLICT, json!({"error": "aborted"}));
         }
--- a/crates/lab/src/live/group.rs
+++ b/crates/lab/src/live/group.rs
@@ -15,7 +15,7 @@
 use hyper::client::conn::http1;
 use hyper::{Method, Request};
 use hyper_util::rt::TokioIo;
-use member::{Agreed, Epoch, Policy};
+use member::{AgreedState, Epoch, Policy};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
 use tokio::net::TcpStream;
@@ -357,7 +357,7 @@
     let wish = stage.with(|world, now| world.policy_proposed(now));
     let policy = Policy(fault.policy.clone());
     // What was agreed when the change was first sent: what ended since is this one.
-    let mut sent: Option<Agreed> = None;
+    let mut sent: Option<AgreedState> = None;
     let mut first = true;
     let outcome = loop {
         if let Some(outcome) = told(group, &policy, &mut sent).await {
@@ -374,12 +374,12 @@
 }
 
 /// One round of an operator's: what became of his change, as far as it can be told.
-async fn told(group: &Group, policy: &Policy, sent: &mut Option<Agreed>) -> Option<Outcome> {
+async fn told(group: &Group, policy: &Policy, sent: &mut Option<AgreedState>) -> Option<Outcome> {
     let agreed = newest(group).await?;
     if let Some(sent) = sent {
-        let last = sent.ended.last().map(|e| e.id);
-        if let Some(ended) = agreed.ended.iter().find(|e| last.is_none_or(|last| e.id > last)) {
-            return Some(match &ended.aborted {
+        let last = sent.ended_changes.last().map(|e| e.id);
+        if let Some(ended) = agreed.ended_changes.iter().find(|e| last.is_none_or(|last| e.id > last)) {
+            return Some(match &ended.abort_reason {
                 None => Outcome::Committed(ended.epoch),
                 Some(why) => Outcome::Aborted(serde_json::to_string(why).unwrap_or_default()),
             });
@@ -403,11 +403,11 @@
 }
 
 /// The newest agreed state that a replica tells.
-async fn newest(group: &Group) -> Option<Agreed> {
-    let mut newest: Option<Agreed> = None;
+async fn newest(group: &Group) -> Option<AgreedState> {
+    let mut newest: Option<AgreedState> = None;
     for replica in group.numbers() {
         let told = call(group.at(replica), Method::GET, "/v1/policy", None, PATIENCE).await;
-        let agreed = told.and_then(|(_, told)| serde_json::from_value::<Agreed>(told).ok());
+        let agreed = told.and_then(|(_, told)| serde_json::from_value::<AgreedState>(told).ok());
         newest = newest.into_iter().chain(agreed).max_by_key(|a| a.version);
     }
     newest
--- a/crates/lab/src/live/liar.rs
+++ b/crates/lab/src/live/liar.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use hyper::Method;
-use member::votes::Votes;
-use member::{Answer, Change, Told, Word};
+use member::votes::VoteReport;
+use member::{AgreedUpdate, Change, HeartbeatReply, StageReply};
 use serde_json::{json, Value};
 
 use super::group::{call, AGAIN, PATIENCE};
@@ -27,8 +27,13 @@
         beat["bye"] = json!(over);
         let (up, ballots) = stage.world().lies(&fault.targets);
         // Plain data always has a JSON form.
-        beat["votes"] = serde_json::to_value(Votes { zone: Some(zone.clone()), up, doubts: false, ballots })
-            .unwrap_or_default();
+        beat["votes"] = serde_json::to_value(VoteReport {
+            zone: Some(zone.clone()),
+            up_servers: up,
+            abstains: false,
+            ballots,
+        })
+        .unwrap_or_default();
         let mut pause = AGAIN;
         for at in group.all() {
             let answer = call(at, Method::POST, "/v1/session", Some(&beat), PATIENCE).await;
@@ -46,12 +51,13 @@
 }
 
 /// What the next beat says of an answer, and how long until it. It names nothing as known, so it is always told all.
-fn heed(beat: &mut Value, answer: Answer) -> Duration {
-    if let Told::News(agreed) = answer.told {
-        let staged = |change: Change| Word::Staged { change: change.id, left_ms: answer.promise_ms };
+fn heed(beat: &mut Value, answer: HeartbeatReply) -> Duration {
+    if let AgreedUpdate::Changed(agreed) = answer.update {
+        let staged =
+            |change: Change| StageReply::Staged { change: change.id, remaining_ms: answer.promise_ms };
         beat["active"] = json!(agreed.epoch);
         beat["change"] = json!(agreed.change.map(staged));
     }
     beat["echo"] = json!(answer.stamp);
-    Duration::from_secs_f64(answer.beat_ms.clamp(BEAT_MS.0, BEAT_MS.1) / 1e3)
+    Duration::from_secs_f64(answer.heartbeat_interval_ms.clamp(BEAT_MS.0, BEAT_MS.1) / 1e3)
 }
--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use member::votes::{Stand, Verdicts, Votes, BALLOTS_MOST};
+use member::votes::{Verdicts, Vote, VoteReport, MAX_BALLOTS};
 use member::{Policy, Process, Stamp};
 use serde_json::Value;
 use tulipmount::{Outcome, RequestId, Status};
@@ -439,7 +439,8 @@
         let before = group.told();
         for liar in self.liars.iter_mut().filter(|liar| liar.spoke + BEAT <= self.now) {
             let (up, ballots) = self.world.lies(&draw.faults[liar.fault].targets);
-            let votes = Votes { zone: Some(liar.zone.clone()), up, doubts: false, ballots };
+            let votes =
+                VoteReport { zone: Some(liar.zone.clone()), up_servers: up, abstains: false, ballots };
             let answer = group.beat(self.now, liar.process.clone(), liar.stamp, votes);
             (liar.spoke, liar.stamp) = (self.now, answer.map(|(stamp, _)| stamp));
         }
@@ -447,13 +448,13 @@
         let asked = n.answer.as_ref().map_or(&[][..], |(_, asked)| asked);
         let ballots = own.ballots.into_iter().filter_map(|own| {
             let ballot = self.world.ballot(*servers.get(&own.server)?, own.stand, own.evidence)?;
-            (ballot.stand == Stand::For || asked.contains(&ballot.server)).then_some(ballot)
+            (ballot.vote == Vote::For || asked.contains(&ballot.server)).then_some(ballot)
         });
         let mut ballots: Vec<_> = ballots.collect();
-        ballots.sort_by_key(|ballot| (ballot.stand, std::cmp::Reverse(ballot.evidence.failed())));
-        ballots.truncate(BALLOTS_MOST);
+        ballots.sort_by_key(|ballot| (ballot.vote, std::cmp::Reverse(ballot.evidence.failures())));
+        ballots.truncate(MAX_BALLOTS);
         let zone = Some(draw.zones[self.world.node_zone(node)].clone());
-        let votes = Votes { zone, up: self.world.up(), doubts: own.doubts, ballots };
+        let votes = VoteReport { zone, up_servers: self.world.up(), abstains: own.doubts, ballots };
         let echo = n.answer.as_ref().map(|(stamp, _)| *stamp);
         let Some(answer) = group.beat(self.now, process(node, self.lives[node]), echo, votes) else { return };
         n.answer = Some(answer);
--- a/crates/lab/src/modules/votes.rs
+++ b/crates/lab/src/modules/votes.rs
@@ -7,7 +7,7 @@
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand};
 use control::machine::Agreement;
 use control::tally::{Input, Tally};
-use member::votes::{Verdict, Verdicts, Votes};
+use member::votes::{Verdict, Verdicts, VoteReport};
 use member::{Epoch, Policy, Process, Stamp};
 
 use crate::removals::Word;
@@ -69,7 +69,7 @@
         now: Us,
         process: Process,
         echo: Option<Stamp>,
-        votes: Votes,
+        votes: VoteReport,
     ) -> Option<(Stamp, Vec<String>)> {
         let at = now as f64 / 1e3;
         let mut inputs = vec![Input::Beat { process, echo, votes: Some(votes) }];
@@ -84,7 +84,7 @@
                 inputs.push(Input::Written { command, outcome });
             }
         }
-        Some((Stamp { term: self.term, at }, self.tally.as_ref()?.asked().to_vec()))
+        Some((Stamp { term: self.term, time: at }, self.tally.as_ref()?.asked().to_vec()))
     }
 
     /// What is in force for servers; `None` while the group is lost.
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -538,7 +538,7 @@
     pub fn mixed_ms(&self) -> f64 {
         let told = self.terms.get("promise_ms").and_then(toml::Value::as_integer);
         let promise = told.map_or(control::leader::Terms::default().promise_ms, |ms| ms as f64);
-        promise * (1.0 + 2.0 * member::DRIFT)
+        promise * (1.0 + 2.0 * member::MAX_CLOCK_DRIFT)
     }
 }
 
--- a/crates/lab/src/world/votes.rs
+++ b/crates/lab/src/world/votes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use member::votes::{Ballot, Evidence, Figures, Stand, BALLOTS_MOST};
+use member::votes::{Ballot, Evidence, Vote, VoteSettings, MAX_BALLOTS};
 
 use super::*;
 use crate::removals::{Told, VoteFigures, Word};
@@ -13,8 +13,8 @@
 /// How long evidence on a server counts by the policies of a plan, ballots' own time with it.
 pub(super) fn grace(draw: &Draw) -> Us {
     let figures = draw.faults.iter().filter_map(|f| f.policy.get("Votes"));
-    let figures = figures.filter_map(|told| serde_json::from_value::<Figures>(told.clone()).ok());
-    let spans = figures.map(|f| crate::draw::ms(f.window + f.ballot));
+    let figures = figures.filter_map(|told| serde_json::from_value::<VoteSettings>(told.clone()).ok());
+    let spans = figures.map(|f| crate::draw::ms(f.evidence_window + f.ballot_ttl));
     spans.max().unwrap_or(0)
 }
 
@@ -84,9 +84,9 @@
     }
 
     /// A ballot on a server as it is listed, where it is in service.
-    pub fn ballot(&self, server: usize, stand: Stand, evidence: Evidence) -> Option<Ballot> {
+    pub fn ballot(&self, server: usize, vote: Vote, evidence: Evidence) -> Option<Ballot> {
         let Entry { name, zone, born_ms, .. } = self.active(server)?.clone();
-        Some(Ballot { server: name, born_ms, zone, stand, evidence })
+        Some(Ballot { server: name, born_ms, zone, vote, evidence })
     }
 
     /// When the process started that is listed by a name.
@@ -98,7 +98,7 @@
     /// What a liar says: servers up, and ballots for the removal of those of `targets`.
     pub fn lies(&self, targets: &[usize]) -> (Vec<(String, u32)>, Vec<Ballot>) {
         let evidence = Evidence { attempts: CLAIMED, errors: CLAIMED, ..Evidence::default() };
-        let ballots = targets.iter().filter_map(|server| self.ballot(*server, Stand::For, evidence));
-        (self.up(), ballots.take(BALLOTS_MOST).collect())
+        let ballots = targets.iter().filter_map(|server| self.ballot(*server, Vote::For, evidence));
+        (self.up(), ballots.take(MAX_BALLOTS).collect())
     }
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -8,31 +8,31 @@
 //! on, a member takes new requests under the old policy no longer than its promise lasts, however it is cut off.
 //!
 //! Time is only ever a duration on one process's monotonic clock:
-//! - A *beat* ([`Beat`]) goes to the group's leader; its answer ([`Answer`]) carries the leader's `stamp`, its own time
+//! - A *beat* ([`Heartbeat`]) goes to the group's leader; its answer ([`HeartbeatReply`]) carries the leader's `stamp`, its own time
 //!   when it wrote the answer, which the next beat echoes. So the leader knows a time of its own clock that lies
 //!   before that beat's sending, and a promise counted from the echo ends no later than the member's own: a commit
 //!   that keeps clear of the first keeps clear of the second. Late, repeated or reordered beats only make it earlier.
 //! - A member counts what it is granted (a promise made anew, a lease) from when it *sent* the beat that was answered.
 //!   The leader answers only after it has made sure, after the beat came, that it still leads: a leader that was
 //!   stopped, or cut from the majority, grants nothing.
-//! - Clocks may differ in rate by [`DRIFT`].
+//! - Clocks may differ in rate by [`MAX_CLOCK_DRIFT`].
 //!
-//! What has become of a change may be heard from any replica by watch ([`News`]): a committed entry stays one.
+//! What has become of a change may be heard from any replica by watch ([`WatchEvent`]): a committed entry stays one.
 //!
 //! Rejected: two policies told apart by a date from which the new one holds, as that trusts clocks of other machines;
 //! and a promise counted by the leader from the beat's coming, which a late beat makes longer than the member's own.
 
 pub mod messages;
 pub mod policy;
-pub mod side;
+pub mod session;
 pub mod votes;
 
 pub use messages::*;
 pub use policy::Policy;
-pub use side::{Effect, Held, Member, MemberConfig, Saved, Start};
+pub use session::{AdmissionError, Effect, Member, MemberConfig, SavedEpoch, StartMode};
 
 /// A time or a span on one process's monotonic clock, in milliseconds.
 pub type Millis = f64;
 
 /// By what part two clocks' rates may differ.
-pub const DRIFT: f64 = 0.01;
+pub const MAX_CLOCK_DRIFT: f64 = 0.01;
--- a/crates/member/src/policy.rs
+++ b/crates/member/src/policy.rs
@@ -1,7 +1,7 @@
 //! A policy: the part of a node's settings that may change in service, and the one table of what may stand in it.
 //!
 //! Need: what a replica takes from an operator no node may refuse for its names or kinds, or each would find out by a
-//! change that is aborted. Shape: replicas go by [`Policy::check`], nodes by [`Policy::over`], which begins with it. What
+//! change that is aborted. Shape: replicas go by [`Policy::check`], nodes by [`Policy::apply_to`], which begins with it. What
 //! only a node can say is left to it: whether it has a class or customer of that name, and what fits its settings.
 
 use std::ops::RangeInclusive;
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-use crate::votes::Figures;
+use crate::votes::VoteSettings;
 
 /// Factors to servers' sizes that a policy may set.
-pub const SERVER_WEIGHTS: RangeInclusive<f64> = 0.01..=100.0;
+pub const SERVER_WEIGHT_RANGE: RangeInclusive<f64> = 0.01..=100.0;
 
 /// A policy as it is agreed: a settings object that holds only what differs from the settings that nodes were started
 /// with, under the settings' own names. What it leaves out has the figure of each node's own settings.
@@ -26,7 +26,7 @@
 /// | `Ejection` | `Failures` (in a row that make an outlier), `AtMost` (part of the servers) |
 /// | `ServerWeights` | a factor by server name |
 /// | `ServerBans` | names of servers that get nothing new |
-/// | `Votes` | the [`Figures`] of votes on servers, which are on where it stands; what it leaves out has its default |
+/// | `Votes` | the [`VoteSettings`] of votes on servers, which are on where it stands; what it leaves out has its default |
 ///
 /// All else may not change in service and is refused by name: who the node is and how many there are (`Me`,
 /// `PeersTotal`), what a request may do twice (`Idempotency`, `DedupScope`, `MemorySpan`), the platform's rules
@@ -40,47 +40,47 @@
 pub enum PolicyError {
     /// A setting that nodes keep from their start to their end.
     #[error("{0}: may not change in service")]
-    Fixed(String),
+    Immutable(String),
     /// Neither a setting nor a class or customer of the node's.
     #[error("{0}: is unknown to the nodes' settings")]
-    Unknown(String),
+    UnknownField(String),
     /// A name that the policy holds more than once.
     #[error("{0}: is named twice")]
-    Twice(String),
+    DuplicateName(String),
     /// A value of the wrong kind or out of its bounds.
     #[error("{path}: {expected} expected")]
-    Value {
+    InvalidValue {
         /// Where it stands in the policy.
         path: String,
         /// What should stand there.
         expected: &'static str,
     },
     /// A figure of the votes that can't be read.
-    #[error("{path}: {words}")]
+    #[error("{path}: {reason}")]
     Unreadable {
         /// Where it stands in the policy.
         path: String,
         /// What is wrong with it.
-        words: String,
+        reason: String,
     },
     /// A node's settings with the policy over them make no sense.
     #[error("with this policy, {0}")]
-    Settings(String),
+    IncompatibleSettings(String),
 }
 
 impl PolicyError {
     /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            Self::Fixed(_) => "leave it out: it changes with the nodes' settings and a restart",
-            Self::Unknown(_) => {
+            Self::Immutable(_) => "leave it out: it changes with the nodes' settings and a restart",
+            Self::UnknownField(_) => {
                 "leave it out, or start the nodes with settings that have it; a policy has Classes, Customers, \
                  Limits, Retry, Ejection, ServerWeights, ServerBans and Votes"
             }
-            Self::Twice(_) | Self::Value { .. } | Self::Unreadable { .. } => {
+            Self::DuplicateName(_) | Self::InvalidValue { .. } | Self::Unreadable { .. } => {
                 "mend the field and propose again"
             }
-            Self::Settings(_) => "propose what fits the nodes' settings, or start the nodes with other settings",
+            Self::IncompatibleSettings(_) => "propose what fits the nodes' settings, or start the nodes with other settings",
         }
     }
 }
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     /// As [`Policy::check`], and a class or customer that the settings don't have.
-    pub fn over(&self, settings: &Value) -> Result<Value, PolicyError> {
+    pub fn apply_to(&self, settings: &Value) -> Result<Value, PolicyError> {
         self.check()?;
         let mut merged = object(settings, "settings")?.clone();
         merged.insert("Votes".to_owned(), Value::Null);
@@ -187,7 +187,7 @@
                         let known =
                             under.as_array_mut().and_then(|l| l.iter_mut().find(|v| v["Name"] == *name));
                         let path = || format!("{key}[{}]", name.as_str().unwrap_or_default());
-                        lay(known.ok_or_else(|| PolicyError::Unknown(path()))?, object(item, key)?);
+                        lay(known.ok_or_else(|| PolicyError::UnknownField(path()))?, object(item, key)?);
                     }
                 }
                 Part::Fields(_) | Part::Factors => lay(under, object(value, key)?),
@@ -250,13 +250,13 @@
             }
             Self::Flag => (value.is_boolean(), "true or false"),
             Self::Factor => {
-                (number.is_some_and(|n| SERVER_WEIGHTS.contains(&n)), "a number from 0.01 to 100")
+                (number.is_some_and(|n| SERVER_WEIGHT_RANGE.contains(&n)), "a number from 0.01 to 100")
             }
         };
         if fits {
             Ok(())
         } else {
-            Err(PolicyError::Value { path: path.into(), expected })
+            Err(PolicyError::InvalidValue { path: path.into(), expected })
         }
     }
 }
@@ -268,9 +268,9 @@
 
 fn refused(path: String, key: &str) -> PolicyError {
     if FIXED.contains(&key) {
-        PolicyError::Fixed(path)
+        PolicyError::Immutable(path)
     } else {
-        PolicyError::Unknown(path)
+        PolicyError::UnknownField(path)
     }
 }
 
@@ -292,36 +292,36 @@
 fn votes(fields: &Map<String, Value>, path: &str) -> Result<(), PolicyError> {
     let read = |fields: Map<String, Value>, path: &str| {
         let unreadable =
-            |e: serde_json::Error| PolicyError::Unreadable { path: path.into(), words: e.to_string() };
-        serde_json::from_value::<Figures>(Value::Object(fields)).map_err(unreadable)
+            |e: serde_json::Error| PolicyError::Unreadable { path: path.into(), reason: e.to_string() };
+        serde_json::from_value::<VoteSettings>(Value::Object(fields)).map_err(unreadable)
     };
     for (key, value) in fields {
         read(Map::from_iter([(key.clone(), value.clone())]), &format!("{path}.{key}"))?;
     }
     let wrong = read(fields.clone(), path)?.check();
-    wrong.map_err(|e| PolicyError::Value { path: format!("{path}.{}", e.field), expected: e.expected })
+    wrong.map_err(|e| PolicyError::InvalidValue { path: format!("{path}.{}", e.field), expected: e.expected })
 }
 
 /// A name's path, where it was not named before.
 fn once<'a>(names: &mut Vec<&'a str>, name: &'a str, path: &str) -> Result<String, PolicyError> {
     let path = format!("{path}[{name}]");
     if names.contains(&name) {
-        return Err(PolicyError::Twice(path));
+        return Err(PolicyError::DuplicateName(path));
     }
     names.push(name);
     Ok(path)
 }
 
 fn object<'a>(value: &'a Value, path: &str) -> Result<&'a Map<String, Value>, PolicyError> {
-    value.as_object().ok_or_else(|| PolicyError::Value { path: path.into(), expected: "an object" })
+    value.as_object().ok_or_else(|| PolicyError::InvalidValue { path: path.into(), expected: "an object" })
 }
 
 fn array<'a>(value: &'a Value, path: &str) -> Result<&'a Vec<Value>, PolicyError> {
-    value.as_array().ok_or_else(|| PolicyError::Value { path: path.into(), expected: "an array" })
+    value.as_array().ok_or_else(|| PolicyError::InvalidValue { path: path.into(), expected: "an array" })
 }
 
 fn text<'a>(value: &'a Value, path: &str) -> Result<&'a str, PolicyError> {
-    value.as_str().ok_or_else(|| PolicyError::Value { path: path.into(), expected: "a text" })
+    value.as_str().ok_or_else(|| PolicyError::InvalidValue { path: path.into(), expected: "a text" })
 }
 
 #[cfg(test)]
@@ -384,13 +384,13 @@
         });
         let mut whole = all.clone();
         whole["Me"] = json!(3);
-        assert_eq!(policy(all).over(&settings), Ok(whole));
-        let plain = policy(json!({})).over(&settings).expect("no change");
+        assert_eq!(policy(all).apply_to(&settings), Ok(whole));
+        let plain = policy(json!({})).apply_to(&settings).expect("no change");
         assert_eq!((&plain["Votes"], &plain["Classes"]), (&Value::Null, &settings["Classes"]));
         for list in ["Classes", "Customers"] {
-            let error = policy(json!({list: [{"Name": "b"}]})).over(&settings);
-            assert_eq!(error, Err(PolicyError::Unknown(format!("{list}[b]"))));
+            let error = policy(json!({list: [{"Name": "b"}]})).apply_to(&settings);
+            assert_eq!(error, Err(PolicyError::UnknownField(format!("{list}[b]"))));
         }
-        assert!(policy(json!({})).over(&json!([])).is_err());
+        assert!(policy(json!({})).apply_to(&json!([])).is_err());
     }
 }
--- a/crates/member/src/side.rs
+++ b/crates/member/src/session.rs
@@ -7,7 +7,7 @@
 //! Why each span holds:
 //! - *Promise.* It runs from the check's end, before any beat tells of it, and is made longer only by an answer that
 //!   shows the change still under way, counted from the sending of the beat that was answered. An answer shows what it
-//!   tells, or, where it says [`Told::Same`], what was known when that beat was sent and is named by both. The leader made sure
+//!   tells, or, where it says [`AgreedUpdate::Unchanged`], what was known when that beat was sent and is named by both. The leader made sure
 //!   after that beat came that it still led, so no commit had been made when the beat was sent: a commit at `T` finds
 //!   each promise over by `T + promise_ms`. Past it the member is in doubt until it hears what became of the change.
 //! - *Lease.* It runs from the beat's sending, and the leader counts it from its answer, which is later.
@@ -21,7 +21,7 @@
 //! member keeps its own, says so, and tells the group by its beats, which then gives no number again that a member
 //! has known: the next change brings all of them forward. Where the fleet is fenced it has no lease meanwhile.
 //!
-//! [`Start::Saved`] buys service without a control group at the price of the bound: a process that has joined nobody
+//! [`StartMode::UseSaved`] buys service without a control group at the price of the bound: a process that has joined nobody
 //! serves by an epoch that may be old by then, until it reaches a leader. A fenced fleet's node does not do so.
 
 use std::net::SocketAddr;
@@ -29,7 +29,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Agreed, Answer, Beat, Change, ChangeId, Epoch, Known, Millis, Policy, Process, Stamp, Told, Word,
+    AgreedState, AgreedUpdate, Change, ChangeId, Epoch, Heartbeat, HeartbeatReply, Millis, Policy, Process,
+    StageReply, Stamp, StateId,
 };
 
 /// How long after a beat the next one is sent while no leader has said so, in milliseconds.
@@ -39,11 +40,11 @@
 
 /// How a process comes to its first epoch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Start {
+pub enum StartMode {
     /// It takes nothing until a leader has answered.
     Wait,
     /// If no leader has answered `after_ms` after the start, it serves by the epoch that was saved.
-    Saved {
+    UseSaved {
         /// How long it tries first.
         after_ms: Millis,
     },
@@ -55,21 +56,21 @@
     /// Who it is.
     pub process: Process,
     /// Where it listens as long as it lives.
-    pub life: SocketAddr,
+    pub liveness_addr: SocketAddr,
     /// An older process of this node goes on beside it.
-    pub beside: bool,
+    pub coexists_with_previous: bool,
     /// How it comes to its first epoch.
-    pub start: Start,
+    pub start_mode: StartMode,
 }
 
-/// What a node keeps on its disk for [`Start::Saved`].
+/// What a node keeps on its disk for [`StartMode::UseSaved`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Saved {
+pub struct SavedEpoch {
     /// The epoch that it judged by last.
     pub epoch: Epoch,
     /// Its policy.
     pub policy: Policy,
-    /// The fleet was fenced: nothing is taken without a lease, whatever [`Start`] says.
+    /// The fleet was fenced: nothing is taken without a lease, whatever [`StartMode`] says.
     #[serde(default)]
     pub fenced: bool,
 }
@@ -77,7 +78,7 @@
 /// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// See whether this node can bear the change, and say so by [`Member::checked`].
+    /// See whether this node can bear the change, and say so by [`Member::on_check_result`].
     Check(Change),
     /// From now on requests are judged by this policy.
     Activate {
@@ -87,37 +88,37 @@
         policy: Policy,
     },
     /// Keep this on the disk in place of what was kept before.
-    Save(Saved),
+    Save(SavedEpoch),
     /// The change takes hold nowhere: what was made ready for it can go.
     Discard(ChangeId),
     /// The next beat is due at once.
-    BeatNow,
+    SendHeartbeat,
     /// One line for the operator.
-    Tell(String),
+    NotifyOperator(String),
 }
 
 /// Why nothing new is taken.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Held {
+pub enum AdmissionError {
     /// No epoch is known yet.
-    Unknown,
+    NoEpoch,
     /// The promise about a change has passed, and what became of it is not known.
-    Doubt,
+    InDoubt,
     /// The fleet is fenced and the lease has run out.
-    Lease,
+    NoLease,
     /// Another process has this one's place, or operators have removed it.
     Superseded,
     /// It has closed its session.
     Leaving,
 }
 
-impl Held {
+impl AdmissionError {
     /// In a few words, for a client and for the log.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Self::Unknown => "no agreed policy known yet",
-            Self::Doubt => "a change of policy is in doubt",
-            Self::Lease => "no lease from the control group",
+            Self::NoEpoch => "no agreed policy known yet",
+            Self::InDoubt => "a change of policy is in doubt",
+            Self::NoLease => "no lease from the control group",
             Self::Superseded => "superseded by another process of this node",
             Self::Leaving => "leaving the fleet",
         }
@@ -135,15 +136,15 @@
 /// A state of what is agreed, as far as answers go by it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Stand {
-    known: Known,
+    known: StateId,
     epoch: Epoch,
     change: Option<ChangeId>,
 }
 
 impl Stand {
-    fn of(agreed: &Agreed) -> Self {
+    fn of(agreed: &AgreedState) -> Self {
         let change = agreed.change.as_ref().map(|change| change.id);
-        Self { known: agreed.known(), epoch: agreed.epoch, change }
+        Self { known: agreed.state_id(), epoch: agreed.epoch, change }
     }
 }
 
@@ -152,7 +153,7 @@
 pub struct Member {
     config: MemberConfig,
     /// What the disk holds; of the active epoch, once there is one.
-    saved: Option<Saved>,
+    saved: Option<SavedEpoch>,
     started: Millis,
     joined: bool,
     superseded: bool,
@@ -176,7 +177,7 @@
 
 impl Member {
     /// A process that starts at `now`; `saved` is what the node's disk holds of [`Effect::Save`].
-    pub fn new(config: MemberConfig, saved: Option<Saved>, now: Millis) -> Self {
+    pub fn new(config: MemberConfig, saved: Option<SavedEpoch>, now: Millis) -> Self {
         Self {
             config,
             saved,
@@ -200,62 +201,64 @@
     }
 
     /// The beat to be sent right now. One is out at a time; the caller gives it up after a bound of its own.
-    pub fn beat(&mut self, now: Millis) -> Beat {
+    pub fn heartbeat(&mut self, now: Millis) -> Heartbeat {
         self.beat_at = now;
         self.stand_at_beat = self.stand;
         self.next_beat = now + BEAT_MS;
         self.unsaid = false;
-        Beat {
+        Heartbeat {
             process: self.config.process.clone(),
-            life: self.config.life,
-            beside: self.config.beside,
-            echo: self.echo,
-            active: self.active,
-            known: self.stand.map(|stand| stand.known),
-            change: self.change.as_ref().and_then(|(change, work)| match work {
+            liveness_addr: self.config.liveness_addr,
+            coexists_with_previous: self.config.coexists_with_previous,
+            echoed_stamp: self.echo,
+            active_epoch: self.active,
+            known_state: self.stand.map(|stand| stand.known),
+            stage_reply: self.change.as_ref().and_then(|(change, work)| match work {
                 Work::Checking => None,
                 Work::Staged { until } => {
-                    Some(Word::Staged { change: change.id, left_ms: (until - now).max(0.0) })
+                    Some(StageReply::Staged { change: change.id, remaining_ms: (until - now).max(0.0) })
+                }
+                Work::Refused { words } => {
+                    Some(StageReply::Refused { change: change.id, reason: words.clone() })
                 }
-                Work::Refused { words } => Some(Word::Refused { change: change.id, words: words.clone() }),
             }),
-            bye: self.leaving,
-            votes: None,
-            verdicts: None,
+            leaving: self.leaving,
+            vote_report: None,
+            verdicts_version: None,
         }
     }
 
     /// When the next beat is due. One that got no answer is followed by another at this time, too.
-    pub fn next_beat(&self) -> Millis {
+    pub fn next_heartbeat_at(&self) -> Millis {
         self.next_beat
     }
 
-    /// When [`Member::wake`] is due, if ever.
-    pub fn wakes_at(&self) -> Option<Millis> {
-        match (self.config.start, &self.saved) {
-            (Start::Saved { after_ms }, Some(saved)) if !self.joined && self.active.is_none() => {
+    /// When [`Member::on_timer`] is due, if ever.
+    pub fn timer_due_at(&self) -> Option<Millis> {
+        match (self.config.start_mode, &self.saved) {
+            (StartMode::UseSaved { after_ms }, Some(saved)) if !self.joined && self.active.is_none() => {
                 (!saved.fenced && !self.leaving).then_some(self.started + after_ms)
             }
             _ => None,
         }
     }
 
-    /// Time has passed: with [`Start::Saved`] the saved epoch may be due.
-    pub fn wake(&mut self, now: Millis) -> Vec<Effect> {
-        if !self.wakes_at().is_some_and(|at| now >= at) {
+    /// Time has passed: with [`StartMode::UseSaved`] the saved epoch may be due.
+    pub fn on_timer(&mut self, now: Millis) -> Vec<Effect> {
+        if !self.timer_due_at().is_some_and(|at| now >= at) {
             return Vec::new();
         }
-        let Some(Saved { epoch, policy, .. }) = self.saved.clone() else { return Vec::new() };
+        let Some(SavedEpoch { epoch, policy, .. }) = self.saved.clone() else { return Vec::new() };
         self.active = Some(epoch);
         let tell = format!(
             "no leader of the control group has answered: serving by the saved epoch {epoch}, which may be old; \
              see whether the replicas run and can be reached"
         );
-        vec![Effect::Activate { epoch, policy }, Effect::Tell(tell)]
+        vec![Effect::Activate { epoch, policy }, Effect::NotifyOperator(tell)]
     }
 
     /// The leader has answered the beat that was handed out at `sent`.
-    pub fn answered(&mut self, sent: Millis, answer: Answer, now: Millis) -> Vec<Effect> {
+    pub fn on_reply(&mut self, sent: Millis, answer: HeartbeatReply, now: Millis) -> Vec<Effect> {
         if self.superseded {
             return Vec::new();
         }
@@ -264,33 +267,33 @@
             if self.leaving {
                 return Vec::new();
             }
-            return vec![Effect::Tell(
+            return vec![Effect::NotifyOperator(
                 "superseded: another process of this node has joined, or operators removed it; takes nothing more. \
                  If two nodes were given one name, give this one another; then start it anew"
                     .to_owned(),
             )];
         }
-        let older = |echo: Stamp| (echo.term, echo.at) >= (answer.stamp.term, answer.stamp.at);
+        let older = |echo: Stamp| (echo.term, echo.time) >= (answer.stamp.term, answer.stamp.time);
         if !self.echo.is_some_and(older) {
             self.echo = Some(answer.stamp);
         }
         self.joined = true;
         self.promise_ms = answer.promise_ms;
-        self.next_beat = if self.unsaid { now } else { now + answer.beat_ms };
+        self.next_beat = if self.unsaid { now } else { now + answer.heartbeat_interval_ms };
         let mut effects = Vec::new();
         self.fenced |= answer.fenced;
-        let shown = match answer.told {
-            Told::News(agreed) => {
+        let shown = match answer.update {
+            AgreedUpdate::Changed(agreed) => {
                 let shown = Stand::of(&agreed);
                 if let Some(lost) = self.lost(sent, &agreed) {
-                    effects.push(Effect::Tell(lost));
+                    effects.push(Effect::NotifyOperator(lost));
                     self.stand = None;
                 }
                 self.take(agreed, now, &mut effects);
                 Some(shown)
             }
             // Of another state nothing is known here but its name.
-            Told::Same(known) => self.stand_at_beat.filter(|stand| stand.known == known),
+            AgreedUpdate::Unchanged(known) => self.stand_at_beat.filter(|stand| stand.known == known),
         };
         let Some(Stand { epoch, change: asked, .. }) = shown else { return effects };
         if let Some((change, Work::Staged { until })) = &mut self.change {
@@ -306,7 +309,7 @@
     }
 
     /// Words for the operator where the answer to the beat sent at `sent` tells of an older state than was known then.
-    fn lost(&self, sent: Millis, agreed: &Agreed) -> Option<String> {
+    fn lost(&self, sent: Millis, agreed: &AgreedState) -> Option<String> {
         let before = self.stand_at_beat.filter(|_| sent == self.beat_at)?.known.version;
         (agreed.version < before).then(|| {
             format!(
@@ -318,7 +321,7 @@
     }
 
     /// A replica's watch has brought news: they can end a doubt, and never make a promise or a lease longer.
-    pub fn news(&mut self, agreed: Agreed, now: Millis) -> Vec<Effect> {
+    pub fn on_agreed_state(&mut self, agreed: AgreedState, now: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.superseded {
             return effects;
@@ -333,7 +336,12 @@
     }
 
     /// How the check of a change ended; words if this node can't bear it.
-    pub fn checked(&mut self, change: ChangeId, result: Result<(), String>, now: Millis) -> Vec<Effect> {
+    pub fn on_check_result(
+        &mut self,
+        change: ChangeId,
+        result: Result<(), String>,
+        now: Millis,
+    ) -> Vec<Effect> {
         match &mut self.change {
             Some((asked, work)) if asked.id == change && *work == Work::Checking => {
                 *work = match result {
@@ -341,7 +349,7 @@
                     Err(words) => Work::Refused { words: cut(&words) },
                 };
                 self.say(now);
-                vec![Effect::BeatNow]
+                vec![Effect::SendHeartbeat]
             }
             _ => Vec::new(),
         }
@@ -351,52 +359,52 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn admit(&self, now: Millis) -> Result<Epoch, Held> {
+    pub fn admit(&self, now: Millis) -> Result<Epoch, AdmissionError> {
         if self.superseded {
-            return Err(Held::Superseded);
+            return Err(AdmissionError::Superseded);
         }
         if self.leaving {
-            return Err(Held::Leaving);
+            return Err(AdmissionError::Leaving);
         }
-        let active = self.active.ok_or(Held::Unknown)?;
+        let active = self.active.ok_or(AdmissionError::NoEpoch)?;
         if matches!(&self.change, Some((_, Work::Staged { until })) if now >= *until) {
-            return Err(Held::Doubt);
+            return Err(AdmissionError::InDoubt);
         }
         if self.fenced && !self.lease.is_some_and(|until| now < until) {
-            return Err(Held::Lease);
+            return Err(AdmissionError::NoLease);
         }
         Ok(active)
     }
 
     /// The node ends and has nothing open: it takes nothing more from here on, and its beats close the session.
-    pub fn bye(&mut self, now: Millis) -> Vec<Effect> {
+    pub fn leave(&mut self, now: Millis) -> Vec<Effect> {
         self.leaving = true;
         self.say(now);
-        vec![Effect::BeatNow]
+        vec![Effect::SendHeartbeat]
     }
 
     /// The epoch that requests are judged by.
-    pub fn active(&self) -> Option<Epoch> {
+    pub fn active_epoch(&self) -> Option<Epoch> {
         self.active
     }
 
     /// A leader has answered since the start.
-    pub fn joined(&self) -> bool {
+    pub fn has_joined(&self) -> bool {
         self.joined
     }
 
     /// The leader knows that the session is closed, or another process has this one's place.
-    pub fn superseded(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
     /// The change that this process has staged or looks at.
-    pub fn change(&self) -> Option<ChangeId> {
+    pub fn pending_change(&self) -> Option<ChangeId> {
         self.change.as_ref().map(|(change, _)| change.id)
     }
 
     /// Takes what is agreed if it is newer than what is known.
-    fn take(&mut self, agreed: Agreed, now: Millis, effects: &mut Vec<Effect>) {
+    fn take(&mut self, agreed: AgreedState, now: Millis, effects: &mut Vec<Effect>) {
         if self.stand.is_some_and(|stand| agreed.version < stand.known.version) {
             return;
         }
@@ -414,7 +422,7 @@
         match self.active {
             Some(active) if agreed.epoch < active => {
                 if !std::mem::replace(&mut self.told_older, true) {
-                    effects.push(Effect::Tell(format!(
+                    effects.push(Effect::NotifyOperator(format!(
                         "the control group's epoch {} is older than this node's {active}: it keeps its own; propose \
                          the policy again, it gets a number past {active}",
                         agreed.epoch
@@ -428,7 +436,7 @@
                 let words = format!("its epoch {} is not past this node's own", change.epoch);
                 self.change = Some((change, Work::Refused { words }));
                 self.say(now);
-                effects.push(Effect::BeatNow);
+                effects.push(Effect::SendHeartbeat);
             } else {
                 self.change = Some((change.clone(), Work::Checking));
                 effects.push(Effect::Check(change));
@@ -449,7 +457,7 @@
             effects.push(Effect::Activate { epoch, policy: policy.clone() });
         }
         if known.is_none_or(|saved| saved.fenced != self.fenced) {
-            let saved = Saved { epoch, policy, fenced: self.fenced };
+            let saved = SavedEpoch { epoch, policy, fenced: self.fenced };
             self.saved = Some(saved.clone());
             effects.push(Effect::Save(saved));
         }
--- a/crates/member/src/votes.rs
+++ b/crates/member/src/votes.rs
@@ -6,7 +6,7 @@
 //! sent to the server of late agree, the leader writes a verdict, and the log, which sees all verdicts in one order,
 //! holds the caps. What is in force is told with the agreed policy.
 //!
-//! Votes are on where the agreed policy has an object `Votes` ([`Figures`]): each figure that decides changes at every
+//! Votes are on where the agreed policy has an object `Votes` ([`VoteSettings`]): each figure that decides changes at every
 //! node or at none.
 //!
 //! Rejected: ballots as entries of the log, as 300 nodes that renew them each second would write more than all else
@@ -17,69 +17,83 @@
 use crate::Millis;
 
 /// The most ballots of one beat; the worst suspects come first.
-pub const BALLOTS_MOST: usize = 32;
+pub const MAX_BALLOTS: usize = 32;
 /// The longest name of a server or zone, in bytes.
-pub const SERVER_MOST: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// The most zones that a node tells of.
-pub const ZONES_MOST: usize = 16;
+pub const MAX_ZONES: usize = 16;
 
 /// The figures of the votes, `Votes` in a policy. What is left out has the figure given here.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "PascalCase")]
-pub struct Figures {
+pub struct VoteSettings {
     /// Evidence counts that is no older, in ms.
-    pub window: Millis,
+    #[serde(rename = "Window")]
+    pub evidence_window: Millis,
     /// A ballot that is not renewed lapses after this time, in ms.
-    pub ballot: Millis,
+    #[serde(rename = "Ballot")]
+    pub ballot_ttl: Millis,
     /// Attempts within the window that a node needs for a ballot at all. One will do: where evidence is thin at each node,
     /// it is still plain in the sum.
-    pub attempts: u32,
+    #[serde(rename = "Attempts")]
+    pub min_attempts: u32,
     /// Failed part of a node's attempts within the window from which on it is for the removal, from 0 to 1.
-    pub failed: f64,
+    #[serde(rename = "Failed")]
+    pub failure_ratio: f64,
     /// Votes for a removal that are needed at the least.
-    pub voters: u32,
+    #[serde(rename = "Voters")]
+    pub min_voters: u32,
     /// Failures that the voters for a removal need together, at the least.
-    pub evidence: u32,
+    #[serde(rename = "Evidence")]
+    pub min_failures: u32,
     /// Part of the weight of all evidence that must be for a removal, over 0.5 to 1.
     pub majority: f64,
     /// Attempts beyond which one voter's evidence weighs no more; nor does it beyond the median of all voters. So a liar
     /// gains nothing by claiming much.
-    pub weight: u32,
+    #[serde(rename = "Weight")]
+    pub max_voter_weight: u32,
     /// A node that suspects a larger part of its servers, and two of them at least, doubts itself and abstains, from 0
     /// to 1.
-    pub doubt: f64,
+    #[serde(rename = "Doubt")]
+    pub abstain_ratio: f64,
     /// The most of a zone's servers that are removed by votes at a time, from 0 to 1.
-    pub cap: f64,
+    #[serde(rename = "Cap")]
+    pub removal_cap: f64,
     /// How long a verdict holds until the server is probed, in ms.
-    pub term: Millis,
+    #[serde(rename = "Term")]
+    pub verdict_term: Millis,
     /// Nodes that probe a server when its term is over.
-    pub probers: u32,
+    #[serde(rename = "Probers")]
+    pub prober_count: u32,
     /// How long a suspect gets nothing from the node that suspects it, on that node's word alone, in ms.
-    pub aside: Millis,
+    #[serde(rename = "Aside")]
+    pub suspect_pause: Millis,
     /// Part of its turns that a suspect keeps after that, over 0 to 1.
-    pub trickle: f64,
+    #[serde(rename = "Trickle")]
+    pub suspect_share: f64,
     /// How old the newest word of the group may be before verdicts lapse, in ms.
-    pub word: Millis,
+    #[serde(rename = "Word")]
+    pub contact_timeout: Millis,
 }
 
-impl Default for Figures {
+impl Default for VoteSettings {
     fn default() -> Self {
         Self {
-            window: 5_000.0,
-            ballot: 2_000.0,
-            attempts: 1,
-            failed: 0.5,
-            voters: 2,
-            evidence: 6,
+            evidence_window: 5_000.0,
+            ballot_ttl: 2_000.0,
+            min_attempts: 1,
+            failure_ratio: 0.5,
+            min_voters: 2,
+            min_failures: 6,
             majority: 0.6,
-            weight: 20,
-            doubt: 0.4,
-            cap: 0.34,
-            term: 5_000.0,
-            probers: 3,
-            aside: 1_000.0,
-            trickle: 0.1,
-            word: 5_000.0,
+            max_voter_weight: 20,
+            abstain_ratio: 0.4,
+            removal_cap: 0.34,
+            verdict_term: 5_000.0,
+            prober_count: 3,
+            suspect_pause: 1_000.0,
+            suspect_share: 0.1,
+            contact_timeout: 5_000.0,
         }
     }
 }
@@ -87,19 +101,19 @@
 /// A figure that can't be.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("Votes.{field}: {expected} expected")]
-pub struct FiguresError {
+pub struct VoteSettingsError {
     /// Which.
     pub field: &'static str,
     /// What it must be.
     pub expected: &'static str,
 }
 
-impl Figures {
+impl VoteSettings {
     /// Whether the figures make sense.
     ///
     /// # Errors
     /// The first one that does not.
-    pub fn check(&self) -> Result<(), FiguresError> {
+    pub fn check(&self) -> Result<(), VoteSettingsError> {
         let span = |ms: Millis| (100.0..=600_000.0).contains(&ms);
         let part = |part: f64| part > 0.0 && part <= 1.0;
         const SPAN: &str = "a time from 100 to 600,000 ms";
@@ -107,28 +121,28 @@
         const COUNT: &str = "a whole number from 1 to 1,000";
         let count = |count: u32| (1..=1000).contains(&count);
         let rules = [
-            ("Window", span(self.window), SPAN),
-            ("Ballot", span(self.ballot), SPAN),
-            ("Attempts", count(self.attempts), COUNT),
-            ("Failed", part(self.failed), PART),
-            ("Voters", count(self.voters), COUNT),
-            ("Evidence", count(self.evidence), COUNT),
+            ("Window", span(self.evidence_window), SPAN),
+            ("Ballot", span(self.ballot_ttl), SPAN),
+            ("Attempts", count(self.min_attempts), COUNT),
+            ("Failed", part(self.failure_ratio), PART),
+            ("Voters", count(self.min_voters), COUNT),
+            ("Evidence", count(self.min_failures), COUNT),
             ("Majority", self.majority > 0.5 && self.majority <= 1.0, "a number above 0.5, up to 1"),
             (
                 "Weight",
-                count(self.weight) && self.weight >= self.attempts,
+                count(self.max_voter_weight) && self.max_voter_weight >= self.min_attempts,
                 "no less than Attempts, up to 1,000",
             ),
-            ("Doubt", part(self.doubt), PART),
-            ("Cap", part(self.cap), PART),
-            ("Term", span(self.term), SPAN),
-            ("Probers", count(self.probers), COUNT),
-            ("Aside", span(self.aside), SPAN),
-            ("Trickle", part(self.trickle), PART),
-            ("Word", span(self.word), SPAN),
+            ("Doubt", part(self.abstain_ratio), PART),
+            ("Cap", part(self.removal_cap), PART),
+            ("Term", span(self.verdict_term), SPAN),
+            ("Probers", count(self.prober_count), COUNT),
+            ("Aside", span(self.suspect_pause), SPAN),
+            ("Trickle", part(self.suspect_share), PART),
+            ("Word", span(self.contact_timeout), SPAN),
         ];
         match rules.iter().find(|(_, good, _)| !good) {
-            Some(&(field, _, expected)) => Err(FiguresError { field, expected }),
+            Some(&(field, _, expected)) => Err(VoteSettingsError { field, expected }),
             None => Ok(()),
         }
     }
@@ -137,7 +151,7 @@
 /// What a node holds of a server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stand {
+pub enum Vote {
     /// It should be removed (or stay so).
     For,
     /// It should stay (or come back).
@@ -151,11 +165,11 @@
     /// Attempts that ended.
     pub attempts: u32,
     /// Of these, connections refused or not made in time.
-    #[serde(default)]
-    pub connects: u32,
+    #[serde(default, rename = "connects")]
+    pub connect_failures: u32,
     /// Connections that broke.
-    #[serde(default)]
-    pub breaks: u32,
+    #[serde(default, rename = "breaks")]
+    pub connection_resets: u32,
     /// No answer in time.
     #[serde(default)]
     pub timeouts: u32,
@@ -166,19 +180,22 @@
 
 impl Evidence {
     /// This and more.
-    pub fn and(&self, more: &Self) -> Self {
+    pub fn combined(&self, more: &Self) -> Self {
         Self {
             attempts: self.attempts.saturating_add(more.attempts),
-            connects: self.connects.saturating_add(more.connects),
-            breaks: self.breaks.saturating_add(more.breaks),
+            connect_failures: self.connect_failures.saturating_add(more.connect_failures),
+            connection_resets: self.connection_resets.saturating_add(more.connection_resets),
             timeouts: self.timeouts.saturating_add(more.timeouts),
             errors: self.errors.saturating_add(more.errors),
         }
     }
 
     /// How many of the attempts failed.
-    pub fn failed(&self) -> u32 {
-        self.connects.saturating_add(self.breaks).saturating_add(self.timeouts).saturating_add(self.errors)
+    pub fn failures(&self) -> u32 {
+        self.connect_failures
+            .saturating_add(self.connection_resets)
+            .saturating_add(self.timeouts)
+            .saturating_add(self.errors)
     }
 }
 
@@ -193,24 +210,25 @@
     #[serde(default)]
     pub zone: String,
     /// For or against.
-    pub stand: Stand,
+    #[serde(rename = "stand")]
+    pub vote: Vote,
     /// By what.
     pub evidence: Evidence,
 }
 
 /// What a beat says of servers.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Votes {
+pub struct VoteReport {
     /// The node's own zone, where its configuration tells one.
     #[serde(default)]
     pub zone: Option<String>,
     /// How many servers of each zone it has listed as up.
-    #[serde(default)]
-    pub up: Vec<(String, u32)>,
+    #[serde(default, rename = "up")]
+    pub up_servers: Vec<(String, u32)>,
     /// It suspects too many servers, and abstains.
-    #[serde(default)]
-    pub doubts: bool,
-    /// Its standing ballots, [`BALLOTS_MOST`] at most; they replace those of its beat before.
+    #[serde(default, rename = "doubts")]
+    pub abstains: bool,
+    /// Its standing ballots, [`MAX_BALLOTS`] at most; they replace those of its beat before.
     #[serde(default)]
     pub ballots: Vec<Ballot>,
 }
@@ -245,8 +263,8 @@
 
     #[test]
     fn figures_that_can_not_be_are_named() {
-        assert_eq!(Figures::default().check(), Ok(()));
-        let read = |json: &str| serde_json::from_str::<Figures>(json);
+        assert_eq!(VoteSettings::default().check(), Ok(()));
+        let read = |json: &str| serde_json::from_str::<VoteSettings>(json);
         assert!(read(r#"{"Speed": 1}"#).is_err());
         for (json, words) in [
             (r#"{"Majority": 0.5}"#, "Votes.Majority: a number above 0.5, up to 1 expected"),
--- a/crates/stoneshift/tests/votes.rs
+++ b/crates/stoneshift/tests/votes.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use fixture::{ask, until, Calls, Group};
-use member::votes::{Ballot, Evidence, Stand, Votes};
-use member::{Answer, Beat, News, Process, Stamp};
+use member::votes::{Ballot, Evidence, Vote, VoteReport};
+use member::{Heartbeat, HeartbeatReply, Process, Stamp, WatchEvent};
 use peers::{answer, figure, host, operated, request, Client, Node, Peer, Registry, Say};
 use serde_json::{json, Value};
 
@@ -67,38 +67,43 @@
     }
 
     /// One beat at a replica; the answer, where it leads.
-    fn beat(&mut self, at: SocketAddr, votes: Votes, verdicts: u64) -> Option<Answer> {
-        let beat = Beat {
+    fn beat(&mut self, at: SocketAddr, votes: VoteReport, verdicts: u64) -> Option<HeartbeatReply> {
+        let beat = Heartbeat {
             process: self.process.clone(),
-            life: self.life.local_addr().expect("bound"),
-            beside: false,
-            echo: self.echo,
-            active: Some(0),
-            known: None,
-            change: None,
-            bye: false,
-            votes: Some(votes),
-            verdicts: Some(verdicts),
+            liveness_addr: self.life.local_addr().expect("bound"),
+            coexists_with_previous: false,
+            echoed_stamp: self.echo,
+            active_epoch: Some(0),
+            known_state: None,
+            stage_reply: None,
+            leaving: false,
+            vote_report: Some(votes),
+            verdicts_version: Some(verdicts),
         };
         let body = serde_json::to_string(&beat).expect("plain data");
         let answer = ask(at, "POST /v1/session", &body, Duration::from_secs(5)).ok()?;
-        let said: Answer = serde_json::from_value(answer.body).ok()?;
+        let said: HeartbeatReply = serde_json::from_value(answer.body).ok()?;
         self.echo = Some(said.stamp);
         Some(said)
     }
 }
 
 /// A node's votes: of `bad` it has seen nothing but errors, of the others nothing but good.
-fn votes(zone: &str, bad: &[&str], attempts: u32) -> Votes {
+fn votes(zone: &str, bad: &[&str], attempts: u32) -> VoteReport {
     let ballot = |server: &&str| {
         let bad = bad.contains(server);
         let errors = if bad { attempts } else { 0 };
         let evidence = Evidence { attempts, errors, ..Evidence::default() };
-        let stand = if bad { Stand::For } else { Stand::Against };
-        Ballot { server: (*server).into(), born_ms: 0.0, zone: "a".into(), stand, evidence }
+        let vote = if bad { Vote::For } else { Vote::Against };
+        Ballot { server: (*server).into(), born_ms: 0.0, zone: "a".into(), vote, evidence }
     };
     let ballots = SERVERS.iter().map(ballot).collect();
-    Votes { zone: Some(zone.into()), up: vec![("a".into(), SERVERS.len() as u32)], doubts: false, ballots }
+    VoteReport {
+        zone: Some(zone.into()),
+        up_servers: vec![("a".into(), SERVERS.len() as u32)],
+        abstains: false,
+        ballots,
+    }
 }
 
 /// The leader dies when two of three that are needed have voted; the next one has it from the nodes again, and the third
@@ -111,11 +116,11 @@
     let mut nodes = ["n0", "n1", "n2"].map(Beater::new);
     let mut round = |leader: usize, group: &Group, third: bool| {
         let at = group.reached(leader);
-        let said: Vec<Option<Answer>> = nodes
+        let said: Vec<Option<HeartbeatReply>> = nodes
             .iter_mut()
             .enumerate()
             .map(|(n, node)| {
-                let votes = if n < 2 || third { votes("a", &[BAD], 20) } else { Votes::default() };
+                let votes = if n < 2 || third { votes("a", &[BAD], 20) } else { VoteReport::default() };
                 node.beat(at, votes, 0)
             })
             .collect();
@@ -175,8 +180,8 @@
         watch.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
         watch.write_all(b"GET /v1/watch?from=0 HTTP/1.1\r\nhost: x\r\n\r\n").ok()?;
         let mut lines = BufReader::new(watch).lines().map_while(Result::ok);
-        let news: News = lines.find_map(|line| serde_json::from_str(&line).ok())?;
-        (news.verdicts?.version == known && news.agreed.is_some()).then_some(())
+        let news: WatchEvent = lines.find_map(|line| serde_json::from_str(&line).ok())?;
+        (news.verdicts?.version == known && news.agreed_state.is_some()).then_some(())
     });
     let told = until("it answers", || verdicts(&calls, other));
     assert!(!told["removed"][BAD].is_null() && told["votes"].is_null(), "{told}");
--- a/src/api.rs
+++ b/src/api.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-pub use member::votes::{Evidence, Stand};
+pub use member::votes::{Evidence, Vote};
 
 /// A time or a span, in milliseconds; the clock may start anywhere but never runs backwards.
 pub type Millis = f64;
@@ -440,8 +440,8 @@
         let one = |kind| u32::from(self == kind);
         Evidence {
             attempts: u32::from(!matches!(self, Self::Full | Self::Cancelled | Self::NotSent)),
-            connects: one(Self::ConnectFailed),
-            breaks: one(Self::Reset),
+            connect_failures: one(Self::ConnectFailed),
+            connection_resets: one(Self::Reset),
             timeouts: one(Self::TimedOut),
             errors: one(Self::Error),
         }
@@ -598,7 +598,7 @@
     /// The server.
     pub server: ServerId,
     /// Should it be removed, or stay so?
-    pub stand: Stand,
+    pub stand: Vote,
     /// What was seen within the window of the process that is listed.
     pub evidence: Evidence,
 }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -303,7 +303,7 @@
     /// What was seen within the window that ends with this half.
     fn evidence(&self, half: i64) -> Evidence {
         let recent = self.seen.iter().filter(|(at, _)| *at == half || *at == half - 1);
-        recent.fold(Evidence::default(), |sum, (_, more)| sum.and(more))
+        recent.fold(Evidence::default(), |sum, (_, more)| sum.combined(more))
     }
 
     /// How many own attempts may be out, with the fleet's factor and the least limit.
@@ -529,13 +529,13 @@
         let up = self.servers.values().filter(|s| s.entry.state == Listed::Up);
         let seen = up.clone().map(|s| (s.entry.server, s.evidence(votes.half(self.now))));
         let ballot = |(server, evidence): (ServerId, Evidence)| {
-            let failed = f64::from(evidence.failed()) >= votes.failed * f64::from(evidence.attempts);
-            OwnBallot { server, stand: if failed { Stand::For } else { Stand::Against }, evidence }
+            let failed = f64::from(evidence.failures()) >= votes.failed * f64::from(evidence.attempts);
+            OwnBallot { server, stand: if failed { Vote::For } else { Vote::Against }, evidence }
         };
         let ballots: Vec<_> = seen.filter(|(_, e)| e.attempts >= votes.attempts).map(ballot).collect();
         // Of two servers that a node shares, one may be bad.
         let most = (votes.doubt * ballots.len() as f64).max(1.0);
-        let doubts = ballots.iter().filter(|b| b.stand == Stand::For).count() as f64 > most;
+        let doubts = ballots.iter().filter(|b| b.stand == Vote::For).count() as f64 > most;
         let panic = self.servers.iter().any(|(id, s)| s.ruled.is_none() && self.rulings.contains_key(id));
         let (alone, suspects) = (self.voted().is_none(), up.filter(|s| s.suspect).count());
         Ballots { doubts, panic, alone, suspects, ballots }
@@ -904,7 +904,7 @@
             for seen in [&mut server.seen, &mut server.run] {
                 let place = &mut seen[(half & 1) as usize];
                 let before = if place.0 == half { place.1 } else { Evidence::default() };
-                *place = (half, before.and(&outcome.evidence()));
+                *place = (half, before.combined(&outcome.evidence()));
             }
         }
         match outcome {
--- a/src/net/agreed.rs
+++ b/src/net/agreed.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use member::policy::PolicyError;
-use member::{Answer, Effect, Epoch, Member, Millis, Policy, Saved};
+use member::{Effect, Epoch, HeartbeatReply, Member, Millis, Policy, SavedEpoch};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::SplitMix64;
 use thiserror::Error;
@@ -141,7 +141,7 @@
     /// The session is over.
     left: Notify,
     /// What is to be written.
-    unwritten: RefCell<Option<Saved>>,
+    unwritten: RefCell<Option<SavedEpoch>>,
     write: Notify,
     draw: RefCell<SplitMix64>,
     /// When a call that brought nothing was last logged.
@@ -151,14 +151,14 @@
 impl Membership {
     /// Closes the session: nothing is taken any more. Returns once the leader knows, or at `last`.
     pub async fn leave(&self, last: Instant) {
-        self.with(Member::bye);
+        self.with(Member::leave);
         if !self.over() {
             let _ = timeout_at(last.into(), self.left.notified()).await;
         }
     }
 
     fn over(&self) -> bool {
-        self.gate.member.borrow().superseded()
+        self.gate.member.borrow().is_superseded()
     }
 
     // ---- Calls ----
@@ -174,8 +174,9 @@
             match asked.unwrap_or(Err(CallError::Silent { at })) {
                 Ok((sent, voted, mut answer)) => {
                     (hints, failed) = (0, 0);
-                    let (asked, verdicts) = (std::mem::take(&mut answer.asked), answer.verdicts.take());
-                    self.with(|member, now| member.answered(sent, answer, now));
+                    let (asked, verdicts) =
+                        (std::mem::take(&mut answer.queried_servers), answer.verdicts.take());
+                    self.with(|member, now| member.on_reply(sent, answer, now));
                     if voted {
                         self.node.answered(self.control.zone.as_deref(), asked, verdicts);
                     }
@@ -205,21 +206,21 @@
         &self,
         line: &mut Option<Line>,
         at: SocketAddr,
-    ) -> Result<(Millis, bool, Answer), CallError> {
+    ) -> Result<(Millis, bool, HeartbeatReply), CallError> {
         let line = match line.take() {
             Some(kept) if kept.at() == at => line.insert(kept),
             _ => line.insert(Line::to(at).await?),
         };
         let sent = self.gate.now();
-        let mut beat = self.gate.member.borrow_mut().beat(sent);
-        if !beat.bye {
-            (beat.votes, beat.verdicts) = self.node.votes(self.control.zone.as_deref()).unzip();
+        let mut beat = self.gate.member.borrow_mut().heartbeat(sent);
+        if !beat.leaving {
+            (beat.vote_report, beat.verdicts_version) = self.node.votes(self.control.zone.as_deref()).unzip();
         }
-        Ok((sent, beat.votes.is_some(), line.beat(&beat).await?))
+        Ok((sent, beat.vote_report.is_some(), line.beat(&beat).await?))
     }
 
     async fn until_due(&self) {
-        let at = self.gate.instant(self.gate.member.borrow().next_beat());
+        let at = self.gate.instant(self.gate.member.borrow().next_heartbeat_at());
         tokio::select! {
             () = sleep_until(at.into()) => {}
             () = self.due.notified() => {}
@@ -242,8 +243,8 @@
         let mut watch = Watch::begin(at, *from).await?;
         while let Some(news) = watch.next().await? {
             (*from, *failed) = (news.version, 0);
-            if let Some(agreed) = news.agreed {
-                self.with(|member, now| member.news(agreed, now));
+            if let Some(agreed) = news.agreed_state {
+                self.with(|member, now| member.on_agreed_state(agreed, now));
             }
             if let Some(verdicts) = news.verdicts {
                 self.node.news(self.control.zone.as_deref(), verdicts);
@@ -279,10 +280,10 @@
 
     /// A saved epoch may be due after a while.
     async fn waits(self: Rc<Self>) {
-        let due = self.gate.member.borrow().wakes_at();
+        let due = self.gate.member.borrow().timer_due_at();
         if let Some(at) = due {
             sleep_until(self.gate.instant(at).into()).await;
-            self.with(Member::wake);
+            self.with(Member::on_timer);
         }
     }
 
@@ -295,7 +296,7 @@
                 Effect::Check(change) => {
                     let words = self.fit(&change.policy).map(drop).map_err(|unfit| unfit.line());
                     let mut member = self.gate.member.borrow_mut();
-                    effects.extend(member.checked(change.id, words, self.gate.now()));
+                    effects.extend(member.on_check_result(change.id, words, self.gate.now()));
                 }
                 Effect::Activate { epoch, policy } => self.judge_by(epoch, policy),
                 Effect::Save(saved) => {
@@ -306,8 +307,8 @@
                 Effect::Discard(change) => {
                     log::line(format!("change {} was aborted, it takes hold nowhere", change.0))
                 }
-                Effect::BeatNow => self.due.notify_one(),
-                Effect::Tell(words) => log::line(words),
+                Effect::SendHeartbeat => self.due.notify_one(),
+                Effect::NotifyOperator(words) => log::line(words),
             }
         }
     }
@@ -379,7 +380,7 @@
     #[test]
     fn each_error_has_its_advice() {
         each_has_its_advice(|before| match before {
-            None => Some(Unfit::Policy(PolicyError::Fixed("Me".into()))),
+            None => Some(Unfit::Policy(PolicyError::Immutable("Me".into()))),
             Some(Unfit::Policy(_)) => Some(Unfit::OpenCap { asked: 9, room: 3 }),
             Some(Unfit::OpenCap { .. }) => None,
         });
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -9,8 +9,8 @@
 use std::path::PathBuf;
 
 use endpoints::Update;
-use member::votes::SERVER_MOST;
-use member::Start;
+use member::votes::MAX_NAME_BYTES;
+use member::StartMode;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::{Map, Value};
@@ -50,7 +50,7 @@
     /// Where its replicas are.
     pub replicas: Vec<SocketAddr>,
     /// How it comes to its first epoch.
-    pub start: Start,
+    pub start: StartMode,
     /// The folder in which it keeps the epoch that it judged by last.
     pub folder: Option<PathBuf>,
     /// The node's own zone, by which verdicts on servers hold for it; without one only those for all zones do.
@@ -316,13 +316,13 @@
         let words = format!("0 to {SAVED_AFTER_MOST} expected, not {after_ms}");
         return Err(fault("control.saved_after_ms", words));
     }
-    if let Some(zone) = group.zone.as_ref().filter(|zone| !(1..=SERVER_MOST).contains(&zone.len())) {
-        let words = format!("a name of 1 to {SERVER_MOST} bytes expected, not one of {}", zone.len());
+    if let Some(zone) = group.zone.as_ref().filter(|zone| !(1..=MAX_NAME_BYTES).contains(&zone.len())) {
+        let words = format!("a name of 1 to {MAX_NAME_BYTES} bytes expected, not one of {}", zone.len());
         return Err(fault("control.zone", words));
     }
     let start = match group.start {
-        First::Wait => Start::Wait,
-        First::Saved if folder.is_some() => Start::Saved { after_ms },
+        First::Wait => StartMode::Wait,
+        First::Saved if folder.is_some() => StartMode::UseSaved { after_ms },
         First::Saved => return Err(fault("state_dir", "missing, and control.start is \"saved\"".into())),
     };
     if listen.ip().is_unspecified() {
@@ -394,10 +394,10 @@
         let at = json!(["127.0.0.1:9301"]);
         let control = |c| with(c, json!("/state")).map(|c| c.control.expect("configured"));
         assert!(with(Value::Null, json!("/state")).expect("good").control.is_none());
-        assert_eq!(control(json!({"replicas": at})).expect("good").start, Start::Wait);
+        assert_eq!(control(json!({"replicas": at})).expect("good").start, StartMode::Wait);
         let saved = json!({"replicas": at, "start": "saved", "saved_after_ms": 500, "zone": "a"});
         let saved = control(saved).expect("good");
-        assert_eq!((saved.start, saved.replicas.len()), (Start::Saved { after_ms: 500.0 }, 1));
+        assert_eq!((saved.start, saved.replicas.len()), (StartMode::UseSaved { after_ms: 500.0 }, 1));
         assert_eq!(saved.zone.as_deref(), Some("a"));
         for (field, spoilt) in [
             ("control.replicas", json!({"replicas": []})),
--- a/src/net/gate.rs
+++ b/src/net/gate.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-use member::{Epoch, Held, Member, MemberConfig, Millis, Process, Saved, Start};
+use member::{AdmissionError, Epoch, Member, MemberConfig, Millis, Process, SavedEpoch, StartMode};
 
 use super::config::Config;
 use super::listen::{self, ListenError};
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stop {
     /// The member may not.
-    Held(Held),
+    Held(AdmissionError),
     /// The agreed policy can't be judged by here: a process that came later than the change.
     Unfit,
 }
@@ -24,7 +24,7 @@
     /// In a few words, for the log.
     pub fn words(self) -> &'static str {
         match self {
-            Self::Held(held) => held.words(),
+            Self::Held(held) => held.description(),
             Self::Unfit => "the agreed policy can't be borne here",
         }
     }
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// Where it can't listen at another port of its address.
-    pub fn new(config: &Config, first: Start, saved: Option<Saved>) -> Result<Self, ListenError> {
+    pub fn new(config: &Config, first: StartMode, saved: Option<SavedEpoch>) -> Result<Self, ListenError> {
         let life = listen::bind("control", SocketAddr::new(config.listen.ip(), 0))?;
         let at = life.local_addr().map_err(|error| ListenError::Runtime { field: "control", error })?;
         let start = Instant::now();
@@ -54,9 +54,9 @@
         let boot = RandomState::new().hash_one((config.seed, std::process::id(), start));
         let member = MemberConfig {
             process: Process { name: config.name.clone(), boot },
-            life: at,
-            beside: config.inherited.is_some(),
-            start: first,
+            liveness_addr: at,
+            coexists_with_previous: config.inherited.is_some(),
+            start_mode: first,
         };
         let member = RefCell::new(Member::new(member, saved, 0.0));
         Ok(Self { member, unfit: Cell::new(false), start, _life: life })
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -9,7 +9,7 @@
 
 use endpoints::{Action as Do, CallId, Follower, Health, Mode, Ms, Update};
 use hyper::StatusCode;
-use member::votes::{Ballot, Verdicts, Votes};
+use member::votes::{Ballot, Verdicts, VoteReport};
 use member::Epoch;
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
@@ -408,7 +408,7 @@
 
     /// What the next beat says of servers, and the version of the verdicts that are known; `None` while the agreed
     /// policy has no votes. `zone` is the node's own.
-    pub fn votes(&self, zone: Option<&str>) -> Option<(Votes, u64)> {
+    pub fn votes(&self, zone: Option<&str>) -> Option<(VoteReport, u64)> {
         let state = self.state.borrow();
         let word = state.word.as_ref()?;
         let own = state.balancer.ballots();
@@ -418,7 +418,7 @@
                 server: host.name.clone(),
                 born_ms: host.born_ms,
                 zone: host.zone.as_deref().unwrap_or_default().to_owned(),
-                stand: own.stand,
+                vote: own.stand,
                 evidence: own.evidence,
             })
         });
@@ -591,7 +591,8 @@
     /// The figures.
     pub fn figures(&self) -> String {
         let (voting, state) = (self.voting(), self.state.borrow());
-        let policy = self.gate.as_ref().map(|gate| (gate.member.borrow().active(), gate.admit().is_err()));
+        let policy =
+            self.gate.as_ref().map(|gate| (gate.member.borrow().active_epoch(), gate.admit().is_err()));
         let (targets, avoided) = (state.hosts.len(), state.balancer.avoided());
         self.metrics.text(&self.config.told.classes, targets, avoided, policy, voting)
     }
--- a/src/net/replica.rs
+++ b/src/net/replica.rs
@@ -10,7 +10,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Request, Response, StatusCode};
-use member::{Answer, Beat, News, NotLeader};
+use member::{Heartbeat, HeartbeatReply, NotLeader, WatchEvent};
 use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinHandle};
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// Where no answer to it has come. The line is then of no further use, unless the replica has refused.
-    pub async fn beat(&mut self, beat: &Beat) -> Result<Answer, CallError> {
+    pub async fn beat(&mut self, beat: &Heartbeat) -> Result<HeartbeatReply, CallError> {
         let at = self.at;
         let unreadable = |words: String| CallError::Unreadable { at, words };
         let body = serde_json::to_vec(beat).map_err(|e| unreadable(e.to_string()))?;
@@ -205,7 +205,7 @@
     ///
     /// # Errors
     /// Where it broke, fell silent, or brought what can't be read.
-    pub async fn next(&mut self) -> Result<Option<News>, CallError> {
+    pub async fn next(&mut self) -> Result<Option<WatchEvent>, CallError> {
         let at = self.line.at;
         let unreadable = |words: String| CallError::Unreadable { at, words };
         loop {
--- a/src/net/saved.rs
+++ b/src/net/saved.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use member::Saved;
+use member::SavedEpoch;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
@@ -100,7 +100,7 @@
 struct Content {
     node: String,
     #[serde(flatten)]
-    saved: Saved,
+    saved: SavedEpoch,
 }
 
 /// A node's file.
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// Where there is a file that can't be used.
-    pub fn read(&self) -> Result<Option<Saved>, SavedError> {
+    pub fn read(&self) -> Result<Option<SavedEpoch>, SavedError> {
         self.sweep();
         let mut bytes = Vec::new();
         match File::open(&self.path).and_then(|file| file.take(MOST).read_to_end(&mut bytes)) {
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     /// Where it can't be written; what was saved before then still is.
-    pub fn write(&self, saved: &Saved) -> Result<(), SavedError> {
+    pub fn write(&self, saved: &SavedEpoch) -> Result<(), SavedError> {
         let content = Content { node: self.node.clone(), saved: saved.clone() };
         let new = self.path.with_file_name(format!("{UNDER_WAY}{}", std::process::id()));
         let write = || {
@@ -152,7 +152,7 @@
         })
     }
 
-    fn decode(&self, bytes: &[u8]) -> Result<Saved, SavedError> {
+    fn decode(&self, bytes: &[u8]) -> Result<SavedEpoch, SavedError> {
         let path = || self.path.clone();
         let damaged = |words| SavedError::Damaged { path: path(), words };
         let text = std::str::from_utf8(bytes).map_err(|_| damaged("not text"))?;
@@ -202,9 +202,9 @@
         folder
     }
 
-    fn saved(epoch: u64) -> Saved {
+    fn saved(epoch: u64) -> SavedEpoch {
         let policy = json!({"Limits": {"OpenCap": 7}}).as_object().expect("an object").clone();
-        Saved { epoch, policy: Policy(policy), fenced: epoch > 1 }
+        SavedEpoch { epoch, policy: Policy(policy), fenced: epoch > 1 }
     }
 
     #[test]
--- a/src/net/votes.rs
+++ b/src/net/votes.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 use member::votes::{
-    Ballot, Evidence, Stand, Verdict, Verdicts, Votes, BALLOTS_MOST, SERVER_MOST, ZONES_MOST,
+    Ballot, Evidence, Verdict, Verdicts, Vote, VoteReport, MAX_BALLOTS, MAX_NAME_BYTES, MAX_ZONES,
 };
 use member::Millis;
 
@@ -54,31 +54,31 @@
         up: impl Iterator<Item = &'a str>,
         doubts: bool,
         mut ballots: Vec<Ballot>,
-    ) -> Votes {
+    ) -> VoteReport {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        for zone in up.filter(|zone| zone.len() <= SERVER_MOST) {
+        for zone in up.filter(|zone| zone.len() <= MAX_NAME_BYTES) {
             *zones.entry(zone).or_default() += 1;
         }
         let mut zones: Vec<(String, u32)> = zones.into_iter().map(|(zone, up)| (zone.into(), up)).collect();
-        if zones.len() > ZONES_MOST {
+        if zones.len() > MAX_ZONES {
             zones.sort_by_key(|(_, up)| std::cmp::Reverse(*up));
-            zones.truncate(ZONES_MOST);
+            zones.truncate(MAX_ZONES);
         }
-        let short = |ballot: &Ballot| ballot.server.len() <= SERVER_MOST && ballot.zone.len() <= SERVER_MOST;
+        let short =
+            |ballot: &Ballot| ballot.server.len() <= MAX_NAME_BYTES && ballot.zone.len() <= MAX_NAME_BYTES;
         let anew = |ballot: &Ballot| {
             let mut verdicts = self.verdicts.verdicts.iter();
             verdicts.any(|verdict| verdict.server == ballot.server && verdict.born_ms != ballot.born_ms)
         };
-        let told = |ballot: &Ballot| {
-            ballot.stand == Stand::For || self.asked.contains(&ballot.server) || anew(ballot)
-        };
+        let told =
+            |ballot: &Ballot| ballot.vote == Vote::For || self.asked.contains(&ballot.server) || anew(ballot);
         ballots.retain(|ballot| short(ballot) && told(ballot));
         ballots.sort_by(|a, b| {
-            let order = |ballot: &Ballot| (ballot.stand, std::cmp::Reverse(ballot.evidence.failed()));
+            let order = |ballot: &Ballot| (ballot.vote, std::cmp::Reverse(ballot.evidence.failures()));
             order(a).cmp(&order(b)).then_with(|| a.server.cmp(&b.server))
         });
-        ballots.truncate(BALLOTS_MOST);
-        Votes { zone: zone.map(str::to_owned), up: zones, doubts, ballots }
+        ballots.truncate(MAX_BALLOTS);
+        VoteReport { zone: zone.map(str::to_owned), up_servers: zones, abstains: doubts, ballots }
     }
 
     /// The version of what is known to be in force.
@@ -149,10 +149,11 @@
 
 /// Evidence in words, for the log.
 pub fn words(evidence: Evidence) -> String {
-    let Evidence { attempts, connects, breaks, timeouts, errors } = evidence;
+    let Evidence { attempts, connect_failures: connects, connection_resets: breaks, timeouts, errors } =
+        evidence;
     format!(
         "{attempts} attempts, {} failed ({connects} not connected, {breaks} broke, {timeouts} late, {errors} errors)",
-        evidence.failed()
+        evidence.failures()
     )
 }
 
@@ -160,9 +161,9 @@
 mod tests {
     use super::*;
 
-    fn ballot(server: &str, stand: Stand, errors: u32) -> Ballot {
+    fn ballot(server: &str, vote: Vote, errors: u32) -> Ballot {
         let evidence = Evidence { attempts: 20, errors, ..Evidence::default() };
-        Ballot { server: server.into(), born_ms: 1.0, zone: "a".into(), stand, evidence }
+        Ballot { server: server.into(), born_ms: 1.0, zone: "a".into(), vote, evidence }
     }
 
     fn verdict(server: &str, zones: &[&str], probers: &[&str]) -> Verdict {
@@ -175,21 +176,21 @@
         let mut word = Word::default();
         let told = |word: &Word, ballots: Vec<Ballot>| {
             let votes = word.votes(Some("a"), ["a", "b", "a"].into_iter(), false, ballots);
-            assert_eq!(votes.up, [("a".to_owned(), 2), ("b".to_owned(), 1)]);
+            assert_eq!(votes.up_servers, [("a".to_owned(), 2), ("b".to_owned(), 1)]);
             votes.ballots.into_iter().map(|ballot| ballot.server).collect::<Vec<_>>()
         };
         let three =
-            || vec![ballot("x", Stand::For, 11), ballot("y", Stand::Against, 0), ballot("z", Stand::For, 19)];
+            || vec![ballot("x", Vote::For, 11), ballot("y", Vote::Against, 0), ballot("z", Vote::For, 19)];
         assert_eq!(told(&word, three()), ["z", "x"]);
         word.answered(vec!["y".into(), "x".into()], None, 5.0);
         assert_eq!(told(&word, three()), ["z", "x", "y"]);
         let earlier = Verdict { born_ms: 0.5, ..verdict("y", &[], &[]) };
         word.answered(Vec::new(), Some(Verdicts { version: 3, verdicts: vec![earlier] }), 6.0);
         assert_eq!(told(&word, three()), ["z", "x", "y"]);
-        let mut many: Vec<Ballot> = (0..100).map(|n| ballot(&format!("s{n}"), Stand::For, 11)).collect();
-        many.extend([ballot("worst", Stand::For, 20), ballot(&"s".repeat(SERVER_MOST + 1), Stand::For, 20)]);
+        let mut many: Vec<Ballot> = (0..100).map(|n| ballot(&format!("s{n}"), Vote::For, 11)).collect();
+        many.extend([ballot("worst", Vote::For, 20), ballot(&"s".repeat(MAX_NAME_BYTES + 1), Vote::For, 20)]);
         let told = told(&word, many);
-        assert_eq!((told.len(), told[0].as_str()), (BALLOTS_MOST, "worst"));
+        assert_eq!((told.len(), told[0].as_str()), (MAX_BALLOTS, "worst"));
     }
 
     #[test]
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use member::votes::Figures;
+use member::votes::VoteSettings;
 use serde::Deserialize;
 use serde_json::{json, Map, Value};
 
@@ -208,9 +208,18 @@
 
 /// Votes are read, and refused, as the control group does it.
 fn votes(value: &Value) -> Result<Votes, WireError> {
-    let figures = Figures::deserialize(value).map_err(|e| format!("Votes: {e}"))?;
+    let figures = VoteSettings::deserialize(value).map_err(|e| format!("Votes: {e}"))?;
     figures.check().map_err(|e| e.to_string())?;
-    let Figures { window, attempts, failed, doubt, aside, trickle, word, .. } = figures;
+    let VoteSettings {
+        evidence_window: window,
+        min_attempts: attempts,
+        failure_ratio: failed,
+        abstain_ratio: doubt,
+        suspect_pause: aside,
+        suspect_share: trickle,
+        contact_timeout: word,
+        ..
+    } = figures;
     Ok(Votes { window, attempts, failed, doubt, aside, trickle, word })
 }
 
--- a/src/wire/policy.rs
+++ b/src/wire/policy.rs
@@ -11,9 +11,9 @@
 /// # Errors
 /// Names the first field of the policy that may not change, is unknown or has no proper value.
 pub fn with_policy(settings: &Value, policy: &Policy) -> Result<Told, PolicyError> {
-    let wrong = |e: &dyn std::fmt::Display| PolicyError::Settings(e.to_string());
+    let wrong = |e: &dyn std::fmt::Display| PolicyError::IncompatibleSettings(e.to_string());
     let before = told(settings).map_err(|e| wrong(&e))?;
-    let after = told(&policy.over(settings)?).map_err(|e| wrong(&e))?;
+    let after = told(&policy.apply_to(settings)?).map_err(|e| wrong(&e))?;
     before.settings.may_become(&after.settings).map_err(|e| wrong(&e))?;
     Ok(after)
 }
@@ -72,6 +72,6 @@
             let error = with(policy).expect_err(words);
             assert!(error.starts_with(words), "{error}");
         }
-        assert_eq!(member::policy::SERVER_WEIGHTS, crate::api::SERVER_WEIGHTS);
+        assert_eq!(member::policy::SERVER_WEIGHT_RANGE, crate::api::SERVER_WEIGHTS);
     }
 }
--- a/tests/agreed.rs
+++ b/tests/agreed.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use group::{Group, PROMISE_MS};
-use member::votes::Stand;
-use member::Word;
+use member::votes::Vote;
+use member::StageReply;
 use peers::*;
 use serde_json::{json, Value};
 
@@ -105,7 +105,7 @@
         let asked = group.propose(of);
         until("it is refused", || {
             let named = |words: &str| words.contains(field) && words.contains("; ");
-            matches!(group.word(), Some(Word::Refused { change, words }) if change == asked && named(&words))
+            matches!(group.word(), Some(StageReply::Refused { change, reason: words }) if change == asked && named(&words))
         });
         group.end(false);
     }
@@ -214,7 +214,9 @@
     until("it beats", || of_another().is_some());
     let new = of_another().expect("it beats");
     assert_eq!(old.process.name, new.process.name);
-    assert!(old.life != new.life && new.active.is_none() && !new.beside);
+    assert!(
+        old.liveness_addr != new.liveness_addr && new.active_epoch.is_none() && !new.coexists_with_previous
+    );
     assert_eq!(ask(&node, "t1"), (503, None));
 }
 
@@ -264,12 +266,12 @@
     let new = Node::inheriting(&config, &held, &[]);
     until("it is ready", || new.call("GET /ready").0 == 200);
     let boots = || group.beats().iter().map(|b| b.process.boot).collect::<std::collections::BTreeSet<_>>();
-    assert!(boots().len() == 2 && group.beats().iter().all(|b| b.beside));
+    assert!(boots().len() == 2 && group.beats().iter().all(|b| b.coexists_with_previous));
     let first = group.beats()[0].process.boot;
     group.change(json!({"Limits": {"AttemptsCap": 2}}));
     old.terminate();
     assert_eq!(old.exit_code(), Some(0));
-    assert!(group.beats().iter().any(|b| b.bye && b.process.boot == first));
+    assert!(group.beats().iter().any(|b| b.leaving && b.process.boot == first));
     until_served(&new, 1);
 }
 
@@ -320,19 +322,27 @@
     config["control"]["zone"] = json!("east");
     let node = Node::ready(&config);
     let shown = || node.call("GET /metrics").1.contains("votes.");
-    assert!(!shown() && group.beats().iter().all(|beat| beat.votes.is_none() && beat.verdicts.is_none()));
+    assert!(
+        !shown()
+            && group.beats().iter().all(|beat| beat.vote_report.is_none() && beat.verdicts_version.is_none())
+    );
     group.change(json!({"Votes": {"Window": 60000}}));
     until_served(&node, 1);
     assert_eq!(ask(&node, "fails").0, 503);
     until("it is for the removal of what fails", || {
-        let votes = group.beats().pop().and_then(|beat| beat.votes);
+        let votes = group.beats().pop().and_then(|beat| beat.vote_report);
         votes.is_some_and(|votes| {
-            assert_eq!((votes.zone.as_deref(), votes.up.as_slice()), (Some("east"), &[("a".into(), 1)][..]));
-            votes.ballots.iter().any(|b| b.server == "s0" && b.evidence.errors == 3 && b.stand == Stand::For)
+            assert_eq!(
+                (votes.zone.as_deref(), votes.up_servers.as_slice()),
+                (Some("east"), &[("a".into(), 1)][..])
+            );
+            votes.ballots.iter().any(|b| b.server == "s0" && b.evidence.errors == 3 && b.vote == Vote::For)
         })
     });
     assert!(shown() && figure(&node, "votes.removed") == 0);
     group.change(json!({}));
-    until("its beats say nothing of it", || group.beats().last().is_some_and(|beat| beat.votes.is_none()));
+    until("its beats say nothing of it", || {
+        group.beats().last().is_some_and(|beat| beat.vote_report.is_none())
+    });
     assert!(!shown());
 }
--- a/tests/group/mod.rs
+++ b/tests/group/mod.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use member::{
-    Abort, Agreed, Answer, Beat, Change, ChangeId, Ended, News, NotLeader, Policy, Stamp, Told as Say, Word,
+    AbortReason, AgreedState, AgreedUpdate, Change, ChangeId, EndedChange, Heartbeat, HeartbeatReply,
+    NotLeader, Policy, StageReply, Stamp, WatchEvent,
 };
 use serde_json::{json, Value};
 
@@ -16,8 +17,8 @@
 pub const PROMISE_MS: f64 = 1000.0;
 
 struct Told {
-    agreed: Agreed,
-    beats: Vec<Beat>,
+    agreed: AgreedState,
+    beats: Vec<Heartbeat>,
     /// Beats are not answered.
     deaf: bool,
     /// Watches bring nothing.
@@ -41,7 +42,14 @@
 impl Group {
     pub fn new() -> Self {
         let policy = Policy::default();
-        let agreed = Agreed { version: 5, sum: 0, epoch: 0, policy, change: None, ended: Vec::new() };
+        let agreed = AgreedState {
+            version: 5,
+            fingerprint: 0,
+            epoch: 0,
+            policy,
+            change: None,
+            ended_changes: Vec::new(),
+        };
         let told = Told { agreed, beats: Vec::new(), deaf: false, dumb: false, leader: None, beat_ms: 20.0 };
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
@@ -69,25 +77,29 @@
             if call.path().starts_with("/v1/watch") {
                 return self.watch(out);
             }
-            let beat: Beat = serde_json::from_slice(&call.body).expect("a beat");
+            let beat: Heartbeat = serde_json::from_slice(&call.body).expect("a beat");
             let said = self.with(|t| {
                 t.beats.push(beat.clone());
                 if let Some(leader) = t.leader {
                     let no = NotLeader { error: "not the leader".into(), leader: Some(leader) };
                     return Some((503, serde_json::to_string(&no)));
                 }
-                let stamp = Stamp { term: 1, at: start.elapsed().as_secs_f64() * 1000.0 };
-                let known = t.agreed.known();
-                let same = beat.known == Some(known);
-                let said = Answer {
+                let stamp = Stamp { term: 1, time: start.elapsed().as_secs_f64() * 1000.0 };
+                let known = t.agreed.state_id();
+                let same = beat.known_state == Some(known);
+                let said = HeartbeatReply {
                     stamp,
-                    told: if same { Say::Same(known) } else { Say::News(t.agreed.clone()) },
-                    beat_ms: t.beat_ms,
+                    update: if same {
+                        AgreedUpdate::Unchanged(known)
+                    } else {
+                        AgreedUpdate::Changed(t.agreed.clone())
+                    },
+                    heartbeat_interval_ms: t.beat_ms,
                     lease_ms: None,
                     fenced: false,
                     promise_ms: PROMISE_MS,
-                    superseded: beat.bye,
-                    asked: Vec::new(),
+                    superseded: beat.leaving,
+                    queried_servers: Vec::new(),
                     verdicts: None,
                 };
                 (!t.deaf).then(|| (200, serde_json::to_string(&said)))
@@ -108,7 +120,7 @@
             let agreed = self.with(|t| (!t.dumb && t.agreed.version != seen).then(|| t.agreed.clone()));
             if let Some(agreed) = agreed {
                 seen = agreed.version;
-                let news = News { version: seen, agreed: Some(agreed), verdicts: None };
+                let news = WatchEvent { version: seen, agreed_state: Some(agreed), verdicts: None };
                 let line = serde_json::to_string(&news).expect("plain data");
                 write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1).ok()?;
             }
@@ -134,7 +146,11 @@
             if committed {
                 (t.agreed.epoch, t.agreed.policy) = (epoch, policy);
             }
-            t.agreed.ended.push(Ended { id, epoch, aborted: (!committed).then_some(Abort::Operator) });
+            t.agreed.ended_changes.push(EndedChange {
+                id,
+                epoch,
+                abort_reason: (!committed).then_some(AbortReason::Operator),
+            });
         });
     }
 
@@ -149,13 +165,13 @@
         let asked = self.propose(of);
         until(
             "the change is staged",
-            || matches!(self.word(), Some(Word::Staged { change, .. }) if change == asked),
+            || matches!(self.word(), Some(StageReply::Staged { change, .. }) if change == asked),
         );
     }
 
     /// What the last beat says of a change.
-    pub fn word(&self) -> Option<Word> {
-        self.with(|t| t.beats.last().and_then(|beat| beat.change.clone()))
+    pub fn word(&self) -> Option<StageReply> {
+        self.with(|t| t.beats.last().and_then(|beat| beat.stage_reply.clone()))
     }
 
     /// Answers no beats, brings no news; or does again.
@@ -172,7 +188,7 @@
         self.with(|t| t.leader = Some(leader));
     }
 
-    pub fn beats(&self) -> Vec<Beat> {
+    pub fn beats(&self) -> Vec<Heartbeat> {
         self.with(|t| t.beats.clone())
     }
 
--- a/tests/votes.rs
+++ b/tests/votes.rs
@@ -72,8 +72,8 @@
     assert!(bad[1] >= 10 && bad[1] < 150, "{bad:?}");
     assert_eq!(node.balancer.ballots().suspects, 1);
     let held = ballot(&node, 1).expect("enough attempts");
-    assert_eq!((held.stand, held.evidence.errors), (Stand::For, held.evidence.attempts));
-    assert_eq!(ballot(&node, 0).map(|b| b.stand), Some(Stand::Against));
+    assert_eq!((held.stand, held.evidence.errors), (Vote::For, held.evidence.attempts));
+    assert_eq!(ballot(&node, 0).map(|b| b.stand), Some(Vote::Against));
     // In no span of a trickle's rounds it is left out for longer.
     for _ in 0..10 {
         assert!(play(&mut node, 400, SAFE, &[1], Some(&[]))[1] > 0, "a trickle");
@@ -104,7 +104,7 @@
     // One of two that it shares is no cause to doubt.
     let mut few = self::node(2);
     play(&mut few, 300, SAFE, &[1], Some(&[]));
-    assert_eq!(ballot(&few, 1).map(|b| b.stand), Some(Stand::For));
+    assert_eq!(ballot(&few, 1).map(|b| b.stand), Some(Vote::For));
     assert!(!few.balancer.ballots().doubts);
 }
 
@@ -112,7 +112,7 @@
 fn evidence_is_of_the_window_and_of_the_process_that_runs() {
     let mut node = node(4);
     play(&mut node, 60, SAFE, &[1], Some(&[]));
-    assert_eq!(ballot(&node, 1).map(|b| b.stand), Some(Stand::For));
+    assert_eq!(ballot(&node, 1).map(|b| b.stand), Some(Vote::For));
     // Turned away, called off: these say nothing.
     let before = ballot(&node, 0).expect("one").evidence;
     for outcome in [Outcome::Full, Outcome::Cancelled, Outcome::NotSent] {
@@ -214,9 +214,9 @@
     let sent = play(&mut node, 800, SAFE, &[], Some(&[(2, true)]));
     // A tenth of its turns, within what a cold server may get.
     assert!(sent[2] > 3 && sent[2] <= 30, "{sent:?}");
-    assert_eq!(ballot(&node, 2).map(|b| b.stand), Some(Stand::Against));
+    assert_eq!(ballot(&node, 2).map(|b| b.stand), Some(Vote::Against));
     let sent = play(&mut node, 2000, SAFE, &[2], Some(&[(2, true)]));
-    assert!(sent[2] < 40 && ballot(&node, 2).is_none_or(|b| b.stand == Stand::For), "{sent:?}");
+    assert!(sent[2] < 40 && ballot(&node, 2).is_none_or(|b| b.stand == Vote::For), "{sent:?}");
     // A second attempt does not go there, whatever came of the first.
     let mut node = self::node(3);
     hear(&mut node, &[(2, true)]);
