--- a/src/wire/policy.rs
+++ b/src/wire/policy.rs
@@ -11,9 +11,9 @@
 /// # Errors
 /// Names the first field of the policy that may not change, is unknown or has no proper value.
 pub fn settings_with_policy(settings: &Value, policy: &Policy) -> Result<NodeSettings, PolicyError> {
-    let wrong = |e: &dyn std::fmt::Display| PolicyError::Settings(e.to_string());
+    let wrong = |e: &dyn std::fmt::Display| PolicyError::IncompatibleSettings(e.to_string());
     let before = parse_settings(settings).map_err(|e| wrong(&e))?;
-    let after = parse_settings(&policy.over(settings)?).map_err(|e| wrong(&e))?;
+    let after = parse_settings(&policy.apply_to(settings)?).map_err(|e| wrong(&e))?;
     before.settings.check_update(&after.settings).map_err(|e| wrong(&e))?;
     Ok(after)
 }
@@ -87,6 +87,6 @@
             let error = with(policy).expect_err(words);
             assert!(error.starts_with(words), "{error}");
         }
-        assert_eq!(member::policy::SERVER_WEIGHTS, crate::api::SERVER_WEIGHT_RANGE);
+        assert_eq!(member::policy::SERVER_WEIGHT_RANGE, crate::api::SERVER_WEIGHT_RANGE);
     }
 }
