--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,8 +1,9 @@
-//! The discovery protocol's types: what a line of the list or of a watch holds, and how a stream is cut into lines.
+//! Types of the discovery protocol, a splitter that cuts its byte streams into messages, and the client's logic.
 //!
-//! Both ends use them: the node reads, the lab's discovery (and the list service to come) writes. Field names on the
-//! wire are the platform's; unknown fields are ignored. How a node follows the list is here too, without its sockets:
-//! [`ListWatcher`] says when to call and when to give a call up, [`ListState`] what to believe of what comes.
+//! Both ends of the protocol share this crate: nodes read the messages, the lab's discovery service (and the list
+//! service that is planned) writes them. Field names on the wire are the platform's; unknown fields are ignored. The
+//! client's logic is here without its sockets: [`ListWatcher`] decides when to start and when to abandon a call, and
+//! [`ListState`] decides which parts of an update to accept.
 
 mod list_state;
 mod list_watcher;
@@ -15,75 +16,75 @@
 pub use list_state::{ListState, UpdateOutcome, ROLLBACK_CONFIRM_AFTER_MOVE_MS, ROLLBACK_CONFIRM_MS};
 pub use list_watcher::{Action, CallFailure, CallId, DeliveryMode, Event, ListWatcher};
 
-/// A time in ms, on a monotonic clock that begins anywhere.
+/// A time in milliseconds on a monotonic clock with an arbitrary origin.
 pub type Ms = u64;
 
-/// The longest line that is taken, in bytes.
+/// Maximum size of one message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// One line of discovery.
+/// One message of the discovery protocol: the whole list, or changes to it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Update {
-    /// The list's version.
+    /// Version of the list after this update.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// The whole list, not just changes.
+    /// Whether `hosts` is the whole list rather than the changes alone.
     pub whole: bool,
-    /// The entries.
+    /// The listed or changed servers.
     pub hosts: Vec<Host>,
 }
 
-/// One server of a line.
+/// One server of an [`Update`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Host {
-    /// Its name, the same at every node.
+    /// Name of the server, the same at every node.
     pub host: String,
-    /// Where it listens; one that is gone may have none.
+    /// Address it listens at; may be missing only for a server that has left.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub dial: Option<SocketAddr>,
-    /// Its zone.
+    /// Zone it runs in.
     #[serde(default, rename = "site")]
     pub zone: String,
-    /// Its kind of machine.
+    /// Kind of machine it runs on.
     #[serde(default, rename = "class")]
     pub kind: String,
-    /// Its cell.
+    /// Cell it belongs to.
     #[serde(default, rename = "block")]
     pub cell: u64,
-    /// Its state.
+    /// Whether it is in service, draining or gone.
     pub health: Health,
-    /// Its weight.
-    #[serde(default = "one", rename = "share")]
+    /// Load-balancing weight.
+    #[serde(default = "default_weight", rename = "share")]
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// Time of its last start, in milliseconds since the Unix epoch; 0 if that was long ago.
     #[serde(default)]
     pub born_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// The state of a server.
+/// State of a server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
     /// In service.
     Active,
-    /// Finishing its work.
+    /// Draining: it finishes its requests and takes no new ones.
     Leaving,
     /// Gone.
     Left,
 }
 
-/// What can't be read as the protocol requires.
+/// Why a message is not a valid [`Update`].
 #[derive(Debug)]
 pub enum DecodeError {
-    /// Not the JSON of a line.
+    /// The message is not the expected JSON.
     Json(serde_json::Error),
-    /// A server that is not gone says nowhere to reach it.
+    /// The named server has not left and has no address.
     MissingDial(String),
-    /// More bytes than a line may have.
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
     TooLong,
 }
 
@@ -92,7 +93,7 @@
         match self {
             Self::Json(error) => error.fmt(f),
             Self::MissingDial(host) => write!(f, "{host}: dial is missing"),
-            Self::TooLong => f.write_str("longer than a line may be"),
+            Self::TooLong => write!(f, "message exceeds {MAX_MESSAGE_BYTES} bytes"),
         }
     }
 }
@@ -106,18 +107,18 @@
 }
 
 impl Update {
-    /// Reads the bytes of one line.
+    /// Parses and validates one message.
     ///
     /// # Errors
-    /// Names what is missing or malformed.
-    pub fn parse(line: &[u8]) -> Result<Self, DecodeError> {
-        serde_json::from_slice::<Self>(line)?.validated()
+    /// The message is not the expected JSON, or [`Update::validated`] rejects it.
+    pub fn parse(message: &[u8]) -> Result<Self, DecodeError> {
+        serde_json::from_slice::<Self>(message)?.validated()
     }
 
-    /// The update, if every server that is not gone says where it listens.
+    /// Returns the update if every server that has not left has an address.
     ///
     /// # Errors
-    /// Names the first server that does not.
+    /// [`DecodeError::MissingDial`] with the first server that has none.
     pub fn validated(self) -> Result<Self, DecodeError> {
         match self.hosts.iter().find(|h| h.dial.is_none() && h.health != Health::Left) {
             Some(host) => Err(DecodeError::MissingDial(host.host.clone())),
@@ -126,45 +127,49 @@
     }
 }
 
-/// Cuts a stream into messages: a line each, or a JSON object that stands over several. An object is whole with its last
-/// brace, whatever comes of the line's end; what is no object, or has a line's end in a string, ends with its line.
+/// Splits a byte stream into messages: one per line, or a JSON object that may span several lines.
+///
+/// An object is complete with its last brace, whether or not a line end follows. Anything that is not an object, and an
+/// object with a line end inside a string, ends with its line.
 #[derive(Debug, Default)]
 pub struct MessageSplitter {
-    held: Vec<u8>,
-    /// Where the message that is coming begins, and up to where it has been looked at.
+    buffer: Vec<u8>,
+    /// Offset of the current message in `buffer`.
     start: usize,
-    seen: usize,
-    form: Form,
+    /// Offset up to which `buffer` has been scanned.
+    scanned: usize,
+    message: MessageScan,
 }
 
-/// What the message that is coming is, as far as it has come.
+/// What has been scanned of the current message.
 #[derive(Debug, Default)]
-enum Form {
+enum MessageScan {
+    /// Nothing but white space.
     #[default]
     Blank,
-    Object {
-        depth: usize,
-        string: bool,
-        escaped: bool,
-    },
+    /// Part of a JSON object.
+    Object { depth: usize, in_string: bool, escaped: bool },
+    /// Part of a line that is not a JSON object.
     Other,
 }
 
-impl Form {
-    /// Takes in a byte; true where the message ends with it.
-    fn ends(&mut self, byte: u8) -> bool {
+impl MessageScan {
+    /// Scans one byte; returns true if it completes the message.
+    fn completes(&mut self, byte: u8) -> bool {
         match self {
-            Self::Blank if byte == b'{' => *self = Self::Object { depth: 1, string: false, escaped: false },
+            Self::Blank if byte == b'{' => {
+                *self = Self::Object { depth: 1, in_string: false, escaped: false }
+            }
             Self::Blank if !byte.is_ascii_whitespace() => *self = Self::Other,
             Self::Blank | Self::Other => return byte == b'\n',
             Self::Object { escaped, .. } if *escaped => *escaped = false,
-            Self::Object { string, escaped, .. } if *string => match byte {
-                b'"' => *string = false,
+            Self::Object { in_string, escaped, .. } if *in_string => match byte {
+                b'"' => *in_string = false,
                 b'\\' => *escaped = true,
                 _ => return byte == b'\n',
             },
-            Self::Object { depth, string, .. } => match byte {
-                b'"' => *string = true,
+            Self::Object { depth, in_string, .. } => match byte {
+                b'"' => *in_string = true,
                 b'{' | b'[' => *depth += 1,
                 b'}' | b']' => {
                     *depth -= 1;
@@ -178,40 +183,40 @@
 }
 
 impl MessageSplitter {
-    /// Takes in what came.
+    /// Appends received bytes.
     ///
     /// # Errors
-    /// Where a message would be longer than [`MAX_MESSAGE_BYTES`].
+    /// [`DecodeError::TooLong`] if more than [`MAX_MESSAGE_BYTES`] would be buffered.
     pub fn push(&mut self, data: &[u8]) -> Result<(), DecodeError> {
-        if self.held.len() + data.len() > MAX_MESSAGE_BYTES {
+        if self.buffer.len() + data.len() > MAX_MESSAGE_BYTES {
             return Err(DecodeError::TooLong);
         }
-        self.held.extend_from_slice(data);
+        self.buffer.extend_from_slice(data);
         Ok(())
     }
 
-    /// What came and is no whole message yet.
+    /// Returns the received bytes that do not form a complete message yet.
     pub fn remainder(&self) -> &[u8] {
-        &self.held[self.start..]
+        &self.buffer[self.start..]
     }
 }
 
 impl Iterator for MessageSplitter {
     type Item = Vec<u8>;
 
-    /// The next whole message, without the end of its line.
+    /// Returns the next complete message, without its line end.
     fn next(&mut self) -> Option<Vec<u8>> {
-        while let Some(byte) = self.held.get(self.seen) {
-            self.seen += 1;
-            if self.form.ends(*byte) {
-                let message = self.held[self.start..self.seen].trim_ascii_end().to_vec();
-                (self.start, self.form) = (self.seen, Form::default());
+        while let Some(byte) = self.buffer.get(self.scanned) {
+            self.scanned += 1;
+            if self.message.completes(*byte) {
+                let message = self.buffer[self.start..self.scanned].trim_ascii_end().to_vec();
+                (self.start, self.message) = (self.scanned, MessageScan::default());
                 return Some(message);
             }
         }
-        // Once for all that was whole: a flood of short lines would else be moved up again and again.
-        self.held.drain(..self.start);
-        (self.start, self.seen) = (0, self.held.len());
+        // Drained once for all complete messages: draining after each would move the buffer for every short line.
+        self.buffer.drain(..self.start);
+        (self.start, self.scanned) = (0, self.buffer.len());
         None
     }
 }
@@ -221,7 +226,7 @@
     use super::*;
 
     #[test]
-    fn a_line_is_read_as_it_was_written() {
+    fn an_update_survives_a_round_trip_through_json() {
         let host = Host {
             host: "s-1".into(),
             dial: Some("127.0.0.1:9000".parse().expect("an address")),
@@ -233,33 +238,33 @@
             born_ms: 12.5,
         };
         let update = Update { version: 41, whole: true, hosts: vec![host] };
-        let line = serde_json::to_vec(&update).expect("plain data");
-        assert_eq!(Update::parse(&line).expect("readable"), update);
-        assert!(String::from_utf8(line).expect("text").contains("\"seq\":41"));
+        let message = serde_json::to_vec(&update).expect("plain data");
+        assert_eq!(Update::parse(&message).expect("valid"), update);
+        assert!(String::from_utf8(message).expect("text").contains("\"seq\":41"));
     }
 
     #[test]
-    fn only_a_server_that_is_gone_needs_no_address() {
-        let line = |health: &str| {
+    fn only_a_server_that_has_left_may_lack_an_address() {
+        let message = |health: &str| {
             format!(r#"{{"seq":1,"whole":false,"more":7,"hosts":[{{"host":"s","health":"{health}"}}]}}"#)
         };
-        assert!(Update::parse(line("left").as_bytes()).is_ok());
+        assert!(Update::parse(message("left").as_bytes()).is_ok());
         for health in ["active", "leaving"] {
-            let words = Update::parse(line(health).as_bytes()).expect_err("no address").to_string();
-            assert_eq!(words, "s: dial is missing");
+            let error = Update::parse(message(health).as_bytes()).expect_err("no address").to_string();
+            assert_eq!(error, "s: dial is missing");
         }
         assert!(matches!(Update::parse(b"{\"seq\":"), Err(DecodeError::Json(_))));
     }
 
     #[test]
-    fn lines_come_whole_however_they_were_cut() {
-        let mut lines = MessageSplitter::default();
-        let mut seen = Vec::new();
+    fn messages_are_complete_however_the_stream_was_cut() {
+        let mut splitter = MessageSplitter::default();
+        let mut messages = Vec::new();
         for piece in b"ab\r\n\nc".chunks(1) {
-            lines.push(piece).expect("short");
-            seen.extend(lines.by_ref());
+            splitter.push(piece).expect("short");
+            messages.extend(splitter.by_ref());
         }
-        assert_eq!((seen, lines.remainder()), (vec![b"ab".to_vec(), Vec::new()], &b"c"[..]));
-        assert!(matches!(lines.push(&vec![0; MAX_MESSAGE_BYTES]), Err(DecodeError::TooLong)));
+        assert_eq!((messages, splitter.remainder()), (vec![b"ab".to_vec(), Vec::new()], &b"c"[..]));
+        assert!(matches!(splitter.push(&vec![0; MAX_MESSAGE_BYTES]), Err(DecodeError::TooLong)));
     }
 }
--- a/crates/endpoints/src/list_watcher.rs
+++ b/crates/endpoints/src/list_watcher.rs
@@ -1,158 +1,176 @@
-//! How a node follows the list: when it calls the service, what it takes of the answers, and when it gives a call up.
+//! Follows the list for a node: decides when to call the service, how to handle its responses and when to abandon a call.
 //!
-//! A time and an event in, actions out; the caller does the connecting and the reading. All waits count on one clock:
-//! what a node misses counts as told 6 s after its watch fell silent (for a call that may wait, 2 s after that wait),
-//! at once where lists are pushed, and 4 s after a move. So silence, half a line and a trickle of bytes alike end a
-//! call in time for another one, and where lists are pushed an unanswered call gets another one beside it: to give
-//! calls up sooner instead would keep a service that is slow to answer from ever being heard.
+//! The watcher does no I/O: it takes times and events and returns actions, and its owner connects and reads. All
+//! deadlines follow from one rule of the platform: a node is held to know whatever its service has to tell 6 s after its
+//! watch fell silent (for a call that may wait in a queue, 2 s after that wait), at once where updates are pushed, and
+//! 4 s after the service has moved. So silence, an incomplete message and a trickle of bytes all end a call early enough
+//! for another one. Where updates are pushed, an unanswered call gets a parallel one: abandoning calls sooner instead
+//! would never reach a service that is slow to answer.
 
 use thiserror::Error;
 
 use crate::{DecodeError, ListState, MessageSplitter, Ms, Update};
 
-/// A call's number.
+/// Identifies a call.
 pub type CallId = u64;
 
-/// How long a connection may take.
-const CONNECT: Ms = 1000;
-/// How long a call may wait in the queue of a service that is asked.
-const QUEUE: Ms = 4500;
-/// How long a call may take until its answer begins where changes come unprompted, from an agent on the node's own
-/// machine.
-const AGENT: Ms = 1000;
-/// A watch brings a line every 2 s: a longer silence is a dead link, which TCP alone would not notice.
-const SILENCE: Ms = 3200;
-/// A line, or a whole list, that is not there by then is not coming, even if bytes of it are.
-const LINE: Ms = 4500;
-
-/// After a move there is less time: the list has to come within a silence of the question, or so long after an answer
-/// that began late.
-const MOVED: Ms = 500;
-
-/// How long after a call has ended the next is begun where lists are pushed.
-const AGAIN: Ms = 100;
-/// How long a call may be unanswered until another one is made beside it, which makes five at most, and ten where others
-/// fail: within the grace of a drain, as what the agent has counts at once when it speaks again.
-const BESIDE: Ms = 200;
-/// The same for a service that is asked, after a move: it may have a queue, in which a call's place is worth keeping.
-const BESIDE_MOVED: Ms = 2000;
-/// A service that is asked is asked again by then, from when it fell silent, if nothing asks before; no sooner than
-/// [`PAUSE`] after a call has ended.
-const LATEST: Ms = 4000;
-const PAUSE: Ms = 500;
-/// Where lists are pushed, calls that fail are told so often at most.
-const TELL: Ms = 1000;
-
-/// How the list comes.
+/// Time for a connection to be established, in ms.
+const CONNECT_TIMEOUT_MS: Ms = 1000;
+/// Time that a call may wait in the queue of an on-demand service, in ms.
+const QUEUE_TIMEOUT_MS: Ms = 4500;
+/// Time from the start of a call to the start of its response where updates are pushed, by an agent on the node's own
+/// machine, in ms.
+const PUSH_RESPONSE_TIMEOUT_MS: Ms = 1000;
+/// Time without a byte after which a watch is abandoned, in ms. A watch brings a line every 2 s: a longer silence is a
+/// dead link, which TCP alone would not detect.
+const IDLE_TIMEOUT_MS: Ms = 3200;
+/// Time for a message or a whole list to be complete, in ms, even if bytes of it keep arriving.
+const MESSAGE_TIMEOUT_MS: Ms = 4500;
+
+/// Time for the list to arrive after a response that started late, when the service has moved, in ms. Without such a
+/// delay the list is due [`IDLE_TIMEOUT_MS`] after the call was started.
+const MOVED_MESSAGE_TIMEOUT_MS: Ms = 500;
+
+/// Delay between the end of a call and the next one where updates are pushed, in ms.
+const PUSH_RETRY_DELAY_MS: Ms = 100;
+/// Time without a response after which a parallel call is started where updates are pushed, in ms. There are at most
+/// five calls at a time, ten where others fail. It is within the grace period of a drain, as what the agent knows counts
+/// at once when it answers again.
+const PUSH_PARALLEL_CALL_DELAY_MS: Ms = 200;
+/// The same for an on-demand service that has moved, in ms: it may have a queue, in which a call's place is worth keeping.
+const MOVED_PARALLEL_CALL_DELAY_MS: Ms = 2000;
+/// Time after the last message at which an on-demand service is called again if nothing requests it before, in ms, but no
+/// sooner than [`ON_DEMAND_RETRY_DELAY_MS`] after a call has ended.
+const ON_DEMAND_REFRESH_MS: Ms = 4000;
+/// Minimum delay between the end of a call and the next one to an on-demand service, in ms.
+const ON_DEMAND_RETRY_DELAY_MS: Ms = 500;
+/// Minimum time between two reported failures where updates are pushed, in ms.
+const PUSH_FAILURE_REPORT_INTERVAL_MS: Ms = 1000;
+
+/// How the service delivers updates.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DeliveryMode {
-    /// Unprompted: a watch is kept up for good.
+    /// The service pushes updates: a watch is kept open permanently.
     Push,
-    /// On demand: a watch is begun when the owner asks, and at the latest when the clock wants it.
+    /// On demand: a watch is opened when the owner requests it, and by a timer at the latest.
     OnDemand,
 }
 
-/// What happens to a follower.
+/// Input of a [`ListWatcher`].
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// Time has passed, see [`ListWatcher::next_deadline`].
     Tick,
-    /// The owner asks for the list.
+    /// The owner requests the list.
     RefreshRequested,
-    /// The service is at another address now.
+    /// The service is at another address from now on.
     ServiceMoved,
-    /// A call is connected, and its question written.
+    /// The call's connection is established and its request is written.
     Connected(CallId),
-    /// Its answer begins, with this status.
+    /// The call's response has started, with this status.
     ResponseHead(CallId, u16),
-    /// Some of its answer.
+    /// Bytes of the call's response body.
     ResponseBytes(CallId, &'a [u8]),
-    /// Its answer has ended as it should.
+    /// The call's response has ended in order.
     ResponseEnded(CallId),
-    /// It has failed, for this reason.
+    /// The call has failed, for this reason.
     CallFailed(CallId, &'a str),
 }
 
-/// What a follower wants done.
+/// Output of a [`ListWatcher`], to be carried out in order.
 #[derive(Debug)]
 pub enum Action {
-    /// Connect to the service on a new connection, and ask for this path.
+    /// Open a new connection to the service and request this path.
     StartCall(CallId, String),
-    /// End this call and its connection.
+    /// Abandon this call and close its connection.
     CancelCall(CallId),
-    /// This is the list, or its changes, from now on.
+    /// Apply this list, or these changes.
     ApplyUpdate(Update),
-    /// The service speaks, and has no news.
+    /// The service has answered and has no changes.
     NoChanges,
     /// A call failed.
     ReportFailure(CallFailure),
 }
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallFailure {
-    /// No connection came up.
-    #[error("no connection")]
+    /// No connection was established in time.
+    #[error("connection timed out")]
     ConnectTimeout,
-    /// It stayed unanswered.
-    #[error("no answer")]
+    /// No response started in time.
+    #[error("no response in time")]
     ResponseTimeout,
-    /// It fell silent.
-    #[error("silent")]
+    /// No byte arrived for too long.
+    #[error("connection silent for too long")]
     IdleTimeout,
-    /// Bytes came, and no whole line.
-    #[error("a line that does not end")]
+    /// Bytes arrived, but no complete message.
+    #[error("message not complete in time")]
     MessageTimeout,
-    /// It was answered, but not by the list.
+    /// The response has a status other than 200.
     #[error("status {0}")]
     Status(u16),
-    /// Its answer ended.
-    #[error("the answer ended")]
+    /// The response ended.
+    #[error("response ended")]
     ResponseEnded,
-    /// Its connection failed.
+    /// The connection failed.
     #[error("{0}")]
     Transport(String),
-    /// It brought what can't be read; the whole list is asked for next.
-    #[error("unreadable line dropped: {0}")]
+    /// A message is not a valid update. The whole list is requested next.
+    #[error("unreadable message dropped: {0}")]
     Decode(#[from] DecodeError),
 }
 
+/// Progress of a call.
 #[derive(Clone, Copy, Debug)]
 enum Stage {
     Connecting,
-    /// Asked at this time.
-    Asked(Ms),
-    /// Its answer has begun: by when there has to be a byte, and by when a line.
-    Open {
-        byte: Ms,
-        line: Ms,
+    /// The request was written at this time.
+    AwaitingResponse {
+        since: Ms,
+    },
+    /// The response has started: a byte and a complete message are due at these times.
+    Receiving {
+        byte_deadline: Ms,
+        message_deadline: Ms,
     },
 }
 
 #[derive(Debug)]
 struct Call {
     id: CallId,
-    whole: bool,
-    begun: Ms,
+    /// It requests the whole list rather than a watch.
+    whole_list: bool,
+    started_at: Ms,
     stage: Stage,
-    lines: MessageSplitter,
-    /// Since when nothing of use has come.
-    silent: Ms,
-    heard: bool,
+    messages: MessageSplitter,
+    /// Time of the last complete message, or of the start of the response or call before there is one.
+    last_progress_at: Ms,
+    received_message: bool,
 }
 
 impl Call {
-    /// When it is given up, and for what.
-    fn due(&self, mode: DeliveryMode) -> (Ms, CallFailure) {
+    /// When the call is abandoned, and with which failure.
+    fn deadline(&self, mode: DeliveryMode) -> (Ms, CallFailure) {
         match (self.stage, mode) {
-            (Stage::Connecting, DeliveryMode::Push) => (self.begun + AGENT, CallFailure::ConnectTimeout),
+            (Stage::Connecting, DeliveryMode::Push) => {
+                (self.started_at + PUSH_RESPONSE_TIMEOUT_MS, CallFailure::ConnectTimeout)
+            }
             (Stage::Connecting, DeliveryMode::OnDemand) => {
-                (self.begun + CONNECT, CallFailure::ConnectTimeout)
+                (self.started_at + CONNECT_TIMEOUT_MS, CallFailure::ConnectTimeout)
+            }
+            (Stage::AwaitingResponse { .. }, DeliveryMode::Push) => {
+                (self.started_at + PUSH_RESPONSE_TIMEOUT_MS, CallFailure::ResponseTimeout)
+            }
+            (Stage::AwaitingResponse { since }, DeliveryMode::OnDemand) => {
+                (since + QUEUE_TIMEOUT_MS, CallFailure::ResponseTimeout)
+            }
+            (Stage::Receiving { byte_deadline, message_deadline }, _)
+                if byte_deadline <= message_deadline =>
+            {
+                (byte_deadline, CallFailure::IdleTimeout)
             }
-            (Stage::Asked(_), DeliveryMode::Push) => (self.begun + AGENT, CallFailure::ResponseTimeout),
-            (Stage::Asked(at), DeliveryMode::OnDemand) => (at + QUEUE, CallFailure::ResponseTimeout),
-            (Stage::Open { byte, line }, _) if byte <= line => (byte, CallFailure::IdleTimeout),
-            (Stage::Open { line, .. }, _) => (line, CallFailure::MessageTimeout),
+            (Stage::Receiving { message_deadline, .. }, _) => (message_deadline, CallFailure::MessageTimeout),
         }
     }
 }
@@ -164,246 +182,265 @@
     list: ListState,
     calls: Vec<Call>,
     last_id: CallId,
-    /// When the last call was begun.
-    begun: Ms,
-    /// When the next is begun, since one has ended.
-    again: Option<Ms>,
-    /// Only the whole list will do.
-    whole: bool,
-    /// The service's address has changed, and it has not been heard there.
-    moved: bool,
-    /// When calls that fail may be told again.
-    tell: Ms,
-    /// When a line last came.
-    heard: Option<Ms>,
+    /// When the last call was started.
+    last_started_at: Ms,
+    /// When the next call is started, after one has ended.
+    retry_at: Option<Ms>,
+    /// The next call must request the whole list.
+    needs_whole_list: bool,
+    /// The service has moved and has not delivered its list from the new address yet.
+    awaiting_moved_service: bool,
+    /// When the next failure may be reported.
+    next_failure_report_at: Ms,
+    /// When a message was last received.
+    last_received_at: Option<Ms>,
     actions: Vec<Action>,
 }
 
 impl ListWatcher {
-    /// A follower that begins with a saved list.
+    /// Creates a watcher that starts from a saved list.
     pub fn new(mode: DeliveryMode, saved: Option<&Update>, now: Ms) -> Self {
         Self {
             mode,
             list: ListState::new(saved),
             calls: Vec::new(),
             last_id: 0,
-            begun: now,
-            again: (mode == DeliveryMode::Push).then_some(now),
-            whole: false,
-            moved: false,
-            tell: 0,
-            heard: None,
+            last_started_at: now,
+            retry_at: (mode == DeliveryMode::Push).then_some(now),
+            needs_whole_list: false,
+            awaiting_moved_service: false,
+            next_failure_report_at: 0,
+            last_received_at: None,
             actions: Vec::new(),
         }
     }
 
-    /// Is this call still out?
+    /// Whether this call is still in flight.
     pub fn is_call_open(&self, id: CallId) -> bool {
         self.calls.iter().any(|c| c.id == id)
     }
 
-    /// The version that counts.
+    /// Newest accepted version of the list.
     pub fn version(&self) -> u64 {
         self.list.version()
     }
 
-    /// When the service last said something, if it ever did.
+    /// When a message of the service was last received, if any was.
     pub fn last_received(&self) -> Option<Ms> {
-        self.heard
+        self.last_received_at
     }
 
-    /// When time alone next calls for something.
+    /// When [`Event::Tick`] is due next.
     pub fn next_deadline(&self) -> Option<Ms> {
-        let due = self.calls.iter().map(|c| c.due(self.mode).0);
-        due.chain(self.begin_at()).chain(self.rollback_confirm_at()).min()
+        let deadlines = self.calls.iter().map(|c| c.deadline(self.mode).0);
+        deadlines.chain(self.next_start_at()).chain(self.rollback_confirm_at()).min()
     }
 
-    /// Takes in what happened; what to do comes in its order.
+    /// Handles an event at time `now`; returns the actions to carry out, in order.
     pub fn handle(&mut self, now: Ms, event: Event<'_>) -> Vec<Action> {
         match event {
             Event::Tick => {}
-            Event::RefreshRequested if self.calls.is_empty() => self.again = Some(now),
+            Event::RefreshRequested if self.calls.is_empty() => self.retry_at = Some(now),
             Event::RefreshRequested => {}
             Event::ServiceMoved => {
                 self.list.service_moved();
-                (self.moved, self.whole) = (true, true);
-                self.restart(now);
+                (self.awaiting_moved_service, self.needs_whole_list) = (true, true);
+                self.restart_calls(now);
             }
             Event::Connected(id) => {
-                if let Some(call) = self.call(id) {
-                    call.stage = Stage::Asked(now);
+                if let Some(call) = self.call_mut(id) {
+                    call.stage = Stage::AwaitingResponse { since: now };
                 }
             }
-            Event::ResponseHead(id, 200) => self.open(now, id),
-            Event::ResponseHead(id, status) => self.fail(now, id, CallFailure::Status(status)),
-            Event::ResponseBytes(id, bytes) => self.read(now, id, bytes),
-            Event::ResponseEnded(id) => self.end(now, id),
-            Event::CallFailed(id, words) => self.fail(now, id, CallFailure::Transport(words.into())),
+            Event::ResponseHead(id, 200) => self.response_started(now, id),
+            Event::ResponseHead(id, status) => self.fail_call(now, id, CallFailure::Status(status)),
+            Event::ResponseBytes(id, bytes) => self.bytes_received(now, id, bytes),
+            Event::ResponseEnded(id) => self.response_ended(now, id),
+            Event::CallFailed(id, reason) => self.fail_call(now, id, CallFailure::Transport(reason.into())),
         }
-        self.follow_clock(now);
+        self.run_timers(now);
         std::mem::take(&mut self.actions)
     }
 
-    fn call(&mut self, id: CallId) -> Option<&mut Call> {
+    fn call_mut(&mut self, id: CallId) -> Option<&mut Call> {
         self.calls.iter_mut().find(|c| c.id == id)
     }
 
-    /// When the next call is begun beside those that are out, or while none is.
-    fn begin_at(&self) -> Option<Ms> {
+    /// When the next call is started, in parallel to those in flight if there are any.
+    fn next_start_at(&self) -> Option<Ms> {
         if self.calls.is_empty() {
-            return self.again;
+            return self.retry_at;
         }
-        let open = self.calls.iter().any(|c| matches!(c.stage, Stage::Open { .. }));
-        let beside = match self.mode {
-            DeliveryMode::Push => Some(BESIDE),
-            DeliveryMode::OnDemand => self.moved.then_some(BESIDE_MOVED),
+        let receiving = self.calls.iter().any(|c| matches!(c.stage, Stage::Receiving { .. }));
+        let parallel_delay = match self.mode {
+            DeliveryMode::Push => Some(PUSH_PARALLEL_CALL_DELAY_MS),
+            DeliveryMode::OnDemand => self.awaiting_moved_service.then_some(MOVED_PARALLEL_CALL_DELAY_MS),
         };
-        // One that was refused is not the newest any more: its time counts all the same, or the next would be begun at
-        // once, and refused at once.
-        let due = beside.filter(|_| !open).map(|after| self.begun + after)?;
-        Some(self.again.map_or(due, |again| again.min(due)))
+        // Counted from the last call that was started, even if that one has been refused: from the newest call in flight
+        // the next one would be started at once, and refused at once.
+        let parallel_at = parallel_delay.filter(|_| !receiving).map(|delay| self.last_started_at + delay)?;
+        Some(self.retry_at.map_or(parallel_at, |retry_at| retry_at.min(parallel_at)))
     }
 
-    /// When an older list is to be confirmed, if the whole list is not being asked for anyway.
+    /// When to confirm a suspected rollback, unless the whole list is requested anyway.
     fn rollback_confirm_at(&self) -> Option<Ms> {
-        self.list.rollback_confirm_at().filter(|_| !self.whole)
+        self.list.rollback_confirm_at().filter(|_| !self.needs_whole_list)
     }
 
-    fn follow_clock(&mut self, now: Ms) {
+    fn run_timers(&mut self, now: Ms) {
         let mode = self.mode;
-        let over = |c: &Call| Some(c.due(mode)).filter(|(at, _)| now >= *at).map(|(_, why)| (c.id, why));
-        while let Some((id, why)) = self.calls.iter().find_map(over) {
-            self.fail(now, id, why);
+        let expired = |c: &Call| {
+            Some(c.deadline(mode)).filter(|(at, _)| now >= *at).map(|(_, failure)| (c.id, failure))
+        };
+        while let Some((id, failure)) = self.calls.iter().find_map(expired) {
+            self.fail_call(now, id, failure);
         }
         if self.rollback_confirm_at().is_some_and(|at| now >= at) {
-            self.whole = true;
-            self.restart(now);
+            self.needs_whole_list = true;
+            self.restart_calls(now);
         }
-        if self.begin_at().is_some_and(|at| now >= at) {
-            self.begin(now);
+        if self.next_start_at().is_some_and(|at| now >= at) {
+            self.start_call(now);
         }
     }
 
-    fn restart(&mut self, now: Ms) {
+    /// Abandons all calls; the next one is due at once.
+    fn restart_calls(&mut self, now: Ms) {
         self.actions.extend(self.calls.drain(..).map(|c| Action::CancelCall(c.id)));
-        self.again = Some(now);
+        self.retry_at = Some(now);
     }
 
-    fn begin(&mut self, now: Ms) {
+    fn start_call(&mut self, now: Ms) {
         self.last_id += 1;
-        (self.begun, self.again) = (now, None);
-        let (id, whole) = (self.last_id, self.whole);
-        let (stage, lines) = (Stage::Connecting, MessageSplitter::default());
-        self.calls.push(Call { id, whole, begun: now, stage, lines, silent: now, heard: false });
-        let path = match whole {
+        (self.last_started_at, self.retry_at) = (now, None);
+        let (id, whole_list) = (self.last_id, self.needs_whole_list);
+        self.calls.push(Call {
+            id,
+            whole_list,
+            started_at: now,
+            stage: Stage::Connecting,
+            messages: MessageSplitter::default(),
+            last_progress_at: now,
+            received_message: false,
+        });
+        let path = match whole_list {
             true => "/v1/endpoints".to_string(),
             false => format!("/v1/endpoints?watch=1&from={}", self.version()),
         };
         self.actions.push(Action::StartCall(id, path));
     }
 
-    /// A call is answered: the others are of no more use.
-    fn open(&mut self, now: Ms, id: CallId) {
-        let (mode, moved) = (self.mode, self.moved);
-        let Some(call) = self.call(id) else { return };
+    /// A call's response has started: the other calls are no longer needed.
+    fn response_started(&mut self, now: Ms, id: CallId) {
+        let (mode, moved) = (self.mode, self.awaiting_moved_service);
+        let Some(call) = self.call_mut(id) else { return };
         call.stage = match call.stage {
             _ if moved => {
-                let due = (call.begun + SILENCE).max(now + MOVED);
-                Stage::Open { byte: due, line: due }
-            }
-            Stage::Asked(at) if mode == DeliveryMode::OnDemand => {
-                Stage::Open { byte: (at + QUEUE).max(now + SILENCE), line: now + LINE }
+                let deadline = (call.started_at + IDLE_TIMEOUT_MS).max(now + MOVED_MESSAGE_TIMEOUT_MS);
+                Stage::Receiving { byte_deadline: deadline, message_deadline: deadline }
             }
-            _ => Stage::Open { byte: now + SILENCE, line: now + LINE },
+            Stage::AwaitingResponse { since } if mode == DeliveryMode::OnDemand => Stage::Receiving {
+                byte_deadline: (since + QUEUE_TIMEOUT_MS).max(now + IDLE_TIMEOUT_MS),
+                message_deadline: now + MESSAGE_TIMEOUT_MS,
+            },
+            _ => Stage::Receiving {
+                byte_deadline: now + IDLE_TIMEOUT_MS,
+                message_deadline: now + MESSAGE_TIMEOUT_MS,
+            },
         };
-        call.silent = now;
+        call.last_progress_at = now;
         let others = self.calls.iter().filter(|c| c.id != id).map(|c| Action::CancelCall(c.id));
         self.actions.extend(others);
         self.calls.retain(|c| c.id == id);
     }
 
-    fn read(&mut self, now: Ms, id: CallId, bytes: &[u8]) {
-        let Some(call) = self.call(id) else { return };
-        let Stage::Open { byte, .. } = &mut call.stage else { return };
-        *byte = now + SILENCE;
-        if let Err(error) = call.lines.push(bytes) {
-            return self.fail(now, id, error.into());
+    fn bytes_received(&mut self, now: Ms, id: CallId, bytes: &[u8]) {
+        let Some(call) = self.call_mut(id) else { return };
+        let Stage::Receiving { byte_deadline, .. } = &mut call.stage else { return };
+        *byte_deadline = now + IDLE_TIMEOUT_MS;
+        if let Err(error) = call.messages.push(bytes) {
+            return self.fail_call(now, id, error.into());
         }
-        // A line may end the call.
-        while let Some(line) = self.call(id).and_then(|c| c.lines.next()) {
-            self.line(now, id, &line);
+        // A message may end the call.
+        while let Some(message) = self.call_mut(id).and_then(|c| c.messages.next()) {
+            self.message_received(now, id, &message);
         }
     }
 
-    fn line(&mut self, now: Ms, id: CallId, line: &[u8]) {
-        let Some(call) = self.call(id) else { return };
-        if call.whole && line.is_empty() {
-            // Blanks before the list are no list.
+    fn message_received(&mut self, now: Ms, id: CallId, message: &[u8]) {
+        let Some(call) = self.call_mut(id) else { return };
+        if call.whole_list && message.is_empty() {
+            // Blank lines before a whole list do not count as an answer.
             return;
         }
-        call.stage = Stage::Open { byte: now + SILENCE, line: now + LINE };
-        call.silent = now;
-        let heard = std::mem::replace(&mut call.heard, true);
-        self.heard = Some(now);
-        if !line.is_empty() {
-            match Update::parse(line) {
-                Ok(update) => self.take(now, id, update),
-                Err(error) => self.fail(now, id, error.into()),
+        call.stage = Stage::Receiving {
+            byte_deadline: now + IDLE_TIMEOUT_MS,
+            message_deadline: now + MESSAGE_TIMEOUT_MS,
+        };
+        call.last_progress_at = now;
+        let received_before = std::mem::replace(&mut call.received_message, true);
+        self.last_received_at = Some(now);
+        if !message.is_empty() {
+            match Update::parse(message) {
+                Ok(update) => self.apply_update(now, id, update),
+                Err(error) => self.fail_call(now, id, error.into()),
             }
-        } else if !heard {
+        } else if !received_before {
             self.actions.push(Action::NoChanges);
         }
     }
 
-    fn take(&mut self, now: Ms, id: CallId, update: Update) {
-        if let Some(place) = self.calls.iter().position(|c| c.id == id && c.whole) {
-            // Whole with its last brace: what ends the answer may come late, or not at all.
-            self.calls.remove(place);
+    fn apply_update(&mut self, now: Ms, id: CallId, update: Update) {
+        if let Some(index) = self.calls.iter().position(|c| c.id == id && c.whole_list) {
+            // A whole list is complete with its last brace: the end of the response may come late, or never.
+            self.calls.remove(index);
             self.actions.push(Action::CancelCall(id));
-            (self.whole, self.moved, self.again) = (false, false, Some(now));
+            (self.needs_whole_list, self.awaiting_moved_service, self.retry_at) = (false, false, Some(now));
         }
         let outcome = self.list.apply(update, id, now);
         self.actions.push(outcome.accepted.map_or(Action::NoChanges, Action::ApplyUpdate));
         if self.calls.is_empty() && self.list.rollback_confirm_at().is_some() {
-            // Where watches are as new as ours, and whole lists lag, each would have the other asked for at once.
-            self.again = Some(now + self.pause());
+            // Where watches are up to date and whole lists lag behind, each would trigger a call for the other at once.
+            self.retry_at = Some(now + self.retry_delay());
         }
         if outcome.needs_full_list {
-            self.whole = true;
-            self.restart(now);
+            self.needs_whole_list = true;
+            self.restart_calls(now);
         }
     }
 
-    fn end(&mut self, now: Ms, id: CallId) {
-        let Some(call) = self.call(id).filter(|c| c.whole) else {
-            return self.fail(now, id, CallFailure::ResponseEnded);
+    fn response_ended(&mut self, now: Ms, id: CallId) {
+        let Some(call) = self.call_mut(id).filter(|c| c.whole_list) else {
+            return self.fail_call(now, id, CallFailure::ResponseEnded);
         };
-        let cut_off = Update::parse(call.lines.remainder()).err();
-        self.fail(now, id, cut_off.map_or(CallFailure::ResponseEnded, CallFailure::Decode));
+        let decode_error = Update::parse(call.messages.remainder()).err();
+        self.fail_call(now, id, decode_error.map_or(CallFailure::ResponseEnded, CallFailure::Decode));
     }
 
-    /// How long after a call has ended the next may be begun.
-    fn pause(&self) -> Ms {
+    /// Minimum delay between the end of a call and the next one.
+    fn retry_delay(&self) -> Ms {
         match self.mode {
-            DeliveryMode::Push => AGAIN,
-            DeliveryMode::OnDemand => PAUSE,
+            DeliveryMode::Push => PUSH_RETRY_DELAY_MS,
+            DeliveryMode::OnDemand => ON_DEMAND_RETRY_DELAY_MS,
         }
     }
 
-    /// A call is over, and has to be made again.
-    fn fail(&mut self, now: Ms, id: CallId, why: CallFailure) {
-        let Some(place) = self.calls.iter().position(|c| c.id == id) else { return };
-        let call = self.calls.remove(place);
+    /// Ends a call and schedules the next one.
+    fn fail_call(&mut self, now: Ms, id: CallId, failure: CallFailure) {
+        let Some(index) = self.calls.iter().position(|c| c.id == id) else { return };
+        let call = self.calls.remove(index);
         self.actions.push(Action::CancelCall(id));
-        self.whole |= matches!(why, CallFailure::Decode(_));
-        let soon = now + self.pause();
-        self.again = Some(match self.mode {
-            DeliveryMode::OnDemand if !self.moved => soon.max(call.silent + LATEST),
-            DeliveryMode::OnDemand | DeliveryMode::Push => soon,
+        self.needs_whole_list |= matches!(failure, CallFailure::Decode(_));
+        let earliest = now + self.retry_delay();
+        self.retry_at = Some(match self.mode {
+            DeliveryMode::OnDemand if !self.awaiting_moved_service => {
+                earliest.max(call.last_progress_at + ON_DEMAND_REFRESH_MS)
+            }
+            DeliveryMode::OnDemand | DeliveryMode::Push => earliest,
         });
-        if self.mode == DeliveryMode::OnDemand || now >= self.tell {
-            self.tell = now + TELL;
-            self.actions.push(Action::ReportFailure(why));
+        if self.mode == DeliveryMode::OnDemand || now >= self.next_failure_report_at {
+            self.next_failure_report_at = now + PUSH_FAILURE_REPORT_INTERVAL_MS;
+            self.actions.push(Action::ReportFailure(failure));
         }
     }
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -288,7 +288,7 @@
         call.head();
         call.say("{\"seq\":\"");
         assert!((0..64).any(|_| !call.say(&endless)), "it was read to the end");
-        fleet.node.logged("longer than a line may be")
+        fleet.node.logged("message exceeds 4194304 bytes")
     });
     let grown = fleet.node.resident() - before;
     assert!(grown < 24 * 1024, "{grown} KiB for a line without end");
