--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,103 +1,105 @@
-//! What may go wrong on a disk, and what an operator can do about it.
+//! Errors of the store, with advice for operators.
 
 use std::io;
 
 use crate::Owner;
 
-/// Why the disk did not do what was asked. After any of them but [`StoreError::OutOfOrder`] and [`StoreError::TooLarge`] a
-/// change that was asked for has happened whole or not at all; reading tells which.
+/// Why a call to the store failed.
+///
+/// A change that failed was applied either completely or not at all; a read shows which. After
+/// [`StoreError::OutOfOrder`] and [`StoreError::TooLarge`] nothing has changed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// No room. What is there can still be read.
+    /// The disk is full. Existing data can still be read.
     #[error("{location}: the disk is full")]
     Full {
-        /// Which disk.
+        /// Directory of the store, or "the disk".
         location: String,
     },
-    /// What is there is not what was written.
+    /// The data on disk is not what was written.
     #[error("{location} is damaged: {detail}")]
     Damaged {
-        /// Which disk.
+        /// Directory of the store, or "the disk".
         location: String,
-        /// What does not hold, in a few words.
+        /// Which part is damaged, in a few words.
         detail: String,
     },
-    /// Another replica's disk.
+    /// The store belongs to another replica.
     #[error(
         "{location} belongs to replica {} of cluster {:?}, not to replica {} of cluster {:?}",
         found.replica, found.cluster, expected.replica, expected.cluster
     )]
     WrongOwner {
-        /// Which disk.
+        /// Directory of the store, or "the disk".
         location: String,
-        /// Whose it is.
+        /// Owner of the store.
         found: Owner,
-        /// Who asked for it.
+        /// Owner that the caller expected.
         expected: Owner,
     },
-    /// Written by a later version of the program.
-    #[error("{location} has schema {found}, and this program knows schemas up to {supported}")]
+    /// The store was written by a later version of the program.
+    #[error("{location} has schema version {found}, and this program supports versions up to {supported}")]
     NewerSchema {
-        /// Which disk.
+        /// Directory of the store, or "the disk".
         location: String,
-        /// Its schema.
+        /// Schema version of the store.
         found: u64,
-        /// The newest one that this program knows.
+        /// Newest schema version that this program supports.
         supported: u64,
     },
-    /// Another process has it open.
+    /// Another process has the store open.
     #[error("{location} is in use by another process")]
     InUse {
-        /// Which disk.
+        /// Directory of the store, or "the disk".
         location: String,
     },
-    /// The disk or its directory failed otherwise.
+    /// Another I/O error of the disk or the directory.
     #[error("{location}: {source}")]
     Io {
-        /// Which disk.
+        /// Directory of the store, or "the disk".
         location: String,
-        /// What the system said.
+        /// Error of the operating system or the storage library.
         source: io::Error,
     },
-    /// The caller's entries don't follow the log. Nothing has changed.
+    /// The entries to append do not follow the log. Nothing has changed.
     #[error("{location}: entry {actual} does not follow the log, where {expected} comes next")]
     OutOfOrder {
-        /// Which disk.
+        /// Directory of the store, or "the disk".
         location: String,
-        /// The index that comes next.
+        /// Index that comes next in the log.
         expected: u64,
-        /// The index that came.
+        /// Index of the entry that was given.
         actual: u64,
     },
-    /// More than is kept in one piece. Nothing has changed.
-    #[error("{location}: {item} of {bytes} bytes, and at most {max} are kept in one piece")]
+    /// A value exceeds its size limit. Nothing has changed.
+    #[error("{location}: {item} has {bytes} bytes, and the limit is {max}")]
     TooLarge {
-        /// Which disk.
+        /// Directory of the store, or "the disk".
         location: String,
-        /// What was to be kept.
+        /// Kind of the value.
         item: &'static str,
-        /// Its size.
+        /// Its size in bytes.
         bytes: usize,
-        /// The bound.
+        /// The limit in bytes.
         max: usize,
     },
 }
 
 impl StoreError {
-    /// What an operator can do about it: one line.
+    /// What an operator can do about the error, in one line.
     pub fn advice(&self) -> &'static str {
         match self {
-            Self::Full { .. } => "make room on this disk: the replica goes on by itself, nothing has to be restarted",
+            Self::Full { .. } => "make room on this disk: the replica then continues by itself, without a restart",
             Self::Damaged { .. } => {
-                "don't mend it: check the hardware, set this directory aside, and let this replica be replaced as a new \
-                 one, which copies everything from the others"
+                "do not repair it: check the hardware, move this directory away, and replace this replica by a new one, \
+                 which copies everything from the others"
             }
-            Self::WrongOwner { .. } => "point this replica at its own directory, or give it an empty one",
+            Self::WrongOwner { .. } => "give this replica its own directory, or an empty one",
             Self::NewerSchema { .. } => "start the version of the program that wrote it, or a later one",
             Self::InUse { .. } => "end the other process first, or give this replica a directory of its own",
-            Self::Io { .. } => "check that the directory exists and may be written, and the disk's health",
-            Self::OutOfOrder { .. } => "this is a fault of the program: report it with its log",
-            Self::TooLarge { .. } => "make what is kept smaller: a bound of the program was reached",
+            Self::Io { .. } => "check that the directory exists and is writable, and that the disk is healthy",
+            Self::OutOfOrder { .. } => "this is a bug in the program: report it with the replica's log",
+            Self::TooLarge { .. } => "reduce the size of the data: a limit of the program was reached",
         }
     }
 }
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -1,8 +1,8 @@
-//! A disk in memory that fails as disks do, for tests.
+//! An in-memory disk with injectable faults, for tests.
 //!
-//! What was written and not synced is lost in a crash, or kept, or kept in part and out of order; what a sync that
-//! failed was about is never on the disk although it can still be read, as the page cache has it. A write needs room
-//! for each block that it is the first to touch; a file made longer needs none.
+//! A crash may lose, keep, or partly keep and reorder the writes that were not synced. Writes that a failed sync covered
+//! never reach the disk, although they can still be read, as from the page cache. A write needs free space for each
+//! block that it is the first to touch; extending the file needs none.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,169 +10,171 @@
 
 use redb::StorageBackend;
 
-/// Bytes of a block, for room.
-const BLOCK: usize = 4096;
-/// Bytes that are written whole or not at all. Real disks have at least eight times as many.
-const PIECE: usize = 64;
+/// Allocation unit of the disk's capacity, in bytes.
+const BLOCK_BYTES: usize = 4096;
+/// Size of the pieces that a crash writes completely or not at all, in bytes. On real disks they are at least eight
+/// times as large.
+const ATOMIC_WRITE_BYTES: usize = 64;
 
-/// A disk. Clones are the same disk.
+/// An in-memory disk. Clones share one disk.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(Arc<Mutex<State>>);
 
-/// What of the bytes that were not synced a crash leaves.
+/// What a crash does to the writes that were not synced.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UnsyncedWrites {
-    /// None.
+    /// All are lost.
     Lost,
-    /// All.
+    /// All are kept.
     Kept,
-    /// Those before some point, in the order in which they were written, which may lie inside a write.
+    /// Those before a random point are kept, in the order in which they were written. The point may be inside a write.
     PrefixKept {
-        /// Draws the point.
+        /// Seed that determines the point.
         seed: u64,
     },
-    /// Any, in pieces.
+    /// A random subset of their pieces is kept.
     SubsetKept {
-        /// Draws which.
+        /// Seed that determines the subset.
         seed: u64,
     },
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// What reads see.
+    /// The bytes that reads return.
     live: Vec<u8>,
-    /// What surely outlives a crash.
+    /// The bytes that survive any crash.
     synced: Vec<u8>,
-    /// What came since, in order.
+    /// The changes since the last sync, in order.
     unsynced: Vec<Change>,
-    /// All that came, where it is recorded.
+    /// All changes since the recording started, if there is one.
     history: Option<Vec<Change>>,
-    /// What was there before the record.
-    recorded_on: Vec<u8>,
-    /// Which blocks of `live` have room on the disk.
-    blocks: Vec<bool>,
-    /// How many blocks there is room for.
-    room: Option<usize>,
-    /// How many calls were made, of any kind.
-    calls: u64,
-    /// The call that fails.
-    failing: Option<u64>,
-    /// The power is off.
-    off: bool,
-    /// How long a sync takes.
-    sync_takes: Duration,
+    /// The bytes on which the recording started.
+    recording_base: Vec<u8>,
+    /// Which blocks of `live` are allocated.
+    allocated_blocks: Vec<bool>,
+    /// Capacity in blocks, if limited.
+    max_blocks: Option<usize>,
+    /// Number of calls of any kind so far.
+    call_count: u64,
+    /// Number of the call that fails.
+    failing_call: Option<u64>,
+    powered_off: bool,
+    sync_delay: Duration,
 }
 
 #[derive(Clone, Debug)]
 enum Change {
     Write { offset: usize, data: Vec<u8> },
-    Length(usize),
+    SetLength(usize),
     Sync,
     FailedSync,
 }
 
 impl FaultyDisk {
-    /// An empty disk with room for all.
+    /// Creates an empty disk of unlimited capacity.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An empty disk that remembers all changes, for [`FaultyDisk::after_crash_at`].
+    /// Creates an empty disk that records all changes, for [`FaultyDisk::after_crash_at`].
     pub fn recording() -> Self {
         Self::recording_from(Vec::new())
     }
 
-    /// As [`FaultyDisk::with_contents`], and remembers all changes from now on, for [`FaultyDisk::after_crash_at`].
+    /// Creates a disk as [`FaultyDisk::with_contents`] that records all changes from now on, for
+    /// [`FaultyDisk::after_crash_at`].
     pub fn recording_from(bytes: Vec<u8>) -> Self {
         let disk = Self::with_contents(bytes);
         let mut state = disk.state();
-        (state.history, state.recorded_on) = (Some(Vec::new()), state.synced.clone());
+        (state.history, state.recording_base) = (Some(Vec::new()), state.synced.clone());
         drop(state);
         disk
     }
 
-    /// The power goes now: every further call fails.
+    /// Makes every further call fail, as after a power failure.
     pub fn power_off(&self) {
-        self.state().off = true;
+        self.state().powered_off = true;
     }
 
-    /// What the next start finds if the power goes, or went, now.
-    pub fn after_crash(&self, kept: UnsyncedWrites) -> Self {
-        self.state().crashed(kept, None)
+    /// Returns the disk as the next start finds it if the power failed now, or when it was powered off.
+    pub fn after_crash(&self, unsynced_writes: UnsyncedWrites) -> Self {
+        self.state().after_crash(unsynced_writes, None)
     }
 
-    /// How many changes were recorded: writes, new lengths and syncs.
+    /// Number of recorded changes: writes, length changes and syncs.
     pub fn change_count(&self) -> usize {
         self.state().history.as_ref().map_or(0, Vec::len)
     }
 
-    /// What the next start would have found if the power had gone in the midst of the recorded change with this number,
-    /// counted from 0.
-    pub fn after_crash_at(&self, change: usize, kept: UnsyncedWrites) -> Self {
+    /// Returns the disk as the next start would have found it if the power had failed in the middle of the recorded
+    /// change with this number, counted from 0.
+    pub fn after_crash_at(&self, change: usize, unsynced_writes: UnsyncedWrites) -> Self {
         let state = self.state();
-        let synced = state.recorded_on.clone();
+        let synced = state.recording_base.clone();
         let mut past = State { live: synced.clone(), synced, ..State::default() };
         let history = state.history.as_deref().unwrap_or_default();
-        for done in &history[..change.min(history.len())] {
-            past.take(done.clone());
+        for completed in &history[..change.min(history.len())] {
+            past.apply_change(completed.clone());
         }
-        past.crashed(kept, history.get(change))
+        past.after_crash(unsynced_writes, history.get(change))
     }
 
-    /// From now on there is room for this many bytes in all, or for any number.
+    /// Limits the disk's capacity to this many bytes, or to none.
     pub fn set_capacity(&self, bytes: Option<usize>) {
-        self.state().room = bytes.map(|bytes| bytes / BLOCK);
+        self.state().max_blocks = bytes.map(|bytes| bytes / BLOCK_BYTES);
     }
 
-    /// Bytes that take room.
+    /// Number of bytes in allocated blocks.
     pub fn used_bytes(&self) -> usize {
-        self.state().blocks.iter().filter(|used| **used).count() * BLOCK
+        self.state().allocated_blocks.iter().filter(|allocated| **allocated).count() * BLOCK_BYTES
     }
 
-    /// How many calls were made of it, reads among them.
+    /// Number of calls of any kind so far, reads included.
     pub fn call_count(&self) -> u64 {
-        self.state().calls
+        self.state().call_count
     }
 
-    /// The call that comes after this many others from now fails.
+    /// Makes one call fail, after this many further calls.
     pub fn fail_after(&self, calls: u64) {
         let mut state = self.state();
-        state.failing = Some(state.calls + calls);
+        state.failing_call = Some(state.call_count + calls);
     }
 
-    /// Each sync takes this long.
-    pub fn set_sync_delay(&self, sync_takes: Duration) {
-        self.state().sync_takes = sync_takes;
+    /// Sets the duration of each sync.
+    pub fn set_sync_delay(&self, sync_delay: Duration) {
+        self.state().sync_delay = sync_delay;
     }
 
-    /// Changes the bits of a byte under whoever uses it.
-    pub fn flip_bits(&self, at: usize, bits: u8) {
+    /// Flips bits of one byte, while the disk is in use.
+    pub fn flip_bits(&self, offset: usize, mask: u8) {
         let mut state = self.state();
-        state.live[at] ^= bits;
-        state.synced[at] ^= bits;
+        state.live[offset] ^= mask;
+        state.synced[offset] ^= mask;
     }
 
-    /// Its bytes, as reads see them.
+    /// The bytes that reads return.
     pub fn contents(&self) -> Vec<u8> {
         self.state().live.clone()
     }
 
-    /// A disk that holds these bytes, all synced.
+    /// Creates a disk that holds these bytes, all of them synced.
     pub fn with_contents(bytes: Vec<u8>) -> Self {
-        let blocks = vec![true; bytes.len().div_ceil(BLOCK)];
-        Self(Arc::new(Mutex::new(State { live: bytes.clone(), synced: bytes, blocks, ..State::default() })))
+        let allocated_blocks = vec![true; bytes.len().div_ceil(BLOCK_BYTES)];
+        let state = State { live: bytes.clone(), synced: bytes, allocated_blocks, ..State::default() };
+        Self(Arc::new(Mutex::new(state)))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn call(&self) -> io::Result<MutexGuard<'_, State>> {
+    /// Counts a call, which fails if it is the one to fail or the disk is powered off.
+    fn begin_call(&self) -> io::Result<MutexGuard<'_, State>> {
         let mut state = self.state();
-        let number = state.calls;
-        state.calls += 1;
-        if state.off || state.failing == Some(number) {
+        let number = state.call_count;
+        state.call_count += 1;
+        if state.powered_off || state.failing_call == Some(number) {
             return Err(io::Error::other("input/output error (injected)"));
         }
         Ok(state)
@@ -180,8 +182,8 @@
 }
 
 impl State {
-    /// Takes a change that goes well.
-    fn take(&mut self, change: Change) {
+    /// Applies a change that completes.
+    fn apply_change(&mut self, change: Change) {
         apply(&mut self.live, &change);
         match &change {
             Change::Sync => {
@@ -190,57 +192,58 @@
                 }
             }
             Change::FailedSync => self.unsynced.clear(),
-            Change::Write { .. } | Change::Length(_) => self.unsynced.push(change.clone()),
+            Change::Write { .. } | Change::SetLength(_) => self.unsynced.push(change.clone()),
         }
         if let Some(history) = &mut self.history {
             history.push(change);
         }
     }
 
-    /// Finds room for a write.
+    /// Allocates the blocks that a write touches.
     fn allocate(&mut self, offset: usize, bytes: usize) -> io::Result<()> {
-        let touched = offset / BLOCK..(offset + bytes).div_ceil(BLOCK);
-        if self.blocks.len() < touched.end {
-            self.blocks.resize(touched.end, false);
+        let touched = offset / BLOCK_BYTES..(offset + bytes).div_ceil(BLOCK_BYTES);
+        if self.allocated_blocks.len() < touched.end {
+            self.allocated_blocks.resize(touched.end, false);
         }
-        let used = self.blocks.iter().filter(|used| **used).count();
-        let more = self.blocks[touched.clone()].iter().filter(|used| !**used).count();
-        if self.room.is_some_and(|room| used + more > room && more > 0) {
+        let used = self.allocated_blocks.iter().filter(|allocated| **allocated).count();
+        let needed = self.allocated_blocks[touched.clone()].iter().filter(|allocated| !**allocated).count();
+        if self.max_blocks.is_some_and(|max| used + needed > max && needed > 0) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        self.blocks[touched].fill(true);
+        self.allocated_blocks[touched].fill(true);
         Ok(())
     }
 
-    fn crashed(&self, kept: UnsyncedWrites, midst: Option<&Change>) -> FaultyDisk {
+    /// The disk after a crash, in the middle of the change `interrupted` if there is one.
+    fn after_crash(&self, unsynced_writes: UnsyncedWrites, interrupted: Option<&Change>) -> FaultyDisk {
         let mut bytes = self.synced.clone();
         let unsynced = self.unsynced.iter();
-        match kept {
+        match unsynced_writes {
             UnsyncedWrites::Lost => {}
             UnsyncedWrites::Kept => unsynced.for_each(|change| apply(&mut bytes, change)),
             UnsyncedWrites::PrefixKept { seed } => {
-                let mut draw = Draw(seed);
-                let changes: Vec<&Change> = unsynced.chain(midst).collect();
-                let point = draw.below(changes.len() + 1);
+                let mut random = SplitMix64(seed);
+                let changes: Vec<&Change> = unsynced.chain(interrupted).collect();
+                let point = random.below(changes.len() + 1);
                 changes[..point].iter().for_each(|change| apply(&mut bytes, change));
                 if let Some(Change::Write { offset, data }) = changes.get(point) {
-                    let whole = draw.below(data.len() / PIECE + 1) * PIECE;
-                    apply(&mut bytes, &Change::Write { offset: *offset, data: data[..whole].to_vec() });
+                    let kept = random.below(data.len() / ATOMIC_WRITE_BYTES + 1) * ATOMIC_WRITE_BYTES;
+                    apply(&mut bytes, &Change::Write { offset: *offset, data: data[..kept].to_vec() });
                 }
             }
             UnsyncedWrites::SubsetKept { seed } => {
-                let mut draw = Draw(seed);
-                for change in unsynced.chain(midst) {
+                let mut random = SplitMix64(seed);
+                for change in unsynced.chain(interrupted) {
                     match change {
                         Change::Write { offset, data } => {
-                            for (number, piece) in data.chunks(PIECE).enumerate() {
-                                if draw.below(2) == 0 {
-                                    let offset = offset + number * PIECE;
+                            for (number, piece) in data.chunks(ATOMIC_WRITE_BYTES).enumerate() {
+                                if random.below(2) == 0 {
+                                    let offset = offset + number * ATOMIC_WRITE_BYTES;
                                     apply(&mut bytes, &Change::Write { offset, data: piece.to_vec() });
                                 }
                             }
                         }
-                        other if draw.below(2) == 0 => apply(&mut bytes, other),
+                        other if random.below(2) == 0 => apply(&mut bytes, other),
                         _ => {}
                     }
                 }
@@ -259,15 +262,15 @@
             }
             bytes[*offset..end].copy_from_slice(data);
         }
-        Change::Length(length) => bytes.resize(*length, 0),
+        Change::SetLength(length) => bytes.resize(*length, 0),
         Change::Sync | Change::FailedSync => {}
     }
 }
 
-/// Numbers that look drawn (splitmix64), the same for the same seed.
-struct Draw(u64);
+/// The splitmix64 pseudo-random generator.
+struct SplitMix64(u64);
 
-impl Draw {
+impl SplitMix64 {
     fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -279,11 +282,11 @@
 
 impl StorageBackend for FaultyDisk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.call()?.live.len() as u64)
+        Ok(self.begin_call()?.live.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let state = self.call()?;
+        let state = self.begin_call()?;
         let offset = offset as usize;
         let bytes = state.live.get(offset..offset.saturating_add(out.len()));
         out.copy_from_slice(bytes.ok_or(io::ErrorKind::UnexpectedEof)?);
@@ -291,27 +294,27 @@
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut state = self.call()?;
-        let blocks = (len as usize).div_ceil(BLOCK);
-        state.blocks.resize(blocks, false);
-        state.take(Change::Length(len as usize));
+        let mut state = self.begin_call()?;
+        let blocks = (len as usize).div_ceil(BLOCK_BYTES);
+        state.allocated_blocks.resize(blocks, false);
+        state.apply_change(Change::SetLength(len as usize));
         Ok(())
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        let takes = self.state().sync_takes;
-        if !takes.is_zero() {
-            std::thread::sleep(takes);
+        let delay = self.state().sync_delay;
+        if !delay.is_zero() {
+            std::thread::sleep(delay);
         }
-        match self.call() {
+        match self.begin_call() {
             Ok(mut state) => {
-                state.take(Change::Sync);
+                state.apply_change(Change::Sync);
                 Ok(())
             }
             Err(error) => {
                 let mut state = self.state();
-                if !state.off {
-                    state.take(Change::FailedSync);
+                if !state.powered_off {
+                    state.apply_change(Change::FailedSync);
                 }
                 Err(error)
             }
@@ -319,10 +322,10 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut state = self.call()?;
+        let mut state = self.begin_call()?;
         let offset = offset as usize;
         state.allocate(offset, data.len())?;
-        state.take(Change::Write { offset, data: data.to_vec() });
+        state.apply_change(Change::Write { offset, data: data.to_vec() });
         Ok(())
     }
 }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,33 +1,33 @@
-//! A value as it stands on the disk: a checksum, then its bytes.
+//! The form of a value on disk: a checksum, followed by the value's bytes.
 //!
-//! The checksum covers the place as well: a whole value in another's place is damage too.
+//! The checksum also covers the value's key, so that an intact value under another key is detected as damage.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bytes of the checksum.
-const SUM: usize = 8;
+/// Size of the checksum, in bytes.
+const CHECKSUM_BYTES: usize = 8;
 
-/// The checksum of some bytes that belong at a place.
-pub(crate) fn sum(place: &[u8], parts: &[&[u8]]) -> u64 {
-    let mut sum = Xxh3::new();
-    sum.update(&(place.len() as u64).to_le_bytes());
-    sum.update(place);
+/// Checksum of a key and the parts of its value.
+pub(crate) fn checksum(key: &[u8], parts: &[&[u8]]) -> u64 {
+    let mut hash = Xxh3::new();
+    hash.update(&(key.len() as u64).to_le_bytes());
+    hash.update(key);
     for part in parts {
-        sum.update(part);
+        hash.update(part);
     }
-    sum.digest()
+    hash.digest()
 }
 
-/// What is written for these bytes.
-pub(crate) fn pack(place: &[u8], bytes: &[u8]) -> Vec<u8> {
-    let mut framed = Vec::with_capacity(SUM + bytes.len());
-    framed.extend_from_slice(&sum(place, &[bytes]).to_le_bytes());
-    framed.extend_from_slice(bytes);
+/// Frames a value for its key.
+pub(crate) fn pack(key: &[u8], value: &[u8]) -> Vec<u8> {
+    let mut framed = Vec::with_capacity(CHECKSUM_BYTES + value.len());
+    framed.extend_from_slice(&checksum(key, &[value]).to_le_bytes());
+    framed.extend_from_slice(value);
     framed
 }
 
-/// The bytes that were packed for this place; `None` where they are not what was written.
-pub(crate) fn unpack<'a>(place: &[u8], framed: &'a [u8]) -> Option<&'a [u8]> {
-    let (head, bytes) = framed.split_first_chunk::<SUM>()?;
-    (u64::from_le_bytes(*head) == sum(place, &[bytes])).then_some(bytes)
+/// Returns the value that was framed for this key, or `None` if the checksum does not match.
+pub(crate) fn unpack<'a>(key: &[u8], framed: &'a [u8]) -> Option<&'a [u8]> {
+    let (head, value) = framed.split_first_chunk::<CHECKSUM_BYTES>()?;
+    (u64::from_le_bytes(*head) == checksum(key, &[value])).then_some(value)
 }
--- a/crates/store/tests/faults/main.rs
+++ b/crates/store/tests/faults/main.rs
@@ -1,4 +1,4 @@
-//! The store on disks that fail, and against a model.
+//! The store on faulty disks, compared with a model.
 
 mod crash;
 mod damage;
--- a/crates/store/tests/faults/properties.rs
+++ b/crates/store/tests/faults/properties.rs
@@ -1,18 +1,18 @@
-//! Any calls in any order, against plain maps; and what a long run leaves on the disk.
+//! Arbitrary operations in any order, compared with the model; and the file size of a long run.
 
-use crate::model::{owner, Call, Model};
+use crate::model::{owner, Model, Operation};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use store::faults::FaultyDisk;
 use store::Store;
 
-fn call() -> impl Strategy<Value = Call> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        4 => (0..6u64, 0..9000usize).prop_map(|(count, size)| Call::Append(count, size)),
-        1 => (0..30u64).prop_map(Call::Truncate),
-        1 => (0..30u64).prop_map(Call::Purge),
-        2 => (0..4u8, 0..300usize).prop_map(|(name, size)| Call::Put(name, size)),
-        1 => (0..140_000usize).prop_map(Call::Snapshot),
+        4 => (0..6u64, 0..9000usize).prop_map(|(count, size)| Operation::Append(count, size)),
+        1 => (0..30u64).prop_map(Operation::Truncate),
+        1 => (0..30u64).prop_map(Operation::Purge),
+        2 => (0..4u8, 0..300usize).prop_map(|(name, size)| Operation::Put(name, size)),
+        1 => (0..140_000usize).prop_map(Operation::Snapshot),
     ]
 }
 
@@ -20,42 +20,43 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(17), ..ProptestConfig::with_cases(32) })]
 
     #[test]
-    fn the_store_is_its_model(calls in prop::collection::vec((call(), any::<bool>()), 1..40)) {
+    fn the_store_matches_its_model(operations in prop::collection::vec((operation(), any::<bool>()), 1..40)) {
         let disk = FaultyDisk::new();
         let mut store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
         let mut model = Model::default();
-        for (call, anew) in calls {
-            model.call(&store, &call).expect("nothing fails");
-            model = model.after(&call);
-            if anew {
+        for (operation, reopen) in operations {
+            model.apply_to(&store, &operation).expect("no faults");
+            model = model.after(&operation);
+            if reopen {
                 drop(store);
                 store = Store::open_on(disk.clone(), &owner()).expect("the same disk");
             }
-            prop_assert!(model.is_in(&store).expect("whole"), "after {:?}", call);
+            prop_assert!(model.matches(&store).expect("intact"), "after {:?}", operation);
         }
     }
 }
 
-/// Appends entries one at a time, with a snapshot and a purge now and then as replicas make them, and gives the file's
-/// greatest length.
+/// Appends entries one at a time, with a snapshot and a purge every 100 entries as replicas make them; returns the
+/// greatest size of the file.
 fn run(store: &Store, model: &mut Model, entries: u64) -> u64 {
     let mut greatest = 0;
     for number in 0..entries {
-        let mut calls = vec![Call::Append(1, 200)];
+        let mut operations = vec![Operation::Append(1, 200)];
         if number % 100 == 99 {
-            calls.extend([Call::Snapshot(100_000), Call::Purge(model.appended().saturating_sub(50))]);
+            let purged = model.appended().saturating_sub(50);
+            operations.extend([Operation::Snapshot(100_000), Operation::Purge(purged)]);
         }
-        for call in calls {
-            model.call(store, &call).expect("nothing fails");
-            *model = model.after(&call);
+        for operation in operations {
+            model.apply_to(store, &operation).expect("no faults");
+            *model = model.after(&operation);
         }
-        greatest = greatest.max(store.file_size().expect("it has a length"));
+        greatest = greatest.max(store.file_size().expect("a size"));
     }
     greatest
 }
 
 #[test]
-fn a_long_run_takes_no_more_room_than_a_short_one() {
+fn a_long_run_takes_no_more_space_than_a_short_one() {
     let disk = FaultyDisk::new();
     let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
     let mut model = Model::default();
@@ -63,11 +64,11 @@
     let long = run(&store, &mut model, 2000);
     println!("{short} bytes after 500 entries, {long} after 2500");
     assert!(long <= short, "{short} bytes at most in 500 entries, then {long}");
-    let more = Call::Append(4000, 1000);
-    model.call(&store, &more).expect("nothing fails");
-    model = model.after(&more);
-    let grown = store.file_size().expect("it has a length");
-    let again = run(&store, &mut model, 300);
-    println!("{grown} bytes with 4 MB of log, {again} at most after its purge");
-    assert!(again <= grown, "what is purged is used again");
+    let large_log = Operation::Append(4000, 1000);
+    model.apply_to(&store, &large_log).expect("no faults");
+    model = model.after(&large_log);
+    let grown = store.file_size().expect("a size");
+    let after_purge = run(&store, &mut model, 300);
+    println!("{grown} bytes with 4 MB of log, {after_purge} at most after its purge");
+    assert!(after_purge <= grown, "purged space is not reused");
 }
