--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,4 +1,4 @@
-//! A replica's place in its group, its times and its bounds.
+//! Configuration of a replica: its group, timeouts and limits.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,51 +7,60 @@
 
 use crate::ConsensusError;
 
-/// The most replicas that form a group.
-const PEERS_MOST: usize = 9;
-/// The most bytes of a cluster's name.
-const NAME_MOST: usize = 64;
-/// The most bytes that a command may be allowed: twice this fits in a body of [`crate::MAX_BODY_BYTES`] with all round it.
-const COMMAND_MOST: usize = 2 << 20;
+/// Maximum number of replicas that form a group.
+const MAX_PEERS: usize = 9;
+/// Maximum length of a cluster's name, in bytes.
+const MAX_CLUSTER_NAME_BYTES: usize = 64;
+/// Upper limit of [`ReplicaConfig::max_command_bytes`]: twice this fits in a body of [`crate::MAX_BODY_BYTES`] with the
+/// rest of the message.
+const COMMAND_BYTES_LIMIT: usize = 2 << 20;
+/// Longest election timeout, in ms.
+const MAX_ELECTION_MS: u64 = 60_000;
+/// Time for one chunk of a snapshot to be installed, in ms.
+const INSTALL_SNAPSHOT_TIMEOUT_MS: u64 = 5000;
+/// Maximum number of entries in one message.
+const MAX_ENTRIES_PER_MESSAGE: u64 = 300;
+/// Number of entries that are purged at a time.
+const PURGE_BATCH_ENTRIES: u64 = 64;
 
-/// What a replica is started with. [`ReplicaConfig::new`] has the defaults; all durations are in milliseconds.
+/// Configuration of a replica. [`ReplicaConfig::new`] sets the defaults; all durations are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// This replica's number. One that has left the group, or lost its disk, must not be used again.
+    /// Id of this replica. The id of one that has left the group or lost its disk must not be used again.
     pub id: u64,
-    /// The cluster's name; replicas of another are refused.
+    /// Name of the cluster; replicas of other clusters are refused.
     pub cluster: String,
-    /// Where the other replicas reach this one.
+    /// Address at which the other replicas reach this one.
     pub address: SocketAddr,
-    /// The replicas whose first start forms the group, this one among them; the same map at each. On later starts what
-    /// is on the disk counts. A replica that is not among them waits until it is added by [`crate::Replica::set_peer`].
+    /// The replicas whose first start forms the group, including this one; the same map at each of them. On later starts
+    /// the membership on disk counts. A replica that is not in the map waits until [`crate::Replica::set_peer`] adds it.
     pub peers: BTreeMap<u64, SocketAddr>,
-    /// The time between a leader's heartbeats, and the bound of each message to a replica.
+    /// Interval of the leader's heartbeats, and the timeout of each message to a replica.
     pub heartbeat_ms: u64,
-    /// A replica refuses candidates for the upper end of this span after a leader's heartbeat, and wants to lead itself
-    /// after that and a time that it draws from the span at its start. So writes stop for up to twice the upper end and
-    /// two heartbeats when a leader is lost.
+    /// Range of the election timeout. A replica refuses candidates for the upper end of the range after a leader's
+    /// heartbeat. It becomes a candidate itself after that time and a random timeout from the range, drawn at its start.
+    /// So writes stop for up to twice the upper end and two heartbeats when a leader is lost.
     pub election_ms: (u64, u64),
-    /// The most time that a write waits for its majority.
+    /// Timeout of a write.
     pub write_ms: u64,
-    /// The most time that adding a replica waits until it is up to date.
+    /// Time for a replica that is added to catch up with the log.
     pub catch_up_ms: u64,
-    /// A snapshot is taken after as many entries.
+    /// Number of entries after which a snapshot is taken.
     pub snapshot_after: u64,
-    /// Entries that are kept behind the snapshot, so that a replica that was away a little needs no snapshot.
+    /// Number of entries that are kept behind the snapshot, so that a replica that was away briefly needs no snapshot.
     pub retained_entries: u64,
-    /// The most bytes of a snapshot.
+    /// Maximum size of a snapshot, in bytes.
     pub max_snapshot_bytes: usize,
-    /// The most writes under way at a time.
+    /// Maximum number of writes in flight.
     pub max_concurrent_writes: usize,
-    /// The most bytes of a command as JSON. It must reach a replica and its disk within a heartbeat's time, or it is
-    /// never acknowledged: raise the heartbeat with it.
+    /// Maximum size of a command as JSON, in bytes. A command must reach a replica and its disk within one heartbeat
+    /// interval, or it is never acknowledged: raise the heartbeat interval with it.
     pub max_command_bytes: usize,
 }
 
 impl ReplicaConfig {
-    /// A replica with the defaults for replicas near each other: a heartbeat each 100 ms, elections after 300 to
-    /// 600 ms.
+    /// Creates a configuration with the defaults for replicas near each other: a heartbeat every 100 ms, elections after
+    /// 300 to 600 ms.
     pub fn new(id: u64, cluster: &str, address: SocketAddr, peers: BTreeMap<u64, SocketAddr>) -> Self {
         Self {
             id,
@@ -70,27 +79,31 @@
         }
     }
 
-    /// The library's configuration, after a check of each field.
-    pub(crate) fn library(&self) -> Result<openraft::Config, ConsensusError> {
-        let bad = |field, reason: String| Err(ConsensusError::Config { field, reason });
-        if self.cluster.is_empty() || self.cluster.len() > NAME_MOST {
-            return bad("cluster", format!("a name of 1 to {NAME_MOST} bytes is needed"));
+    /// Validates every field and returns the library's configuration.
+    pub(crate) fn raft_config(&self) -> Result<openraft::Config, ConsensusError> {
+        let invalid = |field, reason: String| Err(ConsensusError::Config { field, reason });
+        if self.cluster.is_empty() || self.cluster.len() > MAX_CLUSTER_NAME_BYTES {
+            return invalid("cluster", format!("a name of 1 to {MAX_CLUSTER_NAME_BYTES} bytes is required"));
         }
-        if self.peers.len() > PEERS_MOST {
-            return bad(
+        if self.peers.len() > MAX_PEERS {
+            return invalid(
                 "peers",
-                format!("{} replicas, and at most {PEERS_MOST} form a group", self.peers.len()),
+                format!("{} replicas, and at most {MAX_PEERS} can form a group", self.peers.len()),
             );
         }
         if self.peers.get(&self.id).is_some_and(|address| *address != self.address) {
-            return bad("peers", format!("replica {} is this one, at another address than its own", self.id));
+            return invalid(
+                "peers",
+                format!("replica {} is this one, but its address differs from this replica's own", self.id),
+            );
         }
-        let (low, high) = self.election_ms;
-        if self.heartbeat_ms == 0 || low < 2 * self.heartbeat_ms || high <= low || high > 60_000 {
-            return bad(
+        let (min, max) = self.election_ms;
+        if self.heartbeat_ms == 0 || min < 2 * self.heartbeat_ms || max <= min || max > MAX_ELECTION_MS {
+            return invalid(
                 "election_ms",
                 format!(
-                    "{low} to {high} ms, and it must start at 2 heartbeats ({} ms) or more, grow, and end within 60000",
+                    "{min} to {max} ms: the range must start at 2 heartbeats ({} ms) or more, increase, and end at \
+                     {MAX_ELECTION_MS} or less",
                     2 * self.heartbeat_ms
                 ),
             );
@@ -102,26 +115,26 @@
             ("max_concurrent_writes", self.max_concurrent_writes as u64),
         ] {
             if value == 0 {
-                return bad(field, "it must be above 0".to_owned());
+                return invalid(field, "it must be above 0".to_owned());
             }
         }
-        if self.max_command_bytes == 0 || self.max_command_bytes > COMMAND_MOST {
-            return bad("max_command_bytes", format!("1 to {COMMAND_MOST} bytes are possible"));
+        if self.max_command_bytes == 0 || self.max_command_bytes > COMMAND_BYTES_LIMIT {
+            return invalid("max_command_bytes", format!("it must be 1 to {COMMAND_BYTES_LIMIT} bytes"));
         }
         let config = openraft::Config {
             cluster_name: self.cluster.clone(),
             heartbeat_interval: self.heartbeat_ms,
-            election_timeout_min: low,
-            election_timeout_max: high,
-            install_snapshot_timeout: 5000,
-            max_payload_entries: 300,
+            election_timeout_min: min,
+            election_timeout_max: max,
+            install_snapshot_timeout: INSTALL_SNAPSHOT_TIMEOUT_MS,
+            max_payload_entries: MAX_ENTRIES_PER_MESSAGE,
             replication_lag_threshold: self.snapshot_after.saturating_add(self.retained_entries),
             snapshot_policy: SnapshotPolicy::LogsSinceLast(self.snapshot_after),
-            snapshot_max_chunk_size: crate::wire::CHUNK,
+            snapshot_max_chunk_size: crate::wire::SNAPSHOT_CHUNK_BYTES,
             max_in_snapshot_log_to_keep: self.retained_entries,
-            purge_batch_size: 64,
+            purge_batch_size: PURGE_BATCH_ENTRIES,
             ..Default::default()
         };
-        config.validate().or_else(|e| bad("election_ms", e.to_string()))
+        config.validate().or_else(|e| invalid("election_ms", e.to_string()))
     }
 }
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,41 +1,41 @@
-//! What may go wrong, and what an operator can do about it.
+//! Errors of a replica, with advice for operators and callers.
 
 use std::net::SocketAddr;
 
 use store::StoreError;
 
-/// Why a replica does not start.
+/// Why a replica did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsensusError {
-    /// The configuration.
+    /// The configuration is invalid.
     #[error("{field}: {reason}")]
     Config {
-        /// Which field.
+        /// The invalid field.
         field: &'static str,
-        /// What about it.
+        /// What is wrong with it.
         reason: String,
     },
-    /// The disk.
+    /// The store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// What the disk holds can't be read by this program.
+    /// Stored data cannot be decoded by this program.
     #[error("the replica's {item} can't be read: {reason}")]
     Decode {
-        /// Which part.
+        /// Which data.
         item: &'static str,
-        /// What is wrong.
+        /// What is wrong with it.
         reason: String,
     },
-    /// The consensus library.
+    /// The consensus library failed.
     #[error("the consensus core did not start: {0}")]
     Core(String),
 }
 
 impl ConsensusError {
-    /// What an operator can do about it: one line.
+    /// What an operator can do about the error, in one line.
     pub fn advice(&self) -> &'static str {
         match self {
-            Self::Config { .. } => "mend this field of the configuration",
+            Self::Config { .. } => "correct this field of the configuration",
             Self::Store(e) => e.advice(),
             Self::Decode { .. } => {
                 "start the version of the program that wrote it, or replace this replica by a new one under a new id"
@@ -45,69 +45,69 @@
     }
 }
 
-/// Why a write is not acknowledged, or leadership not confirmed.
+/// Why a write was not acknowledged, or leadership not confirmed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum WriteError {
     /// This replica does not lead. Nothing was written.
     #[error("this replica does not lead{}", leader.map_or_else(String::new, |(id, at)| format!(": replica {id} at {at} does")))]
     NotLeader {
-        /// Who does, as far as it is known here.
+        /// Id and address of the leader, if this replica knows it.
         leader: Option<(u64, SocketAddr)>,
     },
-    /// As many writes as are allowed are under way. Nothing was written.
-    #[error("{max} writes are under way, as many as may be at a time")]
+    /// The limit of writes in flight is reached. Nothing was written.
+    #[error("{max} writes are in flight, which is the limit")]
     Busy {
-        /// The bound.
+        /// The limit.
         max: usize,
     },
     /// The command is too large. Nothing was written.
-    #[error("a command of {size} bytes, and at most {max} are taken")]
+    #[error("the command has {size} bytes, and the limit is {max}")]
     TooLarge {
-        /// Its size as JSON.
+        /// Size of the command as JSON, in bytes.
         size: usize,
-        /// The bound.
+        /// The limit in bytes.
         max: usize,
     },
-    /// No majority has answered, or leadership was lost meanwhile. A write may have been taken, or may be yet.
+    /// No majority answered, or leadership was lost meanwhile. The write may have been applied, or may be later.
     #[error("{reason}")]
     Unavailable {
-        /// What was missing.
+        /// Why the outcome is unknown.
         reason: &'static str,
     },
-    /// The replica has stopped for good. A write may have been taken.
+    /// The replica has stopped for good. The write may have been applied.
     #[error(transparent)]
     Fatal(#[from] FatalError),
-    /// A change of the group that is not possible. Nothing was written.
+    /// The change of the group's membership is not possible. Nothing was written.
     #[error("{reason}")]
     InvalidChange {
-        /// Why.
+        /// Why it is not possible.
         reason: String,
     },
 }
 
 impl WriteError {
-    /// What the caller can do about it: one line.
+    /// What the caller can do about the error, in one line.
     pub fn advice(&self) -> &'static str {
         match self {
-            Self::NotLeader { leader: Some(_) } => "ask the leader",
-            Self::NotLeader { leader: None } => "ask again soon: the replicas are choosing a leader",
-            Self::Busy { .. } => "ask again soon",
+            Self::NotLeader { leader: Some(_) } => "call the leader",
+            Self::NotLeader { leader: None } => "try again soon: the replicas are electing a leader",
+            Self::Busy { .. } => "try again soon",
             Self::TooLarge { .. } => "make it smaller",
             Self::Unavailable { .. } => {
-                "look whether it was taken before asking again; check that a majority of replicas runs"
+                "check whether it was applied before trying again; check that a majority of replicas runs"
             }
             Self::Fatal(error) => error.advice,
-            Self::InvalidChange { .. } => "look at the replicas' status, and mend the call",
+            Self::InvalidChange { .. } => "check the status of the replicas, and correct the call",
         }
     }
 }
 
-/// Why a replica can't go on. Its process ends with this as one line, and is started again by its supervisor.
+/// Why a replica cannot continue. Its process exits with this as its one line, and is restarted by its supervisor.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("the replica can't go on: {reason}")]
 pub struct FatalError {
     /// What failed.
     pub reason: String,
-    /// What an operator can do about it: one line.
+    /// What an operator can do about it, in one line.
     pub advice: &'static str,
 }
--- a/crates/consensus/src/identity.rs
+++ b/crates/consensus/src/identity.rs
@@ -1,10 +1,10 @@
-//! Whose disk answers.
+//! Identity of a replica's disk.
 //!
-//! Need: a replica that comes back under its old id on an empty disk has forgotten its vote and what it acknowledged;
-//! counted in a majority, it could lose acknowledged commands. And a message may come from a replica of another
-//! group, by a wrong address or a reused port. Shape: each disk has an id, drawn at its first start; all messages and
-//! answers carry it, with the peers that formed the group and the disks of the replicas that the sender knows. What
-//! is learned is on the disk before the message counts, and is never forgotten, as ids aren't used again.
+//! A replica that comes back under its old id on an empty disk has lost its vote and its acknowledgements; counted in a
+//! majority, it could cause the loss of acknowledged commands. A message may also come from a replica of another group,
+//! through a wrong address or a reused port. So every disk has an id, generated at its first start. All messages and
+//! responses carry it, with the peers that formed the group and the disks of the replicas that the sender knows. What a
+//! replica learns this way is on its disk before the message counts, and is never forgotten, as ids are not reused.
 
 use std::collections::hash_map::RandomState;
 use std::collections::BTreeMap;
@@ -15,202 +15,217 @@
 use serde::{Deserialize, Serialize};
 use store::StoreError;
 
-use crate::storage::{encode, Disk};
+use crate::storage::{encode, Storage};
 use crate::{ConsensusError, ReplicaConfig};
 
-const RECORD: &str = "identity";
-/// The most replicas that are remembered, with all that were ever replaced.
-const KNOWN_MOST: usize = 256;
+/// Name of the stored record.
+const IDENTITY_RECORD: &str = "identity";
+/// Maximum number of replicas that are remembered, including all that were ever replaced.
+const MAX_KNOWN_REPLICAS: usize = 256;
 
-/// A disk's id: 32 hexadecimal digits.
+/// Id of a disk: 32 hexadecimal digits.
 pub(crate) type DiskId = String;
 
-/// What a message or answer says of its sender.
+/// Identity of a message's sender.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Sender {
     pub(crate) cluster: String,
     pub(crate) id: u64,
-    pub(crate) disk: DiskId,
-    /// The peers that formed the group; a replica that was added later learns it from the others.
-    pub(crate) group: Option<String>,
-    /// The disks of replicas that the sender knows, its own among them.
-    pub(crate) known: BTreeMap<u64, DiskId>,
+    #[serde(rename = "disk")]
+    pub(crate) disk_id: DiskId,
+    /// The peers that formed the group. A replica that was added later learns it from the others.
+    #[serde(rename = "group")]
+    pub(crate) founding_peers: Option<String>,
+    /// The disks of all replicas that the sender knows, including its own.
+    #[serde(rename = "known")]
+    pub(crate) known_disks: BTreeMap<u64, DiskId>,
 }
 
-/// Why a message does not count.
+/// Why a message is refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub(crate) enum Stranger {
+pub(crate) enum IdentityError {
     #[error("replica {id} is of cluster {theirs:?}, and this is cluster {ours:?}")]
-    Cluster { id: u64, theirs: String, ours: String },
+    OtherCluster { id: u64, theirs: String, ours: String },
     #[error("replica {id} is of a group that was formed by {theirs}, and this one by {ours}")]
-    Group { id: u64, theirs: String, ours: String },
-    #[error("a message for replica {wanted}, and this is replica {here}")]
+    OtherGroup { id: u64, theirs: String, ours: String },
+    #[error("the message is for replica {wanted}, and this is replica {here}")]
     Misdirected { wanted: u64, here: u64 },
     #[error(
         "replica {0} answers itself: two replicas have this id, or a peer's address is this replica's own"
     )]
-    Itself(u64),
+    OwnId(u64),
     #[error(
-        "replica {0} has come back on another disk and knows nothing of what it acknowledged: remove it, and add it under \
-         an id that was never used"
+        "replica {0} has come back on another disk and has lost what it acknowledged: remove it, and add it under an id \
+         that was never used"
     )]
     OtherDisk(u64),
     #[error(
         "this replica, {0}, is known on another disk: remove it from the group, and add it under an id that was never used"
     )]
-    Forgot(u64),
-    #[error("more than {KNOWN_MOST} ids of replicas were used: replica {0} is not taken")]
-    TooMany(u64),
-    #[error("who replica {id} is can't be kept: {reason}")]
-    Disk { id: u64, reason: String },
+    OwnDiskReplaced(u64),
+    #[error("more than {MAX_KNOWN_REPLICAS} replica ids were used: replica {0} is refused")]
+    TooManyReplicas(u64),
+    #[error("the identity of replica {id} can't be saved: {reason}")]
+    Storage { id: u64, reason: String },
 }
 
-/// Who this replica is, and whom it knows.
+/// Identity of this replica, and the identities that it knows.
 pub(crate) struct Identity {
-    /// Until the replica stops.
-    disk: Mutex<Option<Arc<Disk>>>,
+    /// `None` once the replica stops.
+    storage: Mutex<Option<Arc<Storage>>>,
     sender: RwLock<Sender>,
-    /// One change at a time.
-    changing: tokio::sync::Mutex<()>,
-    /// The last that did not count.
-    refused: Mutex<Option<String>>,
+    /// Held while a change is saved, so that there is one at a time.
+    saving: tokio::sync::Mutex<()>,
+    /// Why the last refused message was refused.
+    last_refusal: Mutex<Option<String>>,
 }
 
+/// The stored identity.
 #[derive(Deserialize, Serialize)]
-struct Record {
-    disk: DiskId,
-    group: Option<String>,
-    known: BTreeMap<u64, DiskId>,
+struct IdentityRecord {
+    #[serde(rename = "disk")]
+    disk_id: DiskId,
+    #[serde(rename = "group")]
+    founding_peers: Option<String>,
+    #[serde(rename = "known")]
+    known_disks: BTreeMap<u64, DiskId>,
 }
 
 impl Identity {
-    /// Reads the disk, and draws the disk's id at its first start.
-    pub(crate) async fn load(disk: Arc<Disk>, config: &ReplicaConfig) -> Result<Self, ConsensusError> {
-        let record = match disk.run(|store| store.get(RECORD)).await? {
-            Some(bytes) => serde_json::from_slice(&bytes).map_err(|e| ConsensusError::Decode {
-                item: "record of its identity",
-                reason: e.to_string(),
-            })?,
+    /// Reads the identity from the disk. At its first start, generates the disk's id and saves it.
+    pub(crate) async fn load(storage: Arc<Storage>, config: &ReplicaConfig) -> Result<Self, ConsensusError> {
+        let record = match storage.run(|store| store.get(IDENTITY_RECORD)).await? {
+            Some(bytes) => serde_json::from_slice(&bytes)
+                .map_err(|e| ConsensusError::Decode { item: "identity record", reason: e.to_string() })?,
             None => {
-                let draw = || RandomState::new().hash_one(std::process::id());
-                let id = format!("{:016x}{:016x}", draw(), draw());
-                let group = config.peers.contains_key(&config.id).then(|| group(&config.peers));
-                let record = Record { known: BTreeMap::from([(config.id, id.clone())]), disk: id, group };
-                keep(&disk, &record).await?;
+                let random = || RandomState::new().hash_one(std::process::id());
+                let disk_id = format!("{:016x}{:016x}", random(), random());
+                let founding_peers =
+                    config.peers.contains_key(&config.id).then(|| describe_peers(&config.peers));
+                let known_disks = BTreeMap::from([(config.id, disk_id.clone())]);
+                let record = IdentityRecord { disk_id, founding_peers, known_disks };
+                save(&storage, &record).await?;
                 record
             }
         };
         let sender = Sender {
             cluster: config.cluster.clone(),
             id: config.id,
-            disk: record.disk,
-            group: record.group,
-            known: record.known,
+            disk_id: record.disk_id,
+            founding_peers: record.founding_peers,
+            known_disks: record.known_disks,
         };
         Ok(Self {
-            disk: Mutex::new(Some(disk)),
+            storage: Mutex::new(Some(storage)),
             sender: RwLock::new(sender),
-            changing: tokio::sync::Mutex::new(()),
-            refused: Mutex::default(),
+            saving: tokio::sync::Mutex::new(()),
+            last_refusal: Mutex::default(),
         })
     }
 
-    /// What this replica says of itself.
+    /// The identity that this replica sends.
     pub(crate) fn sender(&self) -> Sender {
         self.sender.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// This replica's number.
+    /// Id of this replica.
     pub(crate) fn id(&self) -> u64 {
         self.sender.read().unwrap_or_else(PoisonError::into_inner).id
     }
 
     /// Whether replica `id` was ever a peer.
-    pub(crate) fn knows(&self, id: u64) -> bool {
-        self.sender.read().unwrap_or_else(PoisonError::into_inner).known.contains_key(&id)
+    pub(crate) fn is_known(&self, id: u64) -> bool {
+        self.sender.read().unwrap_or_else(PoisonError::into_inner).known_disks.contains_key(&id)
     }
 
-    /// Takes what another says of itself; once it returns, what was new is on the disk.
-    pub(crate) async fn meet(&self, from: &Sender) -> Result<(), Stranger> {
-        let met = self.meet_quietly(from).await;
-        if let Err(e) = &met {
+    /// Checks a sender and learns from it; when this returns, what was new is on the disk.
+    pub(crate) async fn check_and_learn(&self, from: &Sender) -> Result<(), IdentityError> {
+        let checked = self.learn(from).await;
+        if let Err(e) = &checked {
             let line = e.to_string();
-            let mut refused = self.refused.lock().unwrap_or_else(PoisonError::into_inner);
-            if refused.as_ref() != Some(&line) {
+            let mut last_refusal = self.last_refusal.lock().unwrap_or_else(PoisonError::into_inner);
+            if last_refusal.as_ref() != Some(&line) {
                 tracing::warn!("{line}");
-                *refused = Some(line);
+                *last_refusal = Some(line);
             }
         }
-        met
+        checked
     }
 
-    /// The last message or answer that did not count.
-    pub(crate) fn refused(&self) -> Option<String> {
-        self.refused.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    /// Why the last refused message or response was refused.
+    pub(crate) fn last_refusal(&self) -> Option<String> {
+        self.last_refusal.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Lets the disk go; who is new after this is refused.
-    pub(crate) fn let_go(&self) {
-        self.disk.lock().unwrap_or_else(PoisonError::into_inner).take();
+    /// Releases the disk; unknown senders are refused from now on.
+    pub(crate) fn release_storage(&self) {
+        self.storage.lock().unwrap_or_else(PoisonError::into_inner).take();
     }
 
-    async fn meet_quietly(&self, from: &Sender) -> Result<(), Stranger> {
+    async fn learn(&self, from: &Sender) -> Result<(), IdentityError> {
         // Nearly always nothing is new.
-        if learn(&self.sender.read().unwrap_or_else(PoisonError::into_inner), from)?.is_none() {
+        if merged(&self.sender.read().unwrap_or_else(PoisonError::into_inner), from)?.is_none() {
             return Ok(());
         }
-        let _one = self.changing.lock().await;
-        let news = learn(&self.sender.read().unwrap_or_else(PoisonError::into_inner), from)?;
-        let Some(sender) = news else { return Ok(()) };
-        let record =
-            Record { disk: sender.disk.clone(), group: sender.group.clone(), known: sender.known.clone() };
-        let failed = |reason: String| Stranger::Disk { id: from.id, reason };
-        let disk = self.disk.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let disk = disk.ok_or_else(|| failed("the replica is stopping".to_owned()))?;
-        keep(&disk, &record).await.map_err(|e| failed(e.to_string()))?;
+        let _saving = self.saving.lock().await;
+        let changed = merged(&self.sender.read().unwrap_or_else(PoisonError::into_inner), from)?;
+        let Some(sender) = changed else { return Ok(()) };
+        let record = IdentityRecord {
+            disk_id: sender.disk_id.clone(),
+            founding_peers: sender.founding_peers.clone(),
+            known_disks: sender.known_disks.clone(),
+        };
+        let failed = |reason: String| IdentityError::Storage { id: from.id, reason };
+        let storage = self.storage.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let storage = storage.ok_or_else(|| failed("the replica is stopping".to_owned()))?;
+        save(&storage, &record).await.map_err(|e| failed(e.to_string()))?;
         *self.sender.write().unwrap_or_else(PoisonError::into_inner) = sender;
         Ok(())
     }
 }
 
-/// What `me` says of itself after `from`, if anything changes.
-fn learn(me: &Sender, from: &Sender) -> Result<Option<Sender>, Stranger> {
+/// The own identity after learning from `from`; `None` if nothing changes.
+fn merged(own: &Sender, from: &Sender) -> Result<Option<Sender>, IdentityError> {
     let id = from.id;
-    if from.cluster != me.cluster {
-        return Err(Stranger::Cluster { id, theirs: from.cluster.clone(), ours: me.cluster.clone() });
+    if from.cluster != own.cluster {
+        return Err(IdentityError::OtherCluster {
+            id,
+            theirs: from.cluster.clone(),
+            ours: own.cluster.clone(),
+        });
     }
-    if let (Some(theirs), Some(ours)) = (&from.group, &me.group) {
+    if let (Some(theirs), Some(ours)) = (&from.founding_peers, &own.founding_peers) {
         if theirs != ours {
-            return Err(Stranger::Group { id, theirs: theirs.clone(), ours: ours.clone() });
+            return Err(IdentityError::OtherGroup { id, theirs: theirs.clone(), ours: ours.clone() });
         }
     }
-    if id == me.id {
-        return Err(Stranger::Itself(id));
+    if id == own.id {
+        return Err(IdentityError::OwnId(id));
     }
-    if me.known.get(&id).is_some_and(|disk| *disk != from.disk) {
-        return Err(Stranger::OtherDisk(id));
+    if own.known_disks.get(&id).is_some_and(|disk_id| *disk_id != from.disk_id) {
+        return Err(IdentityError::OtherDisk(id));
     }
-    if from.known.get(&me.id).is_some_and(|disk| *disk != me.disk) {
-        return Err(Stranger::Forgot(me.id));
+    if from.known_disks.get(&own.id).is_some_and(|disk_id| *disk_id != own.disk_id) {
+        return Err(IdentityError::OwnDiskReplaced(own.id));
     }
-    let mut after = me.clone();
-    after.group = after.group.or_else(|| from.group.clone());
-    after.known.entry(id).or_insert_with(|| from.disk.clone());
-    for (id, disk) in &from.known {
-        after.known.entry(*id).or_insert_with(|| disk.clone());
+    let mut after = own.clone();
+    after.founding_peers = after.founding_peers.or_else(|| from.founding_peers.clone());
+    after.known_disks.entry(id).or_insert_with(|| from.disk_id.clone());
+    for (id, disk_id) in &from.known_disks {
+        after.known_disks.entry(*id).or_insert_with(|| disk_id.clone());
     }
-    if after.known.len() > KNOWN_MOST {
-        return Err(Stranger::TooMany(id));
+    if after.known_disks.len() > MAX_KNOWN_REPLICAS {
+        return Err(IdentityError::TooManyReplicas(id));
     }
-    Ok((after != *me).then_some(after))
+    Ok((after != *own).then_some(after))
 }
 
-async fn keep(disk: &Arc<Disk>, record: &Record) -> Result<(), StoreError> {
+async fn save(storage: &Arc<Storage>, record: &IdentityRecord) -> Result<(), StoreError> {
     let bytes = encode(record);
-    disk.write(move |store| store.put(RECORD, &bytes)).await
+    storage.write(move |store| store.put(IDENTITY_RECORD, &bytes)).await
 }
 
 /// The peers that form a group, in one line.
-fn group(peers: &BTreeMap<u64, SocketAddr>) -> String {
+fn describe_peers(peers: &BTreeMap<u64, SocketAddr>) -> String {
     peers.iter().map(|(id, address)| format!("{id}={address}")).collect::<Vec<_>>().join(",")
 }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,8 +1,8 @@
-//! Replicas added and removed, one at a time.
+//! Adds and removes replicas, one at a time.
 //!
-//! A new replica is a learner first: it takes the log and does not count. Once it has what the leader had when it was
-//! added, it becomes a voter, by the library's joint change. A call that was cut short (the leader ended in its middle)
-//! is made again and goes on where it was.
+//! A new replica starts as a learner: it receives the log and does not vote. Once it has what the leader had when it was
+//! added, it becomes a voter through the library's joint membership change. A call that was interrupted, because the
+//! leader ended in the middle of it, can be repeated and continues where it was.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -14,42 +14,45 @@
 use openraft::{ChangeMembers, LogId};
 use tokio::time::timeout;
 
-use crate::state_machine::{Place, Types};
+use crate::state_machine::{NodeAddress, TypeConfig};
 use crate::{Replica, StateMachine, WriteError};
 
-type Changed<M> = Result<ClientWriteResponse<Types<M>>, RaftError<u64, ClientWriteError<u64, Place>>>;
+type ChangeResult<M> =
+    Result<ClientWriteResponse<TypeConfig<M>>, RaftError<u64, ClientWriteError<u64, NodeAddress>>>;
 
 impl<M: StateMachine> Replica<M> {
-    /// Adds replica `id`, reached at `address`, and waits until it is up to date and counts; for a replica that is
-    /// there already, changes its address. At the leader only. Add and remove one replica at a time; a replica that
-    /// lost its disk is removed and added under an id that was never used.
+    /// Adds replica `id` at `address`, and waits until it has caught up and is a voter. Changes the address of a replica
+    /// that is already a member.
+    ///
+    /// Works at the leader only. Add and remove one replica at a time. A replica that lost its disk is removed, and added
+    /// under an id that was never used.
     ///
     /// # Errors
-    /// [`WriteError::InvalidChange`] for an id that was used before. [`WriteError::Unavailable`] when the new replica is not
-    /// up to date in time: it stays a learner, and the call can be made again.
+    /// [`WriteError::InvalidChange`] for an id that was used before. [`WriteError::Unavailable`] if the new replica does
+    /// not catch up in time: it stays a learner, and the call can be repeated.
     pub async fn set_peer(&self, id: u64, address: SocketAddr) -> Result<(), WriteError> {
         let metrics = self.raft().metrics().borrow().clone();
         let members = metrics.membership_config.membership();
-        let place = Place(address);
+        let node = NodeAddress(address);
         match members.get_node(&id) {
-            Some(known) if *known == place => {}
-            Some(_) => self.change(ChangeMembers::SetNodes(BTreeMap::from([(id, place)])), true).await?,
-            None if self.knows(id) => {
+            Some(known) if *known == node => {}
+            Some(_) => self.change(ChangeMembers::SetNodes(BTreeMap::from([(id, node)])), true).await?,
+            None if self.is_known(id) => {
                 let reason = format!(
                     "replica {id} was in use before: add the new one under an id that was never used"
                 );
                 return Err(WriteError::InvalidChange { reason });
             }
-            None => self.change(ChangeMembers::AddNodes(BTreeMap::from([(id, place)])), true).await?,
+            None => self.change(ChangeMembers::AddNodes(BTreeMap::from([(id, node)])), true).await?,
         }
         if members.voter_ids().any(|voter| voter == id) && members.get_joint_config().len() == 1 {
             return Ok(());
         }
-        self.caught_up(id).await?;
+        self.wait_until_caught_up(id).await?;
         self.change(ChangeMembers::AddVoterIds(BTreeSet::from([id])), true).await
     }
 
-    /// Removes replica `id`, which may be this one: then another leads from the end of the call on. At the leader only.
+    /// Removes replica `id`. If it is this one, another replica leads after the call. Works at the leader only.
     ///
     /// # Errors
     /// [`WriteError::InvalidChange`] for the last replica.
@@ -69,47 +72,48 @@
         Ok(())
     }
 
-    async fn change(&self, change: ChangeMembers<u64, Place>, retain: bool) -> Result<(), WriteError> {
+    async fn change(&self, change: ChangeMembers<u64, NodeAddress>, retain: bool) -> Result<(), WriteError> {
         let change = self.raft().change_membership(change, retain);
-        self.bounded(change).await
+        self.await_change(change).await
     }
 
-    async fn bounded(&self, change: impl Future<Output = Changed<M>>) -> Result<(), WriteError> {
-        match timeout(self.write_bound(), change).await {
+    /// Waits for a membership change, within the timeout of a write.
+    async fn await_change(&self, change: impl Future<Output = ChangeResult<M>>) -> Result<(), WriteError> {
+        match timeout(self.write_timeout(), change).await {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(to)))) => {
-                Err(WriteError::NotLeader { leader: to.leader_id.zip(to.leader_node.map(|place| place.0)) })
+                Err(WriteError::NotLeader { leader: to.leader_id.zip(to.leader_node.map(|node| node.0)) })
             }
             Ok(Err(RaftError::APIError(ClientWriteError::ChangeMembershipError(e)))) => match e {
                 ChangeMembershipError::InProgress(_) => Err(WriteError::InvalidChange {
-                    reason: "another change of the group is under way".to_owned(),
+                    reason: "another change of the group is in progress".to_owned(),
                 }),
                 e => Err(WriteError::InvalidChange { reason: e.to_string() }),
             },
-            Ok(Err(RaftError::Fatal(_))) => Err(self.stopped()),
+            Ok(Err(RaftError::Fatal(_))) => Err(self.stopped_error()),
             Err(_) => Err(WriteError::Unavailable {
-                reason: "no majority of replicas took the change of the group in time",
+                reason: "no majority of replicas accepted the change of the group in time",
             }),
         }
     }
 
-    /// Waits until a learner has what the leader has now.
-    async fn caught_up(&self, id: u64) -> Result<(), WriteError> {
+    /// Waits until a learner has the log that the leader has now.
+    async fn wait_until_caught_up(&self, id: u64) -> Result<(), WriteError> {
         let mut metrics = self.raft().metrics();
         let target = metrics.borrow().last_log_index;
-        let reached = async {
-            let at = |matched: &BTreeMap<u64, Option<LogId<u64>>>| {
-                matched.get(&id).is_some_and(|log| log.map(|log| log.index) >= target)
+        let caught_up = async {
+            let has_target = |matched: &BTreeMap<u64, Option<LogId<u64>>>| {
+                matched.get(&id).is_some_and(|log_id| log_id.map(|log_id| log_id.index) >= target)
             };
-            let found = metrics.wait_for(|metrics| metrics.replication.as_ref().is_none_or(at)).await;
+            let found = metrics.wait_for(|metrics| metrics.replication.as_ref().is_none_or(has_target)).await;
             found.map(|metrics| metrics.replication.is_some())
         };
-        match timeout(Duration::from_millis(self.config().catch_up_ms), reached).await {
+        match timeout(Duration::from_millis(self.config().catch_up_ms), caught_up).await {
             Ok(Ok(true)) => Ok(()),
             Ok(Ok(false)) => Err(WriteError::NotLeader { leader: self.watch_leadership().borrow().leader }),
-            Ok(Err(_)) => Err(self.stopped()),
+            Ok(Err(_)) => Err(self.stopped_error()),
             Err(_) => Err(WriteError::Unavailable {
-                reason: "the new replica is not up to date yet: it goes on, ask again",
+                reason: "the new replica has not caught up yet: it continues to; try again",
             }),
         }
     }
--- a/crates/consensus/src/network.rs
+++ b/crates/consensus/src/network.rs
@@ -1,9 +1,9 @@
-//! Kept connections to the other replicas.
+//! Persistent connections to the other replicas.
 //!
-//! A connection carries one message at a time, is kept after an answer and closed by anything else, so an answer is
-//! always the answer to its message. A message that finds all connections to its replica in use opens another, so that
-//! a round that confirms leadership never waits behind a snapshot; only a few are kept. Time-outs are the library's:
-//! it drops a message that takes longer than its bound, and with it the connection.
+//! A connection carries one message at a time. It is kept after a response and closed after anything else, so a response
+//! always belongs to its message. A message that finds all connections to its replica in use opens another, so that a
+//! round that confirms leadership never waits behind a snapshot; only a few are kept. Timeouts are the library's: it
+//! drops a message that exceeds its timeout, and with it the connection.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -29,22 +29,22 @@
 use tokio::task::JoinHandle;
 
 use crate::identity::Identity;
-use crate::state_machine::{Place, Types};
+use crate::state_machine::{NodeAddress, TypeConfig};
 use crate::storage::encode;
-use crate::wire::{Letter, Refusal, Reply, APPEND, SNAPSHOT, VOTE};
+use crate::wire::{Envelope, Refusal, Reply, APPEND_PATH, SNAPSHOT_PATH, VOTE_PATH};
 use crate::StateMachine;
 
-/// The most bytes of an answer.
-const ANSWER_MOST: usize = 256 << 10;
-/// The most connections that are kept to one replica.
-const KEPT_MOST: usize = 4;
-/// The shortest pause before a replica that was not reached is tried again.
-const RETRY_LEAST: Duration = Duration::from_millis(20);
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 256 << 10;
+/// Maximum number of idle connections that are kept to one replica.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+/// Initial backoff before an unreachable replica is tried again.
+const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Debug, thiserror::Error)]
 #[error("replica {replica} at {address}: {reason}")]
-struct NoAnswer {
+struct RequestError {
     replica: u64,
     address: SocketAddr,
     reason: String,
@@ -63,74 +63,75 @@
 
 /// The connections of one replica to all others.
 pub(crate) struct Network {
-    me: Arc<Identity>,
-    kept: Mutex<BTreeMap<SocketAddr, Vec<Connection>>>,
-    /// The longest pause before a replica that was not reached is tried again.
-    retry_most: Duration,
+    identity: Arc<Identity>,
+    idle: Mutex<BTreeMap<SocketAddr, Vec<Connection>>>,
+    /// Maximum backoff before an unreachable replica is tried again.
+    max_retry_backoff: Duration,
 }
 
 impl Network {
-    pub(crate) fn new(me: Arc<Identity>, retry_most: Duration) -> Self {
-        Self { me, kept: Mutex::default(), retry_most }
+    pub(crate) fn new(identity: Arc<Identity>, max_retry_backoff: Duration) -> Self {
+        Self { identity, idle: Mutex::default(), max_retry_backoff }
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let connections = kept.get_mut(&address)?;
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let connections = idle.get_mut(&address)?;
         connections.retain(|connection| connection.sender.is_ready());
         connections.pop()
     }
 
-    fn keep(&self, address: SocketAddr, connection: Connection) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let connections = kept.entry(address).or_default();
-        if connections.len() < KEPT_MOST {
+    fn keep_idle(&self, address: SocketAddr, connection: Connection) {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             connections.push(connection);
         }
     }
 
-    /// Forgets connections to addresses that are no replica's.
+    /// Closes idle connections to addresses other than these.
     pub(crate) fn retain(&self, addresses: &[SocketAddr]) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.retain(|address, _| addresses.contains(address));
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.retain(|address, _| addresses.contains(address));
     }
 
-    async fn ask<T: Serialize, A: DeserializeOwned>(
+    /// Sends a message to a replica and returns its answer.
+    async fn request<T: Serialize, A: DeserializeOwned>(
         &self,
         replica: u64,
         address: SocketAddr,
         path: &str,
         message: T,
-    ) -> Result<A, NoAnswer> {
-        let no = |reason: &dyn Display| NoAnswer { replica, address, reason: reason.to_string() };
-        let body = Bytes::from(encode(&Letter { from: self.me.sender(), to: replica, message }));
-        let (status, answer) = loop {
-            let kept = self.take(address);
-            let fresh = kept.is_none();
-            let mut connection = match kept {
+    ) -> Result<A, RequestError> {
+        let failed = |reason: &dyn Display| RequestError { replica, address, reason: reason.to_string() };
+        let body = Bytes::from(encode(&Envelope { from: self.identity.sender(), to: replica, message }));
+        let (status, response) = loop {
+            let idle = self.take_idle(address);
+            let is_new = idle.is_none();
+            let mut connection = match idle {
                 Some(connection) => connection,
-                None => connect(address).await.map_err(|e| no(&e))?,
+                None => connect(address).await.map_err(|e| failed(&e))?,
             };
             match exchange(&mut connection, address, path, body.clone()).await {
-                Ok(answer) => {
-                    self.keep(address, connection);
-                    break answer;
+                Ok(response) => {
+                    self.keep_idle(address, connection);
+                    break response;
                 }
-                // The replica may have closed it while it was kept; messages may come twice.
-                Err(_) if !fresh => {}
-                Err(e) => return Err(no(&e)),
+                // The replica may have closed the connection while it was idle. Messages may be delivered twice.
+                Err(_) if !is_new => {}
+                Err(e) => return Err(failed(&e)),
             }
         };
         if status != StatusCode::OK {
-            let reason = serde_json::from_slice(&answer)
+            let reason = serde_json::from_slice(&response)
                 .map_or_else(|_| status.to_string(), |Refusal { error }| error);
-            return Err(no(&reason));
+            return Err(failed(&reason));
         }
-        let reply: Reply<A> = serde_json::from_slice(&answer).map_err(|e| no(&e))?;
+        let reply: Reply<A> = serde_json::from_slice(&response).map_err(|e| failed(&e))?;
         if reply.from.id != replica {
-            return Err(no(&format_args!("replica {} answers there", reply.from.id)));
+            return Err(failed(&format_args!("replica {} answers there", reply.from.id)));
         }
-        self.me.meet(&reply.from).await.map_err(|e| no(&e))?;
+        self.identity.check_and_learn(&reply.from).await.map_err(|e| failed(&e))?;
         Ok(reply.answer)
     }
 }
@@ -140,7 +141,7 @@
     stream.set_nodelay(true)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
     let task = tokio::spawn(async move {
-        // Its end shows at the sender.
+        // The sender reports its failure.
         let _ = connection.await;
     });
     Ok(Connection { sender, task })
@@ -156,52 +157,53 @@
         .header(hyper::header::HOST, address.to_string())
         .header(hyper::header::CONTENT_TYPE, "application/json")
         .body(Full::new(body))?;
-    let answer = connection.sender.send_request(request).await?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), ANSWER_MOST).collect().await?.to_bytes();
-    // Without this the connection may not be told yet that it is free.
+    let response = connection.sender.send_request(request).await?;
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await?.to_bytes();
+    // Without this the sender may not be marked as ready yet when the connection is used next.
     connection.sender.ready().await?;
     Ok((status, body))
 }
 
-/// The way to all replicas.
-pub(crate) struct Links<M> {
+/// The library's factory of clients to the other replicas.
+pub(crate) struct RaftClientFactory<M> {
     network: Arc<Network>,
     machine: PhantomData<fn() -> M>,
 }
 
-impl<M> Links<M> {
+impl<M> RaftClientFactory<M> {
     pub(crate) fn new(network: Arc<Network>) -> Self {
         Self { network, machine: PhantomData }
     }
 }
 
-impl<M: StateMachine> RaftNetworkFactory<Types<M>> for Links<M> {
-    type Network = Link<M>;
+impl<M: StateMachine> RaftNetworkFactory<TypeConfig<M>> for RaftClientFactory<M> {
+    type Network = RaftClient<M>;
 
-    async fn new_client(&mut self, target: u64, node: &Place) -> Link<M> {
-        Link { network: Arc::clone(&self.network), target, address: node.0, machine: PhantomData }
+    async fn new_client(&mut self, target: u64, node: &NodeAddress) -> RaftClient<M> {
+        RaftClient { network: Arc::clone(&self.network), target, address: node.0, machine: PhantomData }
     }
 }
 
-/// The way to one replica.
-pub(crate) struct Link<M> {
+/// The library's client to one replica.
+pub(crate) struct RaftClient<M> {
     network: Arc<Network>,
     target: u64,
     address: SocketAddr,
     machine: PhantomData<fn() -> M>,
 }
 
-type Sent<A, E = openraft::error::Infallible> = Result<A, RPCError<u64, Place, RaftError<u64, E>>>;
+type RaftResponse<A, E = openraft::error::Infallible> =
+    Result<A, RPCError<u64, NodeAddress, RaftError<u64, E>>>;
 
-impl<M: StateMachine> Link<M> {
-    async fn ask<T: Serialize, A: DeserializeOwned, E: std::error::Error + DeserializeOwned>(
+impl<M: StateMachine> RaftClient<M> {
+    async fn request<T: Serialize, A: DeserializeOwned, E: std::error::Error + DeserializeOwned>(
         &self,
         path: &str,
         message: T,
-    ) -> Sent<A, E> {
-        let answer: Result<Result<A, E>, NoAnswer> =
-            self.network.ask(self.target, self.address, path, message).await;
+    ) -> RaftResponse<A, E> {
+        let answer: Result<Result<A, E>, RequestError> =
+            self.network.request(self.target, self.address, path, message).await;
         match answer {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(e)) => Err(RPCError::RemoteError(RemoteError::new(self.target, RaftError::APIError(e)))),
@@ -210,38 +212,39 @@
     }
 }
 
-impl<M: StateMachine> RaftNetwork<Types<M>> for Link<M> {
+impl<M: StateMachine> RaftNetwork<TypeConfig<M>> for RaftClient<M> {
     async fn append_entries(
         &mut self,
-        rpc: AppendEntriesRequest<Types<M>>,
+        rpc: AppendEntriesRequest<TypeConfig<M>>,
         _: RPCOption,
-    ) -> Sent<AppendEntriesResponse<u64>> {
-        self.ask(APPEND, rpc).await
+    ) -> RaftResponse<AppendEntriesResponse<u64>> {
+        self.request(APPEND_PATH, rpc).await
     }
 
-    async fn vote(&mut self, rpc: VoteRequest<u64>, _: RPCOption) -> Sent<VoteResponse<u64>> {
-        self.ask(VOTE, rpc).await
+    async fn vote(&mut self, rpc: VoteRequest<u64>, _: RPCOption) -> RaftResponse<VoteResponse<u64>> {
+        self.request(VOTE_PATH, rpc).await
     }
 
     async fn install_snapshot(
         &mut self,
-        rpc: InstallSnapshotRequest<Types<M>>,
+        rpc: InstallSnapshotRequest<TypeConfig<M>>,
         _: RPCOption,
-    ) -> Sent<InstallSnapshotResponse<u64>, InstallSnapshotError> {
-        self.ask(SNAPSHOT, rpc).await
+    ) -> RaftResponse<InstallSnapshotResponse<u64>, InstallSnapshotError> {
+        self.request(SNAPSHOT_PATH, rpc).await
     }
 
     fn backoff(&self) -> Backoff {
-        let most = self.network.retry_most.max(RETRY_LEAST);
+        let max = self.network.max_retry_backoff.max(MIN_RETRY_BACKOFF);
         Backoff::new(
-            std::iter::successors(Some(RETRY_LEAST), move |pause| Some((*pause * 2).min(most))).map(jittered),
+            std::iter::successors(Some(MIN_RETRY_BACKOFF), move |delay| Some((*delay * 2).min(max)))
+                .map(with_jitter),
         )
     }
 }
 
-/// Half of the pause to all of it.
-fn jittered(pause: Duration) -> Duration {
+/// Returns a random delay between half of the given one and all of it.
+fn with_jitter(delay: Duration) -> Duration {
     use std::hash::BuildHasher;
-    let draw = std::collections::hash_map::RandomState::new().hash_one(0u8);
-    pause / 2 + (pause / 2).mul_f64(draw as f64 / u64::MAX as f64)
+    let random = std::collections::hash_map::RandomState::new().hash_one(0u8);
+    delay / 2 + (delay / 2).mul_f64(random as f64 / u64::MAX as f64)
 }
--- a/crates/consensus/src/state_machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! Commands into the [`StateMachine`], and its snapshots.
+//! Applies commands to the [`StateMachine`], and takes and installs its snapshots.
 
 use std::fmt::{self, Debug};
 use std::io::Cursor;
@@ -16,158 +16,173 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-use crate::storage::{encode, Disk};
+use crate::storage::{encode, Storage};
 use crate::{ConsensusError, StateMachine};
 
-/// The library's types for a machine.
-pub(crate) struct Types<M>(PhantomData<fn() -> M>);
+/// The library's types for a state machine.
+pub(crate) struct TypeConfig<M>(PhantomData<fn() -> M>);
 
-impl<M> Clone for Types<M> {
+impl<M> Clone for TypeConfig<M> {
     fn clone(&self) -> Self {
         *self
     }
 }
-impl<M> Copy for Types<M> {}
-impl<M> Default for Types<M> {
+impl<M> Copy for TypeConfig<M> {}
+impl<M> Default for TypeConfig<M> {
     fn default() -> Self {
         Self(PhantomData)
     }
 }
-impl<M> Debug for Types<M> {
+impl<M> Debug for TypeConfig<M> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Types")
+        f.write_str("TypeConfig")
     }
 }
-impl<M> PartialEq for Types<M> {
+impl<M> PartialEq for TypeConfig<M> {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
-impl<M> Eq for Types<M> {}
-impl<M> PartialOrd for Types<M> {
+impl<M> Eq for TypeConfig<M> {}
+impl<M> PartialOrd for TypeConfig<M> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl<M> Ord for Types<M> {
+impl<M> Ord for TypeConfig<M> {
     fn cmp(&self, _: &Self) -> std::cmp::Ordering {
         std::cmp::Ordering::Equal
     }
 }
 
-impl<M: StateMachine> RaftTypeConfig for Types<M> {
-    type D = Logged<M::Command>;
+impl<M: StateMachine> RaftTypeConfig for TypeConfig<M> {
+    type D = LogCommand<M::Command>;
     type R = Option<M::Reply>;
     type NodeId = u64;
-    type Node = Place;
+    type Node = NodeAddress;
     type Entry = LogEntry<M>;
     type SnapshotData = Cursor<Vec<u8>>;
     type AsyncRuntime = openraft::TokioRuntime;
     type Responder = openraft::impls::OneshotResponder<Self>;
 }
 
-pub(crate) type LogEntry<M> = openraft::Entry<Types<M>>;
-pub(crate) type Meta = SnapshotMeta<u64, Place>;
-pub(crate) type Members = StoredMembership<u64, Place>;
+pub(crate) type LogEntry<M> = openraft::Entry<TypeConfig<M>>;
+pub(crate) type SnapshotInfo = SnapshotMeta<u64, NodeAddress>;
+pub(crate) type Membership = StoredMembership<u64, NodeAddress>;
 
-/// Where a replica is reached.
+/// Address at which a replica is reached.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
-pub(crate) struct Place(pub(crate) SocketAddr);
+pub(crate) struct NodeAddress(pub(crate) SocketAddr);
 
-impl Default for Place {
+impl Default for NodeAddress {
     fn default() -> Self {
         Self((Ipv4Addr::UNSPECIFIED, 0).into())
     }
 }
 
-/// A command, the one term whose leader may write it, and whether the log of this replica has taken it: the library
-/// answers "not the leader" both before it wrote anything and when it lost leadership after.
+/// A command on the log, optionally valid in a single term only.
+///
+/// It also records whether this replica's log has accepted it: the library answers "not the leader" both before it wrote
+/// anything and after it wrote and then lost leadership.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(bound(serialize = "C: Serialize", deserialize = "C: DeserializeOwned"))]
-pub(crate) struct Logged<C> {
+pub(crate) struct LogCommand<C> {
     command: C,
-    /// An entry of another term's leader is void. Any may write where it is `None`.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    term: Option<u64>,
+    /// The only term in which an entry with this command is valid; any term if `None`.
+    #[serde(default, rename = "term", skip_serializing_if = "Option::is_none")]
+    valid_term: Option<u64>,
     #[serde(skip)]
-    taken: Arc<AtomicBool>,
+    appended: Arc<AtomicBool>,
 }
 
-impl<C> Logged<C> {
-    /// The command, and what tells whether the log took it.
-    pub(crate) fn new(command: C, term: Option<u64>) -> (Self, Arc<AtomicBool>) {
-        let taken = Arc::new(AtomicBool::new(false));
-        (Self { command, term, taken: Arc::clone(&taken) }, taken)
+impl<C> LogCommand<C> {
+    /// Creates a command, and the flag that is set once the log accepts it.
+    pub(crate) fn new(command: C, valid_term: Option<u64>) -> (Self, Arc<AtomicBool>) {
+        let appended = Arc::new(AtomicBool::new(false));
+        (Self { command, valid_term, appended: Arc::clone(&appended) }, appended)
     }
 
-    /// What an entry that was written in this term holds; `None` where it is void.
-    fn written_in(&self, term: u64) -> Option<&C> {
-        self.term.is_none_or(|only| only == term).then_some(&self.command)
+    /// The command of an entry that was written in this term; `None` if the entry is void.
+    fn valid_in(&self, term: u64) -> Option<&C> {
+        self.valid_term.is_none_or(|valid_term| valid_term == term).then_some(&self.command)
     }
 
-    /// The log takes it now.
-    pub(crate) fn taken(&self) {
-        self.taken.store(true, Ordering::Release);
+    /// Notes that the log accepts the command.
+    pub(crate) fn mark_appended(&self) {
+        self.appended.store(true, Ordering::Release);
     }
 }
 
-/// The machine and its version, for readers.
-pub(crate) struct Shared<M> {
+/// The state machine and its version, shared with readers.
+pub(crate) struct SharedState<M> {
     state: RwLock<(M, u64)>,
     version: watch::Sender<u64>,
 }
 
-impl<M> Shared<M> {
+impl<M> SharedState<M> {
+    /// Reads the state machine and its version.
     pub(crate) fn read<R>(&self, f: impl FnOnce(&M, u64) -> R) -> R {
         let state = self.state.read().unwrap_or_else(PoisonError::into_inner);
         f(&state.0, state.1)
     }
 
-    pub(crate) fn version(&self) -> watch::Receiver<u64> {
+    /// Watches the version, which is the index of the last applied entry.
+    pub(crate) fn watch_version(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 }
 
-/// The library's state machine: the machine, and what it was last given.
+/// Connects a [`StateMachine`] to the library.
 pub(crate) struct RaftStateMachineAdapter<M> {
-    shared: Arc<Shared<M>>,
-    disk: Arc<Disk>,
+    shared: Arc<SharedState<M>>,
+    storage: Arc<Storage>,
     replica: u64,
     max_snapshot_bytes: usize,
-    last: Option<LogId<u64>>,
-    members: Members,
+    last_applied: Option<LogId<u64>>,
+    membership: Membership,
 }
 
 impl<M: StateMachine> RaftStateMachineAdapter<M> {
-    /// The state of the disk's snapshot, or `machine` if there is none.
+    /// Restores the stored snapshot, or starts with `machine` if there is none.
     pub(crate) async fn load(
-        disk: Arc<Disk>,
+        storage: Arc<Storage>,
         machine: M,
         replica: u64,
         max_snapshot_bytes: usize,
-    ) -> Result<(Self, Arc<Shared<M>>), ConsensusError> {
-        let (machine, last, members) = match disk.run(|store| store.snapshot()).await? {
-            None => (machine, None, Members::default()),
+    ) -> Result<(Self, Arc<SharedState<M>>), ConsensusError> {
+        let (machine, last_applied, membership) = match storage.run(|store| store.snapshot()).await? {
+            None => (machine, None, Membership::default()),
             Some(snapshot) => {
-                let unreadable = |reason| ConsensusError::Decode { item: "snapshot", reason };
-                let meta: Meta =
-                    serde_json::from_slice(&snapshot.meta).map_err(|e| unreadable(e.to_string()))?;
-                (M::restore(&snapshot.data).map_err(unreadable)?, meta.last_log_id, meta.last_membership)
+                let decode_error = |reason| ConsensusError::Decode { item: "snapshot", reason };
+                let info: SnapshotInfo =
+                    serde_json::from_slice(&snapshot.meta).map_err(|e| decode_error(e.to_string()))?;
+                let machine = M::restore(&snapshot.data).map_err(decode_error)?;
+                (machine, info.last_log_id, info.last_membership)
             }
         };
-        let version = last.map_or(0, |last| last.index);
-        let shared =
-            Arc::new(Shared { state: RwLock::new((machine, version)), version: watch::Sender::new(version) });
-        Ok((Self { shared: Arc::clone(&shared), disk, replica, max_snapshot_bytes, last, members }, shared))
+        let version = last_applied.map_or(0, |log_id| log_id.index);
+        let shared = Arc::new(SharedState {
+            state: RwLock::new((machine, version)),
+            version: watch::Sender::new(version),
+        });
+        let adapter = Self {
+            shared: Arc::clone(&shared),
+            storage,
+            replica,
+            max_snapshot_bytes,
+            last_applied,
+            membership,
+        };
+        Ok((adapter, shared))
     }
 }
 
-impl<M: StateMachine> RaftStateMachine<Types<M>> for RaftStateMachineAdapter<M> {
-    type SnapshotBuilder = Capture<M>;
+impl<M: StateMachine> RaftStateMachine<TypeConfig<M>> for RaftStateMachineAdapter<M> {
+    type SnapshotBuilder = SnapshotBuilder<M>;
 
-    async fn applied_state(&mut self) -> Result<(Option<LogId<u64>>, Members), StorageError<u64>> {
-        Ok((self.last, self.members.clone()))
+    async fn applied_state(&mut self) -> Result<(Option<LogId<u64>>, Membership), StorageError<u64>> {
+        Ok((self.last_applied, self.membership.clone()))
     }
 
     async fn apply<I>(&mut self, entries: I) -> Result<Vec<Option<M::Reply>>, StorageError<u64>>
@@ -181,38 +196,38 @@
             let mut state = self.shared.state.write().unwrap_or_else(PoisonError::into_inner);
             replies.push(match entry.payload {
                 EntryPayload::Blank => None,
-                EntryPayload::Normal(logged) => {
-                    let command = logged.written_in(entry.log_id.leader_id.term);
+                EntryPayload::Normal(command) => {
+                    let command = command.valid_in(entry.log_id.leader_id.term);
                     command.map(|command| state.0.apply(index, command))
                 }
-                EntryPayload::Membership(members) => {
-                    self.members = Members::new(Some(entry.log_id), members);
+                EntryPayload::Membership(membership) => {
+                    self.membership = Membership::new(Some(entry.log_id), membership);
                     None
                 }
             });
             state.1 = index;
-            self.last = Some(entry.log_id);
+            self.last_applied = Some(entry.log_id);
         }
-        if let Some(last) = self.last {
-            self.shared.version.send_replace(last.index);
+        if let Some(last_applied) = self.last_applied {
+            self.shared.version.send_replace(last_applied.index);
         }
         Ok(replies)
     }
 
-    async fn get_snapshot_builder(&mut self) -> Capture<M> {
-        Capture {
-            meta: Meta {
-                last_log_id: self.last,
-                last_membership: self.members.clone(),
+    async fn get_snapshot_builder(&mut self) -> SnapshotBuilder<M> {
+        SnapshotBuilder {
+            info: SnapshotInfo {
+                last_log_id: self.last_applied,
+                last_membership: self.membership.clone(),
                 snapshot_id: format!(
                     "{}-{}",
-                    self.last.map_or_else(String::new, |last| last.to_string()),
+                    self.last_applied.map_or_else(String::new, |log_id| log_id.to_string()),
                     self.replica
                 ),
             },
             data: self.shared.read(|machine, _| machine.snapshot()),
-            disk: Arc::clone(&self.disk),
-            most: self.max_snapshot_bytes,
+            storage: Arc::clone(&self.storage),
+            max_bytes: self.max_snapshot_bytes,
             machine: PhantomData,
         }
     }
@@ -223,75 +238,75 @@
 
     async fn install_snapshot(
         &mut self,
-        meta: &Meta,
+        info: &SnapshotInfo,
         data: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError<u64>> {
         let data = data.into_inner();
-        let subject = || ErrorSubject::Snapshot(Some(meta.signature()));
+        let subject = || ErrorSubject::Snapshot(Some(info.signature()));
         let machine = M::restore(&data).map_err(|reason| {
-            let what = ConsensusError::Decode { item: "leader's snapshot", reason };
-            self.disk.broken(
-                what,
-                "bring all replicas to one version of the program",
+            let error = ConsensusError::Decode { item: "leader's snapshot", reason };
+            self.storage.fail(
+                error,
+                "bring all replicas to the same version of the program",
                 subject(),
                 ErrorVerb::Read,
             )
         })?;
-        let head = encode(meta);
-        self.disk
-            .write(move |store| store.save_snapshot(&head, &data))
+        let meta = encode(info);
+        self.storage
+            .write(move |store| store.save_snapshot(&meta, &data))
             .await
-            .map_err(|e| self.disk.failed(e, subject(), ErrorVerb::Write))?;
-        let version = meta.last_log_id.map_or(0, |last| last.index);
+            .map_err(|e| self.storage.fail_store(e, subject(), ErrorVerb::Write))?;
+        let version = info.last_log_id.map_or(0, |log_id| log_id.index);
         *self.shared.state.write().unwrap_or_else(PoisonError::into_inner) = (machine, version);
-        self.last = meta.last_log_id;
-        self.members = meta.last_membership.clone();
+        self.last_applied = info.last_log_id;
+        self.membership = info.last_membership.clone();
         self.shared.version.send_replace(version);
         Ok(())
     }
 
-    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Types<M>>>, StorageError<u64>> {
-        let failed = |e| self.disk.failed(e, ErrorSubject::Snapshot(None), ErrorVerb::Read);
-        let Some(snapshot) = self.disk.run(|store| store.snapshot()).await.map_err(failed)? else {
+    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<TypeConfig<M>>>, StorageError<u64>> {
+        let failed = |e| self.storage.fail_store(e, ErrorSubject::Snapshot(None), ErrorVerb::Read);
+        let Some(snapshot) = self.storage.run(|store| store.snapshot()).await.map_err(failed)? else {
             return Ok(None);
         };
-        let meta = self.disk.decode(&snapshot.meta, ErrorSubject::Snapshot(None))?;
+        let meta = self.storage.decode(&snapshot.meta, ErrorSubject::Snapshot(None))?;
         Ok(Some(Snapshot { meta, snapshot: Box::new(Cursor::new(snapshot.data)) }))
     }
 }
 
-/// The state at one entry, to be written as the snapshot.
-pub(crate) struct Capture<M> {
-    meta: Meta,
+/// The state at one entry, to be saved as the snapshot.
+pub(crate) struct SnapshotBuilder<M> {
+    info: SnapshotInfo,
     data: Vec<u8>,
-    disk: Arc<Disk>,
-    most: usize,
+    storage: Arc<Storage>,
+    max_bytes: usize,
     machine: PhantomData<fn() -> M>,
 }
 
-impl<M: StateMachine> RaftSnapshotBuilder<Types<M>> for Capture<M> {
-    async fn build_snapshot(&mut self) -> Result<Snapshot<Types<M>>, StorageError<u64>> {
-        let subject = || ErrorSubject::Snapshot(Some(self.meta.signature()));
-        if self.data.len() > self.most {
-            let what = std::io::Error::other(format!(
-                "a state of {} bytes, and at most {} are kept",
+impl<M: StateMachine> RaftSnapshotBuilder<TypeConfig<M>> for SnapshotBuilder<M> {
+    async fn build_snapshot(&mut self) -> Result<Snapshot<TypeConfig<M>>, StorageError<u64>> {
+        let subject = || ErrorSubject::Snapshot(Some(self.info.signature()));
+        if self.data.len() > self.max_bytes {
+            let error = std::io::Error::other(format!(
+                "the state has {} bytes, and the limit of a snapshot is {}",
                 self.data.len(),
-                self.most
+                self.max_bytes
             ));
-            return Err(self.disk.broken(
-                what,
-                "raise the bound of a snapshot, or remove what is not needed",
+            return Err(self.storage.fail(
+                error,
+                "raise the limit of a snapshot, or remove what is not needed",
                 subject(),
                 ErrorVerb::Write,
             ));
         }
-        let head = encode(&self.meta);
+        let meta = encode(&self.info);
         let data = Arc::new(std::mem::take(&mut self.data));
-        let kept = Arc::clone(&data);
-        self.disk
-            .write(move |store| store.save_snapshot(&head, &kept))
+        let saved = Arc::clone(&data);
+        self.storage
+            .write(move |store| store.save_snapshot(&meta, &saved))
             .await
-            .map_err(|e| self.disk.failed(e, subject(), ErrorVerb::Write))?;
-        Ok(Snapshot { meta: self.meta.clone(), snapshot: Box::new(Cursor::new(data.to_vec())) })
+            .map_err(|e| self.storage.fail_store(e, subject(), ErrorVerb::Write))?;
+        Ok(Snapshot { meta: self.info.clone(), snapshot: Box::new(Cursor::new(data.to_vec())) })
     }
 }
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -1,70 +1,76 @@
-//! What replicas say to each other: the library's messages as JSON, with who sends them to whom.
+//! Messages between replicas: the library's messages as JSON, with sender and recipient.
 
 use bytes::Bytes;
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 
-use crate::identity::{Identity, Sender, Stranger};
+use crate::identity::{Identity, IdentityError, Sender};
 use crate::storage::encode;
 
-/// The most bytes of a message's body; an edge cuts off what is larger.
+/// Maximum size of a message's body, in bytes; the HTTP server refuses larger ones.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
-/// The bytes of a snapshot in one message; as JSON they are up to four times as many.
-pub(crate) const CHUNK: u64 = 512 << 10;
+/// Size of the snapshot data in one message, in bytes; as JSON it is up to four times as large.
+pub(crate) const SNAPSHOT_CHUNK_BYTES: u64 = 512 << 10;
 
-pub(crate) const APPEND: &str = "/raft/append";
-pub(crate) const VOTE: &str = "/raft/vote";
-pub(crate) const SNAPSHOT: &str = "/raft/snapshot";
+/// Path of requests to append log entries.
+pub(crate) const APPEND_PATH: &str = "/raft/append";
+/// Path of requests for votes.
+pub(crate) const VOTE_PATH: &str = "/raft/vote";
+/// Path of requests to install a chunk of a snapshot.
+pub(crate) const SNAPSHOT_PATH: &str = "/raft/snapshot";
 
 /// A message to a replica.
 #[derive(Deserialize, Serialize)]
-pub(crate) struct Letter<T> {
+pub(crate) struct Envelope<T> {
     pub(crate) from: Sender,
     pub(crate) to: u64,
     pub(crate) message: T,
 }
 
-/// A replica's answer.
+/// A replica's response.
 #[derive(Deserialize, Serialize)]
 pub(crate) struct Reply<T> {
     pub(crate) from: Sender,
     pub(crate) answer: T,
 }
 
-/// Why there is no answer.
+/// The body of an error response.
 #[derive(Deserialize, Serialize)]
 pub(crate) struct Refusal {
     pub(crate) error: String,
 }
 
-/// Opens a letter, if it is for this replica and from one that may write to it.
+/// Decodes a message, and checks that its sender is accepted and that it is for this replica.
+///
+/// # Errors
+/// The error response to send.
 pub(crate) async fn open<T: for<'a> Deserialize<'a>>(
-    me: &Identity,
+    identity: &Identity,
     body: &[u8],
 ) -> Result<T, (StatusCode, Bytes)> {
-    /// Enough to name a sender whose messages can't be read.
+    /// Names the sender of a message that cannot be decoded otherwise.
     #[derive(Deserialize)]
-    struct Envelope {
+    struct SenderOnly {
         from: Sender,
     }
-    let stranger = |e: Stranger| refuse(StatusCode::CONFLICT, &e);
-    let letter: Letter<T> = match serde_json::from_slice(body) {
-        Ok(letter) => letter,
+    let conflict = |e: IdentityError| refuse(StatusCode::CONFLICT, &e);
+    let envelope: Envelope<T> = match serde_json::from_slice(body) {
+        Ok(envelope) => envelope,
         Err(e) => {
-            if let Ok(Envelope { from }) = serde_json::from_slice(body) {
-                me.meet(&from).await.map_err(stranger)?;
+            if let Ok(SenderOnly { from }) = serde_json::from_slice(body) {
+                identity.check_and_learn(&from).await.map_err(conflict)?;
             }
             return Err(refuse(StatusCode::BAD_REQUEST, &format_args!("not a message of a replica: {e}")));
         }
     };
-    me.meet(&letter.from).await.map_err(stranger)?;
-    if letter.to != me.id() {
-        return Err(stranger(Stranger::Misdirected { wanted: letter.to, here: me.id() }));
+    identity.check_and_learn(&envelope.from).await.map_err(conflict)?;
+    if envelope.to != identity.id() {
+        return Err(conflict(IdentityError::Misdirected { wanted: envelope.to, here: identity.id() }));
     }
-    Ok(letter.message)
+    Ok(envelope.message)
 }
 
-/// A refusal, as it goes out.
+/// Builds an error response.
 pub(crate) fn refuse(status: StatusCode, reason: &impl ToString) -> (StatusCode, Bytes) {
     (status, encode(&Refusal { error: reason.to_string() }).into())
 }
--- a/crates/consensus/tests/outage.rs
+++ b/crates/consensus/tests/outage.rs
@@ -1,4 +1,4 @@
-//! How long writes stop when the leader is killed; a measure, run by hand.
+//! Measures how long writes stop when the leader is killed; run by hand.
 
 mod support;
 
@@ -7,25 +7,25 @@
 use support::Group;
 
 #[tokio::test]
-#[ignore = "a measure of some 40 s: cargo test -p consensus --test outage -- --ignored --nocapture"]
-async fn writes_stop_for_a_short_time() {
+#[ignore = "a measurement of some 40 s: cargo test -p consensus --test outage -- --ignored --nocapture"]
+async fn writes_stop_briefly_when_the_leader_is_killed() {
     let group = Group::started(3, |_| {});
     let mut acknowledged = vec![group.write().await];
     let mut gaps = Vec::new();
     for _ in 0..20 {
         let leader = group.leader().await;
-        for id in group.places.keys() {
-            group.applied(*id, acknowledged.last().expect("some").1).await;
+        for id in group.slots.keys() {
+            group.wait_until_applied(*id, acknowledged.last().expect("some").1).await;
         }
         let killed = Instant::now();
-        group.place(leader).kill();
+        group.slot(leader).kill();
         acknowledged.push(group.write().await);
         gaps.push(killed.elapsed());
-        group.place(leader).start().expect("it starts again");
+        group.slot(leader).start().expect("it starts again");
         acknowledged.push(group.write().await);
     }
     gaps.sort();
     println!("time without writes over 20 kills: p50 {:?}, p99 {:?}", gaps[9], gaps[19]);
     assert!(gaps[19] < Duration::from_secs(5), "{gaps:?}");
-    group.agree(&acknowledged).await;
+    group.assert_agreement(&acknowledged).await;
 }
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Replicas over real sockets on loopback, each with a runtime of its own, so that one can be killed in the middle of
-//! whatever it does, or stand still as a stopped process does.
+//! Replicas over real sockets on loopback, each with its own runtime, so that one can be killed at any point or suspended
+//! like a stopped process.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
@@ -21,35 +21,36 @@
 use tokio::runtime::{Builder, Handle};
 use tokio::sync::oneshot;
 
-/// The most time that anything in a test may take, on a busy machine too.
-pub const PATIENCE: Duration = Duration::from_secs(120);
+/// Timeout of every wait in a test, far longer than anything takes even on a busy machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A command of the tests: a number that is used once, and bytes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Note {
+pub struct TestCommand {
     pub number: u64,
     pub bytes: String,
 }
 
-/// A machine that keeps the numbers in the order in which they were applied.
+/// A state machine that keeps the numbers in the order in which they were applied.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Book {
-    pub notes: Vec<(u64, u64)>,
+pub struct TestState {
+    /// Version and number of each applied command.
+    pub applied: Vec<(u64, u64)>,
     pub bytes: String,
 }
 
-impl StateMachine for Book {
-    type Command = Note;
+impl StateMachine for TestState {
+    type Command = TestCommand;
     type Reply = usize;
 
-    fn apply(&mut self, version: u64, command: &Note) -> usize {
-        self.notes.push((version, command.number));
+    fn apply(&mut self, version: u64, command: &TestCommand) -> usize {
+        self.applied.push((version, command.number));
         self.bytes.push_str(&command.bytes);
-        self.notes.len()
+        self.applied.len()
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a book is plain data")
+        serde_json::to_vec(self).expect("plain data")
     }
 
     fn restore(bytes: &[u8]) -> Result<Self, String> {
@@ -57,28 +58,28 @@
     }
 }
 
-/// Opens the store of a replica; other than a directory for tests of faults.
-pub type Opener = Arc<dyn Fn(&Owner) -> Store + Send + Sync>;
+/// Opens the store of a replica; tests of disk faults replace the one that opens a directory.
+pub type OpenStore = Arc<dyn Fn(&Owner) -> Store + Send + Sync>;
 
-/// One place for a replica: its configuration and disk, and the process that runs there, if any.
-pub struct Place {
+/// A slot for a replica: its configuration and disk, and the running replica, if any.
+pub struct ReplicaSlot {
     pub config: ReplicaConfig,
-    /// Where it listens; differs from its address if a relay is between.
+    /// Address it listens at; differs from the configured address if there is a relay in between.
     pub listen: SocketAddr,
-    pub disk: Opener,
+    pub open_store: OpenStore,
     running: Mutex<Option<Running>>,
     _dir: Option<TempDir>,
 }
 
 struct Running {
-    replica: Replica<Book>,
+    replica: Replica<TestState>,
     handle: Handle,
     end: oneshot::Sender<()>,
     thread: std::thread::JoinHandle<()>,
 }
 
-/// An address that is free now, on a loopback address of its own for each call.
-pub fn free() -> SocketAddr {
+/// Returns an address that is free now, on another loopback address for each call.
+pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let pid = std::process::id();
     let host = [
@@ -92,51 +93,50 @@
         .expect("a free port on loopback")
 }
 
-impl Place {
+impl ReplicaSlot {
     pub fn new(config: ReplicaConfig) -> Self {
         let dir = tempfile::tempdir().expect("a directory");
         let path = dir.path().to_owned();
-        let disk = move |owner: &Owner| Store::open(&path, owner).expect("the store opens");
+        let open_store = move |owner: &Owner| Store::open(&path, owner).expect("the store opens");
         Self {
             listen: config.address,
             config,
-            disk: Arc::new(disk),
+            open_store: Arc::new(open_store),
             running: Mutex::default(),
             _dir: Some(dir),
         }
     }
 
-    /// Starts the replica here, as a process of its own would.
+    /// Starts the replica, like a process of its own.
     pub fn start(&self) -> Result<(), ConsensusError> {
-        let (config, listen, disk) = (self.config.clone(), self.listen, Arc::clone(&self.disk));
+        let (config, listen, open_store) = (self.config.clone(), self.listen, Arc::clone(&self.open_store));
         let (end, ended) = oneshot::channel();
-        let (started, up) = std::sync::mpsc::channel();
+        let (started, start_result) = std::sync::mpsc::channel();
         let thread = std::thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
             runtime.block_on(async {
                 let owner = Owner { cluster: config.cluster.clone(), replica: config.id };
-                // Store calls of the process before may still be ending.
+                // Store calls of the replica that ran here before may still be ending.
                 let listener = tokio::net::TcpListener::bind(listen).await.expect("the port is free again");
-                match Replica::start(config, disk(&owner), Book::default()).await {
+                match Replica::start(config, open_store(&owner), TestState::default()).await {
                     Ok(replica) => {
-                        tokio::spawn(listen_for(listener, replica.clone()));
+                        tokio::spawn(serve(listener, replica.clone()));
                         started.send(Ok((replica, Handle::current()))).expect("the test waits");
                         let _ = ended.await;
                     }
                     Err(e) => started.send(Err(e)).expect("the test waits"),
                 }
             });
-            runtime.shutdown_timeout(PATIENCE);
+            runtime.shutdown_timeout(TEST_TIMEOUT);
         });
-        let (replica, handle) = up.recv().expect("the replica's thread runs")?;
-        *self.running.lock().expect("no test panics with it") =
-            Some(Running { replica, handle, end, thread });
+        let (replica, handle) = start_result.recv().expect("the replica's thread runs")?;
+        *self.running.lock().expect("not poisoned") = Some(Running { replica, handle, end, thread });
         Ok(())
     }
 
-    /// Ends it at once, wherever it is.
+    /// Ends the replica at once, wherever it is.
     pub fn kill(&self) {
-        if let Some(running) = self.running.lock().expect("no test panics with it").take() {
+        if let Some(running) = self.running.lock().expect("not poisoned").take() {
             let Running { replica, end, thread, .. } = running;
             drop(replica);
             let _ = end.send(());
@@ -144,32 +144,32 @@
         }
     }
 
-    /// Lets it stand still, as a stopped process does, until the answer is dropped; only what is at the disk goes on.
-    /// Returns once it stands.
-    pub fn freeze(&self) -> std::sync::mpsc::Sender<()> {
-        let (go_on, held) = std::sync::mpsc::channel();
-        let (stands, stood) = std::sync::mpsc::channel();
-        let guard = self.running.lock().expect("no test panics with it");
-        guard.as_ref().expect("it runs").handle.spawn(async move {
-            let _ = stands.send(());
-            let _ = held.recv();
+    /// Suspends the replica, like a stopped process, until the returned sender is dropped; only store calls in progress
+    /// continue. Returns once it is suspended.
+    pub fn suspend(&self) -> std::sync::mpsc::Sender<()> {
+        let (resume, resumed) = std::sync::mpsc::channel();
+        let (suspend, suspended) = std::sync::mpsc::channel();
+        let guard = self.running.lock().expect("not poisoned");
+        guard.as_ref().expect("the replica runs").handle.spawn(async move {
+            let _ = suspend.send(());
+            let _ = resumed.recv();
         });
-        stood.recv().expect("it runs until it stands");
-        go_on
+        suspended.recv().expect("the replica runs until it is suspended");
+        resume
     }
 
-    pub fn replica(&self) -> Option<Replica<Book>> {
-        self.running.lock().expect("no test panics with it").as_ref().map(|running| running.replica.clone())
+    pub fn replica(&self) -> Option<Replica<TestState>> {
+        self.running.lock().expect("not poisoned").as_ref().map(|running| running.replica.clone())
     }
 
-    /// Runs a call on the replica's own runtime; `None` if it is not running, or is killed meanwhile.
-    pub async fn call<T, F>(&self, f: impl FnOnce(Replica<Book>) -> F) -> Option<T>
+    /// Runs a call on the replica's own runtime; `None` if it does not run, or is killed meanwhile.
+    pub async fn call<T, F>(&self, f: impl FnOnce(Replica<TestState>) -> F) -> Option<T>
     where
         T: Send + 'static,
         F: Future<Output = T> + Send + 'static,
     {
         let call = {
-            let guard = self.running.lock().expect("no test panics with it");
+            let guard = self.running.lock().expect("not poisoned");
             let running = guard.as_ref()?;
             running.handle.spawn(f(running.replica.clone()))
         };
@@ -177,16 +177,18 @@
     }
 
     pub async fn write(&self, number: u64) -> Option<Result<(u64, usize), WriteError>> {
-        self.call(move |replica| async move { replica.write(Note { number, bytes: String::new() }).await })
-            .await
+        self.call(
+            move |replica| async move { replica.write(TestCommand { number, bytes: String::new() }).await },
+        )
+        .await
     }
 
-    pub fn book(&self) -> Book {
-        self.replica().map_or_else(Book::default, |replica| replica.read(|book, _| book.clone()))
+    pub fn state(&self) -> TestState {
+        self.replica().map_or_else(TestState::default, |replica| replica.read(|state, _| state.clone()))
     }
 }
 
-impl Drop for Place {
+impl Drop for ReplicaSlot {
     fn drop(&mut self) {
         if !std::thread::panicking() {
             self.kill();
@@ -194,11 +196,12 @@
     }
 }
 
-async fn listen_for(listener: tokio::net::TcpListener, replica: Replica<Book>) {
+/// Passes HTTP requests to the replica.
+async fn serve(listener: tokio::net::TcpListener, replica: Replica<TestState>) {
     while let Ok((stream, _)) = listener.accept().await {
         let replica = replica.clone();
         tokio::spawn(async move {
-            let serve = hyper::service::service_fn(move |request: Request<Incoming>| {
+            let service = hyper::service::service_fn(move |request: Request<Incoming>| {
                 let replica = replica.clone();
                 async move {
                     let path = request.uri().path().to_owned();
@@ -210,7 +213,7 @@
                 }
             });
             let _ = hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), serve)
+                .serve_connection(TokioIo::new(stream), service)
                 .await;
         });
     }
@@ -218,174 +221,178 @@
 
 /// A group of replicas on loopback.
 pub struct Group {
-    pub places: BTreeMap<u64, Place>,
-    next: AtomicU64,
+    pub slots: BTreeMap<u64, ReplicaSlot>,
+    next_number: AtomicU64,
 }
 
 impl Group {
-    /// `count` places, their ids from 1 on, not started; `set` changes their configurations.
-    pub fn new(count: u64, set: impl Fn(&mut ReplicaConfig)) -> Self {
-        let peers: BTreeMap<u64, SocketAddr> = (1..=count).map(|id| (id, free())).collect();
-        let place = |(&id, &address): (&u64, &SocketAddr)| {
+    /// Creates `count` replicas with ids from 1, not started; `configure` changes their configurations.
+    pub fn new(count: u64, configure: impl Fn(&mut ReplicaConfig)) -> Self {
+        let peers: BTreeMap<u64, SocketAddr> = (1..=count).map(|id| (id, free_address())).collect();
+        let slot = |(&id, &address): (&u64, &SocketAddr)| {
             let mut config = ReplicaConfig::new(id, "test", address, peers.clone());
-            set(&mut config);
-            (id, Place::new(config))
+            configure(&mut config);
+            (id, ReplicaSlot::new(config))
         };
-        Self { places: peers.iter().map(place).collect(), next: AtomicU64::new(1) }
+        Self { slots: peers.iter().map(slot).collect(), next_number: AtomicU64::new(1) }
     }
 
     /// The same, started.
-    pub fn started(count: u64, set: impl Fn(&mut ReplicaConfig)) -> Self {
-        let group = Self::new(count, set);
-        for place in group.places.values() {
-            place.start().expect("it starts");
+    pub fn started(count: u64, configure: impl Fn(&mut ReplicaConfig)) -> Self {
+        let group = Self::new(count, configure);
+        for slot in group.slots.values() {
+            slot.start().expect("it starts");
         }
         group
     }
 
-    pub fn place(&self, id: u64) -> &Place {
-        &self.places[&id]
+    pub fn slot(&self, id: u64) -> &ReplicaSlot {
+        &self.slots[&id]
     }
 
-    /// A number that was not used before.
-    pub fn number(&self) -> u64 {
-        self.next.fetch_add(1, Ordering::Relaxed)
+    /// Returns a number that was not used before.
+    pub fn next_number(&self) -> u64 {
+        self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Writes at the leader, wherever it is; tries until it is acknowledged. The number that was, with its version:
-    /// what may have been written is not written again.
+    /// Writes at whichever replica leads, and tries until a write is acknowledged. Returns its number and version: a
+    /// number that may have been written is not written again.
     pub async fn write(&self) -> (u64, u64) {
-        self.write_at(&self.places.keys().copied().collect::<Vec<_>>()).await
+        self.write_at(&self.slots.keys().copied().collect::<Vec<_>>()).await
     }
 
     /// The same, at these replicas only.
     pub async fn write_at(&self, ids: &[u64]) -> (u64, u64) {
-        let end = Instant::now() + PATIENCE;
-        let mut number = self.number();
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        let mut number = self.next_number();
         loop {
             for id in ids {
-                match self.place(*id).write(number).await {
+                match self.slot(*id).write(number).await {
                     Some(Ok((version, _))) => return (number, version),
                     Some(Err(WriteError::NotLeader { .. })) => {}
-                    _ => number = self.number(),
+                    _ => number = self.next_number(),
                 }
             }
-            assert!(Instant::now() < end, "no write was acknowledged");
+            assert!(Instant::now() < deadline, "no write was acknowledged");
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 
-    /// The leader that a majority confirms.
+    /// Waits for a leader that a majority confirms.
     pub async fn leader(&self) -> u64 {
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            for (id, place) in &self.places {
-                if place.call(|replica| async move { replica.confirm_leadership().await }).await
-                    == Some(Ok(()))
-                {
+            for (id, slot) in &self.slots {
+                let confirmed = slot.call(|replica| async move { replica.confirm_leadership().await }).await;
+                if confirmed == Some(Ok(())) {
                     return *id;
                 }
             }
-            assert!(Instant::now() < end, "no replica leads");
+            assert!(Instant::now() < deadline, "no replica leads");
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 
-    /// Makes the call at the leader until it is done, wherever the leader goes meanwhile.
-    pub async fn at_leader<F>(&self, call: impl Fn(Replica<Book>) -> F)
+    /// Repeats a call at whichever replica leads until it succeeds.
+    pub async fn at_leader<F>(&self, call: impl Fn(Replica<TestState>) -> F)
     where
         F: Future<Output = Result<(), WriteError>> + Send + 'static,
     {
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             let leader = self.leader().await;
-            match self.place(leader).call(&call).await {
+            match self.slot(leader).call(&call).await {
                 Some(Ok(())) => return,
-                other => assert!(Instant::now() < end, "{other:?}"),
+                other => assert!(Instant::now() < deadline, "{other:?}"),
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Waits until the replica has applied `version`.
-    pub async fn applied(&self, id: u64, version: u64) {
-        let replica = self.place(id).replica().expect("it runs");
+    /// Waits until a replica has applied `version`.
+    pub async fn wait_until_applied(&self, id: u64, version: u64) {
+        let replica = self.slot(id).replica().expect("it runs");
         let mut applied = replica.watch_applied();
-        let reached = tokio::time::timeout(PATIENCE, applied.wait_for(|applied| *applied >= version)).await;
+        let reached =
+            tokio::time::timeout(TEST_TIMEOUT, applied.wait_for(|applied| *applied >= version)).await;
         if reached.is_err() {
-            let all: Vec<_> =
-                self.places.values().filter_map(Place::replica).map(|replica| replica.status()).collect();
+            let all: Vec<_> = self
+                .slots
+                .values()
+                .filter_map(ReplicaSlot::replica)
+                .map(|replica| replica.status())
+                .collect();
             panic!("replica {id} has not applied {version}: {all:#?}");
         }
     }
 
-    /// Waits until the replica's status is as `wanted`.
-    pub async fn status(&self, id: u64, wanted: impl Fn(&Status) -> bool) -> Status {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until the status of a replica fulfills a condition.
+    pub async fn wait_for_status(&self, id: u64, condition: impl Fn(&Status) -> bool) -> Status {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let status = self.place(id).replica().expect("it runs").status();
-            if wanted(&status) {
+            let status = self.slot(id).replica().expect("it runs").status();
+            if condition(&status) {
                 return status;
             }
-            assert!(Instant::now() < end, "{status:?}");
+            assert!(Instant::now() < deadline, "{status:?}");
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 
     /// Writes until all running replicas have a snapshot at `version` or later.
-    pub async fn snapshots_beyond(&self, version: u64) {
-        let behind = |place: &Place| {
-            let replica = place.replica();
+    pub async fn write_until_snapshots_reach(&self, version: u64) {
+        let is_behind = |slot: &ReplicaSlot| {
+            let replica = slot.replica();
             replica.is_some_and(|replica| {
                 replica.status().snapshot_index.is_none_or(|snapshot| snapshot < version)
             })
         };
-        let end = Instant::now() + PATIENCE;
-        while self.places.values().any(behind) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        while self.slots.values().any(is_behind) {
             self.write().await;
-            assert!(Instant::now() < end, "no snapshot");
+            assert!(Instant::now() < deadline, "no snapshot");
         }
     }
 
-    /// Writes as [`Group::write`], with as many bytes.
+    /// As [`Group::write`], with this many bytes in the command.
     pub async fn write_bytes(&self, bytes: usize) -> (u64, u64) {
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            for place in self.places.values() {
-                let note = Note { number: self.number(), bytes: "x".repeat(bytes) };
-                let number = note.number;
-                let written = place.call(|replica| async move { replica.write(note).await }).await;
+            for slot in self.slots.values() {
+                let command = TestCommand { number: self.next_number(), bytes: "x".repeat(bytes) };
+                let number = command.number;
+                let written = slot.call(|replica| async move { replica.write(command).await }).await;
                 if let Some(Ok((version, _))) = written {
                     return (number, version);
                 }
             }
-            assert!(Instant::now() < end, "no write was acknowledged");
+            assert!(Instant::now() < deadline, "no write was acknowledged");
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 
-    /// Checks that all running replicas hold the same, with each acknowledged number once, at its version.
-    pub async fn agree(&self, acknowledged: &[(u64, u64)]) {
+    /// Asserts that all running replicas hold the same, with each acknowledged number once, at its version.
+    pub async fn assert_agreement(&self, acknowledged: &[(u64, u64)]) {
         let (_, last) = self.write().await;
-        let mut same: Option<Book> = None;
-        for (id, place) in &self.places {
-            if place.replica().is_none() {
+        let mut first_state: Option<TestState> = None;
+        for (id, slot) in &self.slots {
+            if slot.replica().is_none() {
                 continue;
             }
-            self.applied(*id, last).await;
-            let book = place.book();
-            let same = same.get_or_insert_with(|| book.clone());
-            assert_eq!(same.notes, book.notes, "replica {id} differs");
+            self.wait_until_applied(*id, last).await;
+            let state = slot.state();
+            let first_state = first_state.get_or_insert_with(|| state.clone());
+            assert_eq!(first_state.applied, state.applied, "replica {id} differs");
         }
-        let notes = same.expect("a replica runs").notes;
+        let applied = first_state.expect("a replica runs").applied;
         for acknowledged in acknowledged {
-            let found: Vec<_> = notes.iter().filter(|(_, number)| *number == acknowledged.0).collect();
+            let found: Vec<_> = applied.iter().filter(|(_, number)| *number == acknowledged.0).collect();
             assert_eq!(found, [&(acknowledged.1, acknowledged.0)], "an acknowledged write");
         }
     }
 }
 
-/// A letter of a replica, as it is sent.
-pub fn letter(body: serde_json::Value) -> Bytes {
-    serde_json::to_vec(&body).expect("plain JSON").into()
+/// Encodes a message of a replica as it is sent.
+pub fn encode_message(message: serde_json::Value) -> Bytes {
+    serde_json::to_vec(&message).expect("plain JSON").into()
 }
