--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -1,4 +1,4 @@
-//! One way of one connection.
+//! Forwards one direction of a connection.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,44 +10,41 @@
 
 use crate::{Forwarding, LinkFault, State, MAX_BUFFERED_BYTES};
 
-/// Bytes that are read at a time.
-const CHUNK: usize = 16 << 10;
-/// How many writes a second a slow way makes, so that it is slow evenly.
-const STEPS: u64 = 100;
+/// Maximum number of bytes that are read at a time.
+const READ_CHUNK_BYTES: usize = 16 << 10;
+/// Number of writes per second under a rate limit, so that the flow is even.
+const RATE_LIMIT_WRITES_PER_S: u64 = 100;
 
-/// Why a connection ends before both ways are done.
-pub(crate) enum End {
-    /// To be reset at both ends.
-    Reset,
-}
+/// The connection must be reset at both ends.
+pub(crate) struct ConnectionReset;
 
 /// The relay's state as one connection sees it.
 #[derive(Clone)]
-pub(crate) struct Seen {
+pub(crate) struct StateView {
     state: watch::Receiver<State>,
-    /// Resets before this connection.
-    resets: u64,
+    /// The relay's reset count when the connection was accepted.
+    reset_count: u64,
 }
 
-impl Seen {
+impl StateView {
     pub(crate) fn new(state: watch::Receiver<State>) -> Self {
-        let resets = state.borrow().resets;
-        Self { state, resets }
+        let reset_count = state.borrow().reset_count;
+        Self { state, reset_count }
     }
 
-    /// What holds now.
+    /// The current state.
     ///
     /// # Errors
-    /// The connection is to be reset.
-    pub(crate) fn now(&mut self) -> Result<State, End> {
+    /// The connections were reset since this one was accepted.
+    pub(crate) fn current(&mut self) -> Result<State, ConnectionReset> {
         let state = *self.state.borrow_and_update();
-        if state.resets > self.resets {
-            return Err(End::Reset);
+        if state.reset_count > self.reset_count {
+            return Err(ConnectionReset);
         }
         Ok(state)
     }
 
-    /// Waits until something else holds; never returns once the relay has ended, as its connections end with it.
+    /// Waits for a change of the state. Never returns once the relay has ended, as its connections end with it.
     pub(crate) async fn changed(&mut self) {
         if self.state.changed().await.is_err() {
             std::future::pending().await
@@ -55,92 +52,100 @@
     }
 }
 
-/// Bytes, and when they came; none are the sender's end.
-struct Piece {
-    at: Instant,
+/// Buffered bytes with their arrival time; no bytes stand for the sender's end of stream.
+struct Chunk {
+    received_at: Instant,
     bytes: Vec<u8>,
-    /// How many have passed.
-    passed: usize,
+    /// Number of its bytes that were forwarded.
+    forwarded: usize,
 }
 
-/// Passes bytes on until the sender's end has passed too.
+/// Forwards bytes until the sender's end of stream is forwarded too.
 ///
 /// # Errors
-/// The connection is to be reset.
-pub(crate) async fn pump(
+/// The connection must be reset.
+pub(crate) async fn forward(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
-    mut seen: Seen,
-    way: fn(&LinkFault) -> Forwarding,
-) -> Result<(), End> {
-    let mut held: VecDeque<Piece> = VecDeque::new();
-    let mut bytes_held = 0;
-    let mut ended = false;
-    let mut lost = false;
-    let mut sets = None;
-    let mut left = u64::MAX;
-    let mut next_write = Instant::now();
-    let mut chunk = vec![0; CHUNK];
+    mut state: StateView,
+    direction: fn(&LinkFault) -> Forwarding,
+) -> Result<(), ConnectionReset> {
+    let mut buffer: VecDeque<Chunk> = VecDeque::new();
+    let mut buffered_bytes = 0;
+    let mut end_of_stream = false;
+    let mut lost_bytes = false;
+    let mut fault_generation = None;
+    let mut remaining_bytes = u64::MAX;
+    let mut next_write_at = Instant::now();
+    let mut read_buffer = vec![0; READ_CHUNK_BYTES];
     loop {
-        let state = seen.now()?;
-        let flow = way(&state.fault);
-        if sets.replace(state.sets) != Some(state.sets) {
-            left = if let Forwarding::ResetAfter(bytes) = flow { bytes } else { u64::MAX };
+        let current = state.current()?;
+        let forwarding = direction(&current.fault);
+        if fault_generation.replace(current.fault_generation) != Some(current.fault_generation) {
+            remaining_bytes = if let Forwarding::ResetAfter(bytes) = forwarding { bytes } else { u64::MAX };
         }
-        if left == 0 || (lost && flow != Forwarding::Discard) {
-            return Err(End::Reset);
+        if remaining_bytes == 0 || (lost_bytes && forwarding != Forwarding::Discard) {
+            return Err(ConnectionReset);
         }
-        let due = held.front().filter(|_| flow.delivers()).map(|piece| match flow {
-            Forwarding::Delay(delay) => piece.at + delay,
-            Forwarding::RateLimit(_) => next_write,
-            _ => piece.at,
+        let write_at = buffer.front().filter(|_| forwarding.delivers()).map(|chunk| match forwarding {
+            Forwarding::Delay(delay) => chunk.received_at + delay,
+            Forwarding::RateLimit(_) => next_write_at,
+            _ => chunk.received_at,
         });
-        let reads = !ended && flow != Forwarding::Block && bytes_held < MAX_BUFFERED_BYTES;
+        let may_read =
+            !end_of_stream && forwarding != Forwarding::Block && buffered_bytes < MAX_BUFFERED_BYTES;
         let write = async {
-            match (due, held.front()) {
-                (Some(due), Some(piece)) => {
-                    sleep_until(due).await;
-                    let rest = &piece.bytes[piece.passed..];
-                    let most = match flow {
-                        Forwarding::RateLimit(rate) => (rate / STEPS).max(1).min(left),
-                        _ => left,
+            match (write_at, buffer.front()) {
+                (Some(write_at), Some(chunk)) => {
+                    sleep_until(write_at).await;
+                    let pending = &chunk.bytes[chunk.forwarded..];
+                    let max = match forwarding {
+                        Forwarding::RateLimit(rate) => {
+                            (rate / RATE_LIMIT_WRITES_PER_S).max(1).min(remaining_bytes)
+                        }
+                        _ => remaining_bytes,
                     };
-                    let some = &rest[..rest.len().min(usize::try_from(most).unwrap_or(usize::MAX))];
-                    if some.is_empty() {
+                    let bytes = &pending[..pending.len().min(usize::try_from(max).unwrap_or(usize::MAX))];
+                    if bytes.is_empty() {
                         to.shutdown().await.map(|()| 0)
                     } else {
-                        to.write(some).await
+                        to.write(bytes).await
                     }
                 }
                 _ => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = seen.changed() => {}
+            () = state.changed() => {}
             written = write => {
-                let written = written.map_err(|_| End::Reset)?;
-                let piece = held.front_mut().expect("some of it was written");
-                if piece.bytes.is_empty() {
+                let written = written.map_err(|_| ConnectionReset)?;
+                let chunk = buffer.front_mut().expect("a part of it was written");
+                if chunk.bytes.is_empty() {
                     return Ok(());
                 }
-                piece.passed += written;
-                left -= written as u64;
-                bytes_held -= written;
-                if piece.passed == piece.bytes.len() {
-                    held.pop_front();
+                chunk.forwarded += written;
+                remaining_bytes -= written as u64;
+                buffered_bytes -= written;
+                if chunk.forwarded == chunk.bytes.len() {
+                    buffer.pop_front();
                 }
-                if let Forwarding::RateLimit(rate) = flow {
-                    next_write = Instant::now() + Duration::from_secs(1).mul_f64(written as f64 / rate.max(1) as f64);
+                if let Forwarding::RateLimit(rate) = forwarding {
+                    next_write_at =
+                        Instant::now() + Duration::from_secs(1).mul_f64(written as f64 / rate.max(1) as f64);
                 }
             }
-            read = from.read(&mut chunk), if reads => {
-                let read = read.map_err(|_| End::Reset)?;
-                ended = read == 0;
-                if flow == Forwarding::Discard {
-                    lost = true;
+            read = from.read(&mut read_buffer), if may_read => {
+                let read = read.map_err(|_| ConnectionReset)?;
+                end_of_stream = read == 0;
+                if forwarding == Forwarding::Discard {
+                    lost_bytes = true;
                 } else {
-                    bytes_held += read;
-                    held.push_back(Piece { at: Instant::now(), bytes: chunk[..read].to_vec(), passed: 0 });
+                    buffered_bytes += read;
+                    buffer.push_back(Chunk {
+                        received_at: Instant::now(),
+                        bytes: read_buffer[..read].to_vec(),
+                        forwarded: 0,
+                    });
                 }
             }
         }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,16 +1,17 @@
-//! A relay of bytes between real processes, with faults.
+//! A TCP relay between real processes that injects link faults.
 //!
-//! Need: links between real processes that are slow, cut one way, silent, reset or broken in mid-message, without
-//! rights that a test does not have. Shape: a listener on a loopback address for each link, which passes bytes on to
-//! one target, each way on its own, under a state that may be changed at any moment and then holds for
-//! connections that are open as well as for new ones.
+//! Tests need links between real processes that are slow, blocked in one direction, silent, reset or broken in the middle
+//! of a message, without privileges that a test does not have. For each link the relay listens on a loopback address and
+//! forwards bytes to one target, each direction on its own. A fault can be set at any time, and applies to open
+//! connections as well as to new ones.
 //!
-//! What differs from a real link that is cut: a client that connects is accepted, as the system does that by itself;
-//! the target hears of it only when bytes may go there. A target that refuses shows as a reset. Only
-//! [`LinkFault::refuse_connections`] refuses a client.
+//! A blocked link differs from a real one in this: a client that connects is accepted, as the operating system does that
+//! by itself, and the target is connected only when bytes may flow to it. A target that refuses a connection shows as a
+//! reset. Only [`LinkFault::refuse_connections`] refuses a client.
 //!
-//! Rejected: rules in the kernel, which need rights and are shared with all else on the machine; and links inside the
-//! lab that act on whole messages, which cannot break one in its middle nor accept what is then lost.
+//! Rejected: firewall rules in the kernel, which need privileges and are shared with everything else on the machine; and
+//! links inside the lab that act on whole messages, which cannot break one in the middle, nor accept data that is then
+//! lost.
 
 mod forward;
 mod listener;
@@ -24,74 +25,76 @@
 
 pub use router::ConnectionRouter;
 
-/// The most connections at a time; further ones wait.
+/// Maximum number of connections at a time; further ones wait to be accepted.
 pub const MAX_CONNECTIONS: usize = 1024;
-/// The most bytes that are held a connection and way.
+/// Maximum number of bytes that are buffered for each connection and direction.
 pub const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// What becomes of bytes that go one way.
+/// How the relay treats bytes in one direction.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Forwarding {
-    /// They pass.
+    /// Forwards them.
     #[default]
     Pass,
-    /// They pass this long after they came, in order. A shorter delay, or none, holds for those that wait as well.
+    /// Forwards them in order after this delay. A shorter delay, or none, also applies to bytes that wait already.
     Delay(Duration),
-    /// They pass at this many a second.
+    /// Forwards them at this rate, in bytes per second.
     RateLimit(u64),
-    /// Nothing is taken: the sender's own buffers fill, as on a link that is cut. All passes once it is mended.
+    /// Reads nothing: the sender's own buffers fill, as on a link that is cut. Everything is forwarded once the fault is
+    /// cleared.
     Block,
-    /// They are taken and held, up to [`MAX_BUFFERED_BYTES`]; all pass once it is mended.
+    /// Reads and buffers them, up to [`MAX_BUFFERED_BYTES`]. Everything is forwarded once the fault is cleared.
     Buffer,
-    /// They are taken and lost. A connection that has lost some is reset once it is mended, as no stream has a gap.
+    /// Reads and drops them. A connection that has lost bytes is reset once the fault is cleared, as a stream cannot have
+    /// a gap.
     Discard,
-    /// This many more pass on each connection, then it is reset.
+    /// Forwards this many more bytes on each connection, then resets it.
     ResetAfter(u64),
 }
 
 impl Forwarding {
-    /// Whether bytes that came may pass.
+    /// Whether received bytes are forwarded.
     fn delivers(self) -> bool {
         !matches!(self, Self::Block | Self::Buffer | Self::Discard)
     }
 }
 
-/// What is wrong with a link; the default is nothing.
+/// A fault of a link; the default is none.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LinkFault {
-    /// From whoever connects to the target.
+    /// Treatment of bytes from the client to the target.
     pub to_target: Forwarding,
-    /// From the target to whoever connected.
+    /// Treatment of bytes from the target to the client.
     pub from_target: Forwarding,
-    /// New connections are refused. Open ones stay; see [`Relay::reset_connections`].
+    /// Refuses new connections. Open ones stay; see [`Relay::reset_connections`].
     pub refuse_connections: bool,
 }
 
 impl LinkFault {
-    /// The same both ways.
-    pub fn symmetric(flow: Forwarding) -> Self {
-        Self { to_target: flow, from_target: flow, refuse_connections: false }
+    /// Creates a fault with the same treatment in both directions.
+    pub fn symmetric(forwarding: Forwarding) -> Self {
+        Self { to_target: forwarding, from_target: forwarding, refuse_connections: false }
     }
 }
 
-/// Why a relay does not start.
+/// Why a relay did not start.
 #[derive(Debug, thiserror::Error)]
 #[error("can't listen at {address}: {source}")]
 pub struct RelayError {
-    /// Where.
+    /// The address.
     pub address: SocketAddr,
-    /// What the system said.
+    /// Error of the operating system.
     pub source: std::io::Error,
 }
 
-/// What holds now.
+/// The current state of a relay.
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
     fault: LinkFault,
-    /// How often the fault was set.
-    sets: u64,
-    /// How often open connections were reset.
-    resets: u64,
+    /// Number of times that the fault was set.
+    fault_generation: u64,
+    /// Number of times that the open connections were reset.
+    reset_count: u64,
 }
 
 /// A link to one target. It ends, with its connections, when dropped.
@@ -103,43 +106,43 @@
 }
 
 impl Relay {
-    /// Listens on a free loopback port for connections to pass on to `target`. Must be called in a tokio runtime.
+    /// Listens on a free loopback port and forwards connections to `target`. Must be called in a tokio runtime.
     ///
     /// # Errors
-    /// The system has no port.
+    /// No port is available.
     pub fn start(target: SocketAddr) -> Result<Self, RelayError> {
         Self::start_on(SocketAddr::from(([127, 0, 0, 1], 0)), target)
     }
 
-    /// As [`Relay::start`], at an address of the caller's.
+    /// As [`Relay::start`], at a given address.
     ///
     /// # Errors
-    /// The address is not free.
+    /// The address is in use.
     pub fn start_on(listen: SocketAddr, target: SocketAddr) -> Result<Self, RelayError> {
-        let (port, listener) =
-            listener::Port::hold(listen).map_err(|source| RelayError { address: listen, source })?;
+        let (port, listener) = listener::ReservedPort::reserve(listen)
+            .map_err(|source| RelayError { address: listen, source })?;
         let address = port.address();
-        let (state, watched) = watch::channel(State::default());
-        let task = tokio::spawn(listener::run(port, listener, target, watched)).abort_handle();
+        let (state, state_receiver) = watch::channel(State::default());
+        let task = tokio::spawn(listener::run(port, listener, target, state_receiver)).abort_handle();
         Ok(Self { address, state, task })
     }
 
-    /// Where it listens.
+    /// The address that the relay listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// From now on this is wrong with the link.
+    /// Sets the fault of the link from now on.
     pub fn set_fault(&self, fault: LinkFault) {
         self.state.send_modify(|state| {
             state.fault = fault;
-            state.sets += 1;
+            state.fault_generation += 1;
         });
     }
 
-    /// Resets all open connections, at both ends. What was held is lost.
+    /// Resets all open connections at both ends. Buffered bytes are lost.
     pub fn reset_connections(&self) {
-        self.state.send_modify(|state| state.resets += 1);
+        self.state.send_modify(|state| state.reset_count += 1);
     }
 }
 
--- a/crates/relay/src/listener.rs
+++ b/crates/relay/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener, and a connection's way from its acceptance to its end.
+//! The listener of a link, and its connections from accept to end.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::task::JoinSet;
 
-use crate::forward::{pump, End, Seen};
+use crate::forward::{forward, ConnectionReset, StateView};
 use crate::{Forwarding, LinkFault, State, MAX_CONNECTIONS};
 
-/// Connections that the system keeps ready to be accepted.
-const BACKLOG: i32 = 256;
-/// How long to wait after the system had no way to accept one.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Length of the operating system's accept queue.
+const ACCEPT_BACKLOG: i32 = 256;
+/// Delay after the system could not accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A port that stays ours also while nothing listens there.
-pub(crate) struct Port {
+/// A port that stays reserved while nothing listens at it.
+pub(crate) struct ReservedPort {
     address: SocketAddr,
-    _held: Socket,
+    _socket: Socket,
 }
 
-fn bound(address: SocketAddr) -> io::Result<Socket> {
+fn bind(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
@@ -32,12 +32,12 @@
     Ok(socket)
 }
 
-impl Port {
-    /// Takes a port, and listens there already.
-    pub(crate) fn hold(address: SocketAddr) -> io::Result<(Self, TcpListener)> {
-        let held = bound(address)?;
-        let address = held.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        let port = Self { address, _held: held };
+impl ReservedPort {
+    /// Reserves a port and starts to listen at it.
+    pub(crate) fn reserve(address: SocketAddr) -> io::Result<(Self, TcpListener)> {
+        let socket = bind(address)?;
+        let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
+        let port = Self { address, _socket: socket };
         let listener = port.listen()?;
         Ok((port, listener))
     }
@@ -47,21 +47,21 @@
     }
 
     fn listen(&self) -> io::Result<TcpListener> {
-        let socket = bound(self.address)?;
-        socket.listen(BACKLOG)?;
+        let socket = bind(self.address)?;
+        socket.listen(ACCEPT_BACKLOG)?;
         TcpListener::from_std(socket.into())
     }
 }
 
-/// Accepts connections, unless new ones are refused, until the relay is dropped.
+/// Accepts connections, unless the fault refuses them, until the relay is dropped.
 pub(crate) async fn run(
-    port: Port,
+    port: ReservedPort,
     listener: TcpListener,
     target: SocketAddr,
     mut state: watch::Receiver<State>,
 ) {
-    let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-    let mut open = JoinSet::new();
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let mut connections = JoinSet::new();
     let mut listener = Some(listener);
     loop {
         if state.borrow_and_update().fault.refuse_connections {
@@ -70,71 +70,71 @@
             listener = port.listen().ok();
         }
         let accepted = async {
-            let room = room.clone().acquire_owned().await.expect("it is never closed");
+            let permit = permits.clone().acquire_owned().await.expect("never closed");
             match &listener {
-                Some(listener) => listener.accept().await.map(|(client, _)| (client, room)),
+                Some(listener) => listener.accept().await.map(|(client, _)| (client, permit)),
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             changed = state.changed() => if changed.is_err() { return },
             accepted = accepted => match accepted {
-                Ok((client, room)) => {
+                Ok((client, permit)) => {
                     let state = state.clone();
-                    open.spawn(async move {
-                        connection(client, target, state).await;
-                        drop(room);
+                    connections.spawn(async move {
+                        relay_connection(client, target, state).await;
+                        drop(permit);
                     });
                 }
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
-            Some(_) = open.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// Ends a connection at once, so that its peer sees a reset.
-fn reset(stream: &TcpStream) {
-    // A socket that can't be told to is gone already.
+/// Makes the stream send a reset when it is dropped.
+fn set_reset_on_drop(stream: &TcpStream) {
+    // Fails only for a socket that is gone already.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn connection(mut client: TcpStream, target: SocketAddr, state: watch::Receiver<State>) {
-    let mut seen = Seen::new(state);
-    if !until_bytes_may_go(&client, &mut seen).await {
-        return reset(&client);
+async fn relay_connection(mut client: TcpStream, target: SocketAddr, state: watch::Receiver<State>) {
+    let mut state = StateView::new(state);
+    if !wait_until_delivering(&client, &mut state).await {
+        return set_reset_on_drop(&client);
     }
-    let Ok(mut server) = TcpStream::connect(target).await else { return reset(&client) };
-    // Both ends are as quick as without the relay.
+    let Ok(mut server) = TcpStream::connect(target).await else { return set_reset_on_drop(&client) };
+    // The relay adds no delay of its own.
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
-    let end = {
+    let result = {
         let (from_client, to_client) = client.split();
         let (from_server, to_server) = server.split();
-        let there = pump(from_client, to_server, seen.clone(), |fault| fault.to_target);
-        let back = pump(from_server, to_client, seen, |fault| fault.from_target);
-        tokio::try_join!(there, back)
+        let to_target = forward(from_client, to_server, state.clone(), |fault| fault.to_target);
+        let from_target = forward(from_server, to_client, state, |fault| fault.from_target);
+        tokio::try_join!(to_target, from_target)
     };
-    if let Err(End::Reset) = end {
-        reset(&client);
-        reset(&server);
+    if let Err(ConnectionReset) = result {
+        set_reset_on_drop(&client);
+        set_reset_on_drop(&server);
     }
 }
 
-/// Waits until the target may hear of a client; `false` if it never will.
-async fn until_bytes_may_go(client: &TcpStream, seen: &mut Seen) -> bool {
-    let mut lost = false;
-    let mut scrap = [0; 4096];
+/// Waits until bytes may flow to the target; returns `false` if the connection must be reset instead.
+async fn wait_until_delivering(client: &TcpStream, state: &mut StateView) -> bool {
+    let mut lost_bytes = false;
+    let mut discarded = [0; 4096];
     loop {
-        let Ok(State { fault: LinkFault { to_target: there, .. }, .. }) = seen.now() else { return false };
-        if there.delivers() {
-            return !lost;
+        let Ok(State { fault: LinkFault { to_target, .. }, .. }) = state.current() else { return false };
+        if to_target.delivers() {
+            return !lost_bytes;
         }
         tokio::select! {
-            () = seen.changed() => {}
-            readable = client.readable(), if there == Forwarding::Discard => {
-                match readable.and_then(|()| client.try_read(&mut scrap)) {
+            () = state.changed() => {}
+            readable = client.readable(), if to_target == Forwarding::Discard => {
+                match readable.and_then(|()| client.try_read(&mut discarded)) {
                     Ok(0) => return false,
-                    Ok(_) => lost = true,
+                    Ok(_) => lost_bytes = true,
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                     Err(_) => return false,
                 }
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -1,4 +1,5 @@
-//! An address that several parties share and are told apart at, so that each has a link of its own behind it.
+//! A shared address at which connections are told apart by their first bytes, so that each party has its own link behind
+//! it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,34 +11,36 @@
 
 use crate::{RelayError, MAX_CONNECTIONS};
 
-/// The bytes within which a first request tells who it is from.
-const TOLD_WITHIN: usize = 4096;
-/// How long that may take, and between two looks.
-const TOLD_IN: Duration = Duration::from_secs(5);
-const LOOK: Duration = Duration::from_millis(1);
-/// How long to wait after the system had no way to accept a connection.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Number of first bytes that must determine the route of a connection.
+const MAX_PEEK_BYTES: usize = 4096;
+/// Time for the route of a connection to be determined.
+const ROUTE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between checks whether more bytes have arrived.
+const PEEK_INTERVAL: Duration = Duration::from_millis(1);
+/// Delay after the system could not accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A listener that passes each connection on by what is said first on it. It ends, with its connections, when dropped.
+/// A listener that forwards each connection to a destination chosen by its first bytes. It ends, with its connections,
+/// when dropped.
 #[derive(Debug)]
 pub struct ConnectionRouter {
     task: AbortHandle,
 }
 
 impl ConnectionRouter {
-    /// Listens at an address. `route` gets what a connection has said so far, and tells where it goes to; `None` as
-    /// long as it can't be known. Must be called in a tokio runtime.
+    /// Listens at an address. `route` receives the first bytes of a connection and returns its destination, or `None` as
+    /// long as it cannot be determined. Must be called in a tokio runtime.
     ///
     /// # Errors
-    /// The address is not free.
+    /// The address is in use.
     pub fn start(
         listen: SocketAddr,
         route: impl Fn(&str) -> Option<SocketAddr> + Send + Sync + 'static,
     ) -> Result<Self, RelayError> {
-        let fail = |source| RelayError { address: listen, source };
-        let listener = std::net::TcpListener::bind(listen).map_err(fail)?;
-        listener.set_nonblocking(true).map_err(fail)?;
-        let listener = TcpListener::from_std(listener).map_err(fail)?;
+        let listen_error = |source| RelayError { address: listen, source };
+        let listener = std::net::TcpListener::bind(listen).map_err(listen_error)?;
+        listener.set_nonblocking(true).map_err(listen_error)?;
+        let listener = TcpListener::from_std(listener).map_err(listen_error)?;
         let task = tokio::spawn(run(listener, Arc::new(route))).abort_handle();
         Ok(Self { task })
     }
@@ -50,51 +53,54 @@
 }
 
 async fn run(listener: TcpListener, route: Arc<impl Fn(&str) -> Option<SocketAddr> + Send + Sync + 'static>) {
-    let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-    let mut open = JoinSet::new();
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let mut connections = JoinSet::new();
     loop {
         let accepted = async {
-            let room = room.clone().acquire_owned().await.expect("it is never closed");
-            listener.accept().await.map(|(stream, _)| (stream, room))
+            let permit = permits.clone().acquire_owned().await.expect("never closed");
+            listener.accept().await.map(|(stream, _)| (stream, permit))
         };
         tokio::select! {
             accepted = accepted => match accepted {
-                Ok((stream, room)) => {
+                Ok((stream, permit)) => {
                     let route = route.clone();
-                    open.spawn(async move {
-                        if let Some(to) = told(&stream, &*route).await {
-                            pass_on(stream, to).await;
+                    connections.spawn(async move {
+                        if let Some(destination) = find_destination(&stream, &*route).await {
+                            forward(stream, destination).await;
                         }
-                        drop(room);
+                        drop(permit);
                     });
                 }
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
-            Some(_) = open.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// Where a connection goes to; `None` where its first request does not tell.
-async fn told(stream: &TcpStream, route: &impl Fn(&str) -> Option<SocketAddr>) -> Option<SocketAddr> {
-    let mut seen = [0; TOLD_WITHIN];
-    let told = async {
+/// The destination of a connection; `None` if its first bytes do not determine one in time.
+async fn find_destination(
+    stream: &TcpStream,
+    route: &impl Fn(&str) -> Option<SocketAddr>,
+) -> Option<SocketAddr> {
+    let mut peeked = [0; MAX_PEEK_BYTES];
+    let destination = async {
         loop {
-            let count = stream.peek(&mut seen).await.ok().filter(|count| *count > 0)?;
-            let to = route(&String::from_utf8_lossy(&seen[..count]));
-            if to.is_some() || count == TOLD_WITHIN {
-                return to;
+            let count = stream.peek(&mut peeked).await.ok().filter(|count| *count > 0)?;
+            let destination = route(&String::from_utf8_lossy(&peeked[..count]));
+            if destination.is_some() || count == MAX_PEEK_BYTES {
+                return destination;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(PEEK_INTERVAL).await;
         }
     };
-    tokio::time::timeout(TOLD_IN, told).await.ok()?
+    tokio::time::timeout(ROUTE_TIMEOUT, destination).await.ok()?
 }
 
-async fn pass_on(mut from: TcpStream, to: SocketAddr) {
-    let Ok(mut to) = TcpStream::connect(to).await else { return };
-    if from.set_nodelay(true).is_ok() && to.set_nodelay(true).is_ok() {
-        // Whatever ends one side ends the other.
-        let _ = tokio::io::copy_bidirectional(&mut from, &mut to).await;
+async fn forward(mut client: TcpStream, destination: SocketAddr) {
+    let Ok(mut server) = TcpStream::connect(destination).await else { return };
+    if client.set_nodelay(true).is_ok() && server.set_nodelay(true).is_ok() {
+        // An error on either side ends both.
+        let _ = tokio::io::copy_bidirectional(&mut client, &mut server).await;
     }
 }
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Each fault, between a plain client and a plain server.
+//! Each link fault, between a plain client and a plain server.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -8,176 +8,182 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{timeout, Instant};
 
-/// Longer than anything here takes on a busy machine.
-const LONG: Duration = Duration::from_secs(20);
-/// How long nothing must come for it to be held as nothing.
-const NOTHING: Duration = Duration::from_millis(80);
+/// Timeout of every wait, far longer than anything here takes even on a busy machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time without bytes after which none are expected.
+const QUIET_PERIOD: Duration = Duration::from_millis(80);
 
-/// A server's listener, and a relay to it.
-async fn link() -> (TcpListener, Relay) {
+/// Starts a server's listener, and a relay to it.
+async fn start_link() -> (TcpListener, Relay) {
     let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let relay = Relay::start(server.local_addr().expect("bound")).expect("a port");
     (server, relay)
 }
 
-/// A connection through the relay, at both ends.
-async fn connected(server: &TcpListener, relay: &Relay) -> (TcpStream, TcpStream) {
+/// Opens a connection through the relay; returns its client and server ends.
+async fn connect(server: &TcpListener, relay: &Relay) -> (TcpStream, TcpStream) {
     let client = TcpStream::connect(relay.address()).await.expect("connected");
-    let (served, _) = timeout(LONG, server.accept()).await.expect("in time").expect("accepted");
-    (client, served)
+    let (server_end, _) = timeout(TEST_TIMEOUT, server.accept()).await.expect("in time").expect("accepted");
+    (client, server_end)
 }
 
-async fn hears(stream: &mut TcpStream, wanted: &[u8]) {
-    let mut heard = vec![0; wanted.len()];
-    timeout(LONG, stream.read_exact(&mut heard)).await.expect("in time").expect("bytes");
-    assert!(heard == wanted, "{} bytes came changed", wanted.len());
+/// Asserts that these bytes arrive.
+async fn assert_receives(stream: &mut TcpStream, expected: &[u8]) {
+    let mut received = vec![0; expected.len()];
+    timeout(TEST_TIMEOUT, stream.read_exact(&mut received)).await.expect("in time").expect("bytes");
+    assert!(received == expected, "{} bytes were received changed", expected.len());
 }
 
-async fn hears_nothing(stream: &mut TcpStream) {
-    let heard = timeout(NOTHING, stream.read_u8()).await;
-    assert!(heard.is_err(), "heard {heard:?}");
+/// Asserts that no byte arrives for a while.
+async fn assert_receives_nothing(stream: &mut TcpStream) {
+    let received = timeout(QUIET_PERIOD, stream.read_u8()).await;
+    assert!(received.is_err(), "received {received:?}");
 }
 
-/// Says something one way, and it comes; then back.
-async fn talk(client: &mut TcpStream, served: &mut TcpStream) {
-    client.write_all(b"hello").await.expect("taken");
-    hears(served, b"hello").await;
-    served.write_all(b"hello too").await.expect("taken");
-    hears(client, b"hello too").await;
+/// Asserts that bytes arrive in either direction.
+async fn assert_both_ways_pass(client: &mut TcpStream, server_end: &mut TcpStream) {
+    client.write_all(b"hello").await.expect("written");
+    assert_receives(server_end, b"hello").await;
+    server_end.write_all(b"hello too").await.expect("written");
+    assert_receives(client, b"hello too").await;
 }
 
-async fn is_reset(stream: &mut TcpStream) {
-    let read = timeout(LONG, stream.read_u8()).await.expect("in time");
+/// Asserts that the connection is reset.
+async fn assert_reset(stream: &mut TcpStream) {
+    let read = timeout(TEST_TIMEOUT, stream.read_u8()).await.expect("in time");
     assert_eq!(read.expect_err("no more bytes").kind(), ErrorKind::ConnectionReset);
 }
 
-fn there(flow: Forwarding) -> LinkFault {
-    LinkFault { to_target: flow, ..LinkFault::default() }
+/// A fault in the direction from client to target only.
+fn to_target(forwarding: Forwarding) -> LinkFault {
+    LinkFault { to_target: forwarding, ..LinkFault::default() }
 }
 
 #[tokio::test]
-async fn bytes_and_ends_pass_each_way() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
+async fn bytes_and_ends_of_stream_pass_each_way() {
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
     let bytes: Vec<u8> = (0..1_000_000_u32).map(|number| (number % 251) as u8).collect();
-    let ((), ()) =
-        tokio::join!(async { client.write_all(&bytes).await.expect("taken") }, hears(&mut served, &bytes));
-    client.shutdown().await.expect("said");
-    assert_eq!(served.read(&mut [0; 9]).await.expect("the end"), 0);
-    served.write_all(b"still").await.expect("the other way is open");
-    hears(&mut client, b"still").await;
-    drop(served);
+    let ((), ()) = tokio::join!(
+        async { client.write_all(&bytes).await.expect("written") },
+        assert_receives(&mut server_end, &bytes)
+    );
+    client.shutdown().await.expect("shut down");
+    assert_eq!(server_end.read(&mut [0; 9]).await.expect("the end"), 0);
+    server_end.write_all(b"still").await.expect("the other way is open");
+    assert_receives(&mut client, b"still").await;
+    drop(server_end);
     assert_eq!(client.read(&mut [0; 9]).await.expect("the end"), 0);
 }
 
 #[tokio::test]
-async fn a_delay_holds_each_way_and_ends_at_once() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
+async fn a_delay_applies_each_way_and_ends_at_once() {
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
     relay.set_fault(LinkFault::symmetric(Forwarding::Delay(Duration::from_millis(60))));
     let start = Instant::now();
-    talk(&mut client, &mut served).await;
+    assert_both_ways_pass(&mut client, &mut server_end).await;
     assert!(start.elapsed() >= Duration::from_millis(120), "{:?}", start.elapsed());
     relay.set_fault(LinkFault::symmetric(Forwarding::Delay(Duration::from_secs(600))));
-    client.write_all(b"late").await.expect("taken");
-    hears_nothing(&mut served).await;
+    client.write_all(b"late").await.expect("written");
+    assert_receives_nothing(&mut server_end).await;
     relay.set_fault(LinkFault::default());
-    hears(&mut served, b"late").await;
+    assert_receives(&mut server_end, b"late").await;
 }
 
 #[tokio::test]
-async fn a_slow_way_takes_its_time() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set_fault(there(Forwarding::RateLimit(20_000)));
+async fn a_rate_limit_slows_the_stream() {
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
+    relay.set_fault(to_target(Forwarding::RateLimit(20_000)));
     let start = Instant::now();
-    client.write_all(&[7; 4000]).await.expect("taken");
-    hears(&mut served, &[7; 4000]).await;
+    client.write_all(&[7; 4000]).await.expect("written");
+    assert_receives(&mut server_end, &[7; 4000]).await;
     assert!(start.elapsed() >= Duration::from_millis(180), "{:?}", start.elapsed());
 }
 
 #[tokio::test]
-async fn a_cut_way_passes_nothing_until_it_is_mended() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
+async fn a_blocked_direction_passes_nothing_until_the_fault_is_cleared() {
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
     relay.set_fault(LinkFault { from_target: Forwarding::Block, ..LinkFault::default() });
-    client.write_all(b"question").await.expect("taken");
-    hears(&mut served, b"question").await;
-    served.write_all(b"answer").await.expect("taken");
-    hears_nothing(&mut client).await;
+    client.write_all(b"question").await.expect("written");
+    assert_receives(&mut server_end, b"question").await;
+    server_end.write_all(b"answer").await.expect("written");
+    assert_receives_nothing(&mut client).await;
     relay.set_fault(LinkFault::default());
-    hears(&mut client, b"answer").await;
+    assert_receives(&mut client, b"answer").await;
 }
 
 #[tokio::test]
-async fn a_cut_way_fills_the_senders_buffers() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set_fault(there(Forwarding::Block));
-    let mut taken = 0;
-    while let Ok(written) = timeout(NOTHING, client.write(&[7; 1 << 16])).await {
-        taken += written.expect("open");
-        assert!(taken < 64 << 20, "it is taken without end");
+async fn a_blocked_direction_fills_the_senders_buffers() {
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
+    relay.set_fault(to_target(Forwarding::Block));
+    let mut accepted = 0;
+    while let Ok(written) = timeout(QUIET_PERIOD, client.write(&[7; 1 << 16])).await {
+        accepted += written.expect("open");
+        assert!(accepted < 64 << 20, "bytes are accepted without limit");
     }
-    hears_nothing(&mut served).await;
+    assert_receives_nothing(&mut server_end).await;
     relay.set_fault(LinkFault::default());
-    hears(&mut served, &vec![7; taken]).await;
+    assert_receives(&mut server_end, &vec![7; accepted]).await;
 }
 
 #[tokio::test]
-async fn held_bytes_pass_when_it_is_mended() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
-    relay.set_fault(there(Forwarding::Buffer));
+async fn buffered_bytes_pass_when_the_fault_is_cleared() {
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
+    relay.set_fault(to_target(Forwarding::Buffer));
     let bytes = vec![7; MAX_BUFFERED_BYTES];
-    client.write_all(&bytes).await.expect("taken");
-    client.shutdown().await.expect("said");
-    hears_nothing(&mut served).await;
+    client.write_all(&bytes).await.expect("written");
+    client.shutdown().await.expect("shut down");
+    assert_receives_nothing(&mut server_end).await;
     relay.set_fault(LinkFault::default());
-    hears(&mut served, &bytes).await;
-    assert_eq!(served.read(&mut [0; 9]).await.expect("the end"), 0);
+    assert_receives(&mut server_end, &bytes).await;
+    assert_eq!(server_end.read(&mut [0; 9]).await.expect("the end"), 0);
 }
 
 #[tokio::test]
-async fn what_a_hole_took_is_lost_with_its_connection() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
-    let (mut quiet, mut served_quiet) = connected(&server, &relay).await;
-    relay.set_fault(there(Forwarding::Discard));
-    client.write_all(&vec![7; 4 * MAX_BUFFERED_BYTES]).await.expect("all of it is taken");
-    hears_nothing(&mut served).await;
-    served.write_all(b"back").await.expect("taken");
-    hears(&mut client, b"back").await;
+async fn a_connection_with_discarded_bytes_is_reset() {
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
+    let (mut idle_client, mut idle_server_end) = connect(&server, &relay).await;
+    relay.set_fault(to_target(Forwarding::Discard));
+    client.write_all(&vec![7; 4 * MAX_BUFFERED_BYTES]).await.expect("all of it is written");
+    assert_receives_nothing(&mut server_end).await;
+    server_end.write_all(b"back").await.expect("written");
+    assert_receives(&mut client, b"back").await;
     relay.set_fault(LinkFault::default());
-    is_reset(&mut served).await;
-    is_reset(&mut client).await;
-    talk(&mut quiet, &mut served_quiet).await;
+    assert_reset(&mut server_end).await;
+    assert_reset(&mut client).await;
+    assert_both_ways_pass(&mut idle_client, &mut idle_server_end).await;
 }
 
 #[tokio::test]
-async fn a_connection_breaks_in_the_midst_of_a_message() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
-    talk(&mut client, &mut served).await;
-    relay.set_fault(there(Forwarding::ResetAfter(3)));
-    client.write_all(b"question").await.expect("taken");
-    hears(&mut served, b"que").await;
-    is_reset(&mut served).await;
-    is_reset(&mut client).await;
-    relay.set_fault(there(Forwarding::ResetAfter(8)));
-    let (mut client, mut served) = connected(&server, &relay).await;
-    client.write_all(b"question").await.expect("taken");
-    hears(&mut served, b"question").await;
-    is_reset(&mut served).await;
+async fn a_connection_is_reset_in_the_middle_of_a_message() {
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
+    assert_both_ways_pass(&mut client, &mut server_end).await;
+    relay.set_fault(to_target(Forwarding::ResetAfter(3)));
+    client.write_all(b"question").await.expect("written");
+    assert_receives(&mut server_end, b"que").await;
+    assert_reset(&mut server_end).await;
+    assert_reset(&mut client).await;
+    relay.set_fault(to_target(Forwarding::ResetAfter(8)));
+    let (mut client, mut server_end) = connect(&server, &relay).await;
+    client.write_all(b"question").await.expect("written");
+    assert_receives(&mut server_end, b"question").await;
+    assert_reset(&mut server_end).await;
 }
 
 #[tokio::test]
 async fn new_connections_are_refused_and_open_ones_stay() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
     relay.set_fault(LinkFault { refuse_connections: true, ..LinkFault::default() });
-    // The system may have taken some before the relay heard of the change.
-    let refused = timeout(LONG, async {
+    // The system may accept some connections before the relay applies the fault.
+    let refused = timeout(TEST_TIMEOUT, async {
         while TcpStream::connect(relay.address()).await.map_err(|error| error.kind()).err()
             != Some(ErrorKind::ConnectionRefused)
         {
@@ -185,9 +191,9 @@
         }
     });
     refused.await.expect("in time");
-    talk(&mut client, &mut served).await;
+    assert_both_ways_pass(&mut client, &mut server_end).await;
     relay.set_fault(LinkFault::default());
-    let accepted = timeout(LONG, async {
+    let accepted = timeout(TEST_TIMEOUT, async {
         loop {
             match TcpStream::connect(relay.address()).await {
                 Ok(client) => break client,
@@ -196,13 +202,14 @@
         }
     });
     let mut client = accepted.await.expect("in time");
-    client.write_all(b"again").await.expect("taken");
+    client.write_all(b"again").await.expect("written");
     loop {
-        // Those that slipped through before come first, and say nothing.
-        let (mut served, _) = timeout(LONG, server.accept()).await.expect("in time").expect("accepted");
-        let mut heard = [0; 5];
-        if timeout(LONG, served.read_exact(&mut heard)).await.expect("in time").is_ok() {
-            assert_eq!(&heard, b"again");
+        // Connections that were accepted before come first, and carry no bytes.
+        let (mut server_end, _) =
+            timeout(TEST_TIMEOUT, server.accept()).await.expect("in time").expect("accepted");
+        let mut received = [0; 5];
+        if timeout(TEST_TIMEOUT, server_end.read_exact(&mut received)).await.expect("in time").is_ok() {
+            assert_eq!(&received, b"again");
             break;
         }
     }
@@ -210,33 +217,34 @@
 
 #[tokio::test]
 async fn open_connections_are_reset_at_both_ends() {
-    let (server, relay) = link().await;
-    let (mut client, mut served) = connected(&server, &relay).await;
+    let (server, relay) = start_link().await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
     relay.set_fault(LinkFault::symmetric(Forwarding::Block));
     relay.reset_connections();
-    is_reset(&mut client).await;
-    is_reset(&mut served).await;
+    assert_reset(&mut client).await;
+    assert_reset(&mut server_end).await;
     relay.set_fault(LinkFault::default());
-    let (mut client, mut served) = connected(&server, &relay).await;
-    talk(&mut client, &mut served).await;
+    let (mut client, mut server_end) = connect(&server, &relay).await;
+    assert_both_ways_pass(&mut client, &mut server_end).await;
 }
 
 #[tokio::test]
-async fn a_target_hears_of_nobody_while_the_way_there_is_cut() {
-    let (server, relay) = link().await;
-    relay.set_fault(there(Forwarding::Block));
-    let mut client = TcpStream::connect(relay.address()).await.expect("the system accepts");
-    client.write_all(b"first").await.expect("taken");
-    assert!(timeout(NOTHING, server.accept()).await.is_err());
+async fn the_target_is_not_connected_while_its_direction_is_blocked() {
+    let (server, relay) = start_link().await;
+    relay.set_fault(to_target(Forwarding::Block));
+    let mut client = TcpStream::connect(relay.address()).await.expect("the system accepts it");
+    client.write_all(b"first").await.expect("written");
+    assert!(timeout(QUIET_PERIOD, server.accept()).await.is_err());
     relay.set_fault(LinkFault::default());
-    let (mut served, _) = timeout(LONG, server.accept()).await.expect("in time").expect("accepted");
-    hears(&mut served, b"first").await;
+    let (mut server_end, _) =
+        timeout(TEST_TIMEOUT, server.accept()).await.expect("in time").expect("accepted");
+    assert_receives(&mut server_end, b"first").await;
 }
 
 #[tokio::test]
-async fn a_target_that_is_gone_shows_as_a_reset() {
-    let (server, relay) = link().await;
+async fn a_missing_target_shows_as_a_reset() {
+    let (server, relay) = start_link().await;
     drop(server);
-    let mut client = TcpStream::connect(relay.address()).await.expect("the system accepts");
-    is_reset(&mut client).await;
+    let mut client = TcpStream::connect(relay.address()).await.expect("the system accepts it");
+    assert_reset(&mut client).await;
 }
