--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -215,7 +215,7 @@
     /// After [`WriteError::NotLeader`], [`WriteError::Busy`] and [`WriteError::TooLarge`] nothing was written; after the
     /// others the command may have been applied, or may be later.
     pub async fn write(&self, command: M::Command) -> Result<(u64, M::Reply), WriteError> {
-        let void = WriteError::Unavailable { reason: "the log entry was replaced by another one" };
+        let void = WriteError::Unavailable { reason: "the command was logged as another kind of entry" };
         let (version, reply) = self.write_command(command, None).await?;
         Ok((version, reply.ok_or(void)?))
     }
@@ -267,7 +267,7 @@
                 Err(WriteError::NotLeader { leader: to.leader_id.zip(to.leader_node.map(|node| node.0)) })
             }
             Ok(Err(RaftError::APIError(ClientWriteError::ChangeMembershipError(_)))) => {
-                Err(WriteError::Unavailable { reason: "the log entry was replaced by another one" })
+                Err(WriteError::Unavailable { reason: "the command was logged as another kind of entry" })
             }
             Ok(Err(RaftError::Fatal(_))) | Err(_) => Err(self.stopped_error()),
         }
