--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,19 +8,20 @@
 pub const SAFE: usize = 0;
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
-pub const MEMORY: f64 = 600.0;
-pub const PATIENCE: f64 = 500.0;
+pub const KEY_MEMORY_MS: f64 = 600.0;
+pub const CLIENT_TIMEOUT_MS: f64 = 500.0;
 /// The module stops at once, which keeps any grace; the referee allows none.
-pub const DRAIN_GRACE: f64 = 0.0;
+pub const DRAIN_GRACE_MS: f64 = 0.0;
 
 pub fn settings() -> Settings {
-    let class = |aim, worth, effect| Class { aim, deadline: 2.0 * PATIENCE, worth, late_worth: 0.0, effect };
+    let class =
+        |aim, worth, effect| Class { aim, deadline: 2.0 * CLIENT_TIMEOUT_MS, worth, late_worth: 0.0, effect };
     Settings {
         number: 0,
         nodes: 2,
         classes: vec![
             class(100.0, 1.0, Effect::Safe),
-            class(200.0, 3.0, Effect::Keyed { group: Group::Cell, memory: MEMORY }),
+            class(200.0, 3.0, Effect::Keyed { group: Group::Cell, memory: KEY_MEMORY_MS }),
             class(100.0, 10.0, Effect::Unsafe),
         ],
         tenants: Vec::new(),
@@ -84,7 +85,7 @@
         node
     }
 
-    pub fn fleet(settings: Settings, servers: u64) -> Self {
+    pub fn with_servers(settings: Settings, servers: u64) -> Self {
         Self::new(settings, (0..servers).map(|id| entry(id, 1.0)).collect())
     }
 
@@ -104,25 +105,30 @@
     }
 
     pub fn ask_for(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
-        self.ask_with(class, tenant, PATIENCE)
+        self.ask_with_timeout(class, tenant, CLIENT_TIMEOUT_MS)
     }
 
     /// A request whose client gives up after `left`.
-    pub fn ask_with(&mut self, class: usize, tenant: Option<usize>, left: f64) -> (RequestId, Vec<Action>) {
-        self.ask_marked(class, tenant, left, false, None)
+    pub fn ask_with_timeout(
+        &mut self,
+        class: usize,
+        tenant: Option<usize>,
+        left: f64,
+    ) -> (RequestId, Vec<Action>) {
+        self.send_request(class, tenant, left, false, None)
     }
 
     /// A marked repeat of a request, whose client gives up after `left`.
-    pub fn ask_again(&mut self, class: usize, left: f64) -> (RequestId, Vec<Action>) {
-        self.ask_marked(class, None, left, true, None)
+    pub fn ask_repeat(&mut self, class: usize, left: f64) -> (RequestId, Vec<Action>) {
+        self.send_request(class, None, left, true, None)
     }
 
     /// A request whose client guesses its work.
-    pub fn ask_guessed(&mut self, class: usize, work: f64) -> (RequestId, Vec<Action>) {
-        self.ask_marked(class, None, PATIENCE, false, Some(work))
+    pub fn ask_with_estimate(&mut self, class: usize, work: f64) -> (RequestId, Vec<Action>) {
+        self.send_request(class, None, CLIENT_TIMEOUT_MS, false, Some(work))
     }
 
-    fn ask_marked(
+    fn send_request(
         &mut self,
         class: usize,
         tenant: Option<usize>,
@@ -137,10 +143,10 @@
     }
 
     /// A request whose body is still coming.
-    pub fn ask_coming(&mut self, class: usize) -> (RequestId, Vec<Action>) {
+    pub fn ask_streaming(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
-        let deadline = self.now + PATIENCE;
+        let deadline = self.now + CLIENT_TIMEOUT_MS;
         (
             id,
             self.event(Event::Request {
@@ -168,19 +174,19 @@
     /// One request that is served after `took`; gives its server.
     pub fn serve(&mut self, class: usize, took: f64) -> Option<ServerId> {
         let asked = self.ask(class);
-        self.serve_asked(asked, took)
+        self.serve_sent(asked, took)
     }
 
     /// The same, waiting where it is held.
-    pub fn serve_held(&mut self, class: usize, took: f64) -> Option<ServerId> {
+    pub fn serve_after_hold(&mut self, class: usize, took: f64) -> Option<ServerId> {
         let (id, mut actions) = self.ask(class);
         while sent_to(&actions).is_none() && !refused(&actions, id) && !failed(&actions, id) {
             actions = self.wait(5.0);
         }
-        self.serve_asked((id, actions), took)
+        self.serve_sent((id, actions), took)
     }
 
-    fn serve_asked(&mut self, (id, actions): (RequestId, Vec<Action>), took: f64) -> Option<ServerId> {
+    fn serve_sent(&mut self, (id, actions): (RequestId, Vec<Action>), took: f64) -> Option<ServerId> {
         let server = sent_to(&actions);
         self.now += took;
         if server.is_some() {
@@ -218,7 +224,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail(id) if *id == request))
 }
 
-struct Held {
+struct RequestState {
     class: usize,
     deadline: f64,
     over: bool,
@@ -235,62 +241,63 @@
 #[derive(Default)]
 pub struct Referee {
     /// What the group has ruled (is it probed? of the process that runs?), when it was last heard, and whether votes are off.
-    ruled: BTreeMap<ServerId, (bool, bool)>,
-    heard: f64,
-    deaf: bool,
-    requests: BTreeMap<RequestId, Held>,
+    verdicts: BTreeMap<ServerId, (bool, bool)>,
+    last_verdicts_at: f64,
+    votes_off: bool,
+    requests: BTreeMap<RequestId, RequestState>,
     servers: BTreeMap<ServerId, (Entry, Option<f64>)>,
     warm_sends: Vec<(ServerId, f64)>,
     cold_sends: Vec<(ServerId, f64)>,
-    asked: Vec<f64>,
+    requested_at: Vec<f64>,
     pub breaches: Vec<String>,
 }
 
 impl Referee {
-    pub fn told(&mut self, now: f64, event: &Event) {
+    pub fn observe_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::List { entries, .. } => {
                 for (entry, gone) in self.servers.values_mut() {
                     entry.state = Listed::Gone;
                     gone.get_or_insert(now);
                 }
-                self.listed(now, entries);
+                self.update_servers(now, entries);
             }
-            Event::ListChange(entries) => self.listed(now, entries),
-            Event::Verdicts(rulings) if !self.deaf => {
-                self.ruled = rulings.iter().map(|r| (r.server, (r.probe, true))).collect();
-                self.heard = now;
+            Event::ListChange(entries) => self.update_servers(now, entries),
+            Event::Verdicts(rulings) if !self.votes_off => {
+                self.verdicts = rulings.iter().map(|r| (r.server, (r.probe, true))).collect();
+                self.last_verdicts_at = now;
             }
             Event::Policy(new) => {
-                self.deaf = new.votes.is_none();
-                self.ruled.retain(|_, _| !self.deaf);
+                self.votes_off = new.votes.is_none();
+                self.verdicts.retain(|_, _| !self.votes_off);
             }
             Event::Request { id, class, deadline, .. } => {
-                let held = Held { class: *class, deadline: *deadline, over: false, attempts: Vec::new() };
-                self.requests.insert(*id, held);
-                self.asked.push(now);
+                let request =
+                    RequestState { class: *class, deadline: *deadline, over: false, attempts: Vec::new() };
+                self.requests.insert(*id, request);
+                self.requested_at.push(now);
             }
             Event::Ended { id, attempt, outcome, finished, .. } => {
-                if let Some(held) = self.requests.get_mut(id) {
-                    held.attempts[*attempt].3 = Some(*outcome);
-                    held.over |= *finished;
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.attempts[*attempt].3 = Some(*outcome);
+                    request.over |= *finished;
                 }
             }
             Event::ClientGone(id) => {
-                if let Some(held) = self.requests.get_mut(id) {
-                    held.over = true;
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.over = true;
                 }
             }
             _ => {}
         }
     }
 
-    fn listed(&mut self, now: f64, entries: &[Entry]) {
+    fn update_servers(&mut self, now: f64, entries: &[Entry]) {
         for entry in entries {
             let gone = (entry.state != Listed::Up).then_some(now);
             let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone));
             if known.0.started != entry.started {
-                self.ruled.entry(entry.server).and_modify(|(_, runs)| *runs = false);
+                self.verdicts.entry(entry.server).and_modify(|(_, runs)| *runs = false);
             }
             known.1 = if gone.is_some() { known.1.or(gone) } else { None };
             known.0 = entry.clone();
@@ -299,18 +306,18 @@
 
     /// Is a server removed by votes, and is it probed? Not where too few would be left, nor without news.
     fn removed(&self, settings: &Settings, now: f64, server: ServerId) -> Option<bool> {
-        let fresh = settings.votes.as_ref().is_some_and(|v| now - self.heard < v.word);
+        let fresh = settings.votes.as_ref().is_some_and(|v| now - self.last_verdicts_at < v.word);
         let listed = self.servers.values().filter(|(e, _)| e.state != Listed::Gone).count();
         let up = self.servers.iter().filter(|(_, (e, _))| e.state == Listed::Up);
-        let left = up.filter(|(id, _)| !self.ruled.contains_key(id)).count();
-        let ruled = self.ruled.get(&server).filter(|(_, runs)| *runs && fresh && 2 * left >= listed);
+        let left = up.filter(|(id, _)| !self.verdicts.contains_key(id)).count();
+        let ruled = self.verdicts.get(&server).filter(|(_, runs)| *runs && fresh && 2 * left >= listed);
         ruled.map(|(probe, _)| *probe)
     }
 
-    pub fn did(&mut self, settings: &Settings, now: f64, action: &Action) {
+    pub fn observe_action(&mut self, settings: &Settings, now: f64, action: &Action) {
         if let Action::Send { id, server, .. } = action {
-            let held = self.requests.get(id);
-            let may = held.is_some_and(|h| h.attempts.is_empty() && h.class == SAFE);
+            let request = self.requests.get(id);
+            let may = request.is_some_and(|h| h.attempts.is_empty() && h.class == SAFE);
             match self.removed(settings, now, *server) {
                 Some(false) => self.breaches.push(format!("votes: {server:?} is removed")),
                 Some(true) if !may => self.breaches.push(format!("votes: {id:?} may not probe")),
@@ -320,16 +327,18 @@
         let mut note = |words: String| self.breaches.push(words);
         match action {
             Action::Send { id, server, .. } => {
-                let Some(held) = self.requests.get_mut(id) else { return note(format!("{id:?} is unknown")) };
+                let Some(request) = self.requests.get_mut(id) else {
+                    return note(format!("{id:?} is unknown"));
+                };
                 let Some((entry, gone)) = self.servers.get(server) else { return note("no server".into()) };
-                if held.over {
+                if request.over {
                     note(format!("rule 1: {id:?} sent after its end"));
                 }
-                if gone.is_some_and(|at| now > at + DRAIN_GRACE) {
+                if gone.is_some_and(|at| now > at + DRAIN_GRACE_MS) {
                     note(format!("rule 3: {server:?} got work after its drain"));
                 }
-                let mut ran = held.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
-                let harmless = match settings.classes[held.class].effect {
+                let mut ran = request.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
+                let harmless = match settings.classes[request.class].effect {
                     Effect::Safe => true,
                     Effect::Unsafe => ran.next().is_none(),
                     Effect::Keyed { memory, .. } => ran.all(|a| a.1 == entry.cell && now < a.2 + memory),
@@ -337,7 +346,7 @@
                 if !harmless {
                     note(format!("rule 2: {id:?} sent again"));
                 }
-                held.attempts.push((*server, entry.cell, now, None));
+                request.attempts.push((*server, entry.cell, now, None));
                 let age = entry.started.map_or(f64::INFINITY, |t| now - t);
                 let cold = age < settings.rules.warm_within;
                 let sends = if cold { &mut self.cold_sends } else { &mut self.warm_sends };
@@ -347,30 +356,38 @@
                 }
             }
             Action::Refuse { id, .. } => {
-                let Some(held) = self.requests.get_mut(id) else { return note(format!("{id:?} is unknown")) };
-                let ran = held.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
-                if ran && settings.classes[held.class].effect != Effect::Safe {
+                let Some(request) = self.requests.get_mut(id) else {
+                    return note(format!("{id:?} is unknown"));
+                };
+                let ran = request.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
+                if ran && settings.classes[request.class].effect != Effect::Safe {
                     note(format!("rule 2: {id:?} refused though it may have run"));
                 }
-                Self::answered(held, settings, now, *id, &mut self.breaches);
+                Self::record_answer(request, settings, now, *id, &mut self.breaches);
             }
             Action::Fail(id) => {
-                if let Some(held) = self.requests.get_mut(id) {
-                    Self::answered(held, settings, now, *id, &mut self.breaches);
+                if let Some(request) = self.requests.get_mut(id) {
+                    Self::record_answer(request, settings, now, *id, &mut self.breaches);
                 }
             }
             _ => {}
         }
     }
 
-    fn answered(held: &mut Held, settings: &Settings, now: f64, id: RequestId, breaches: &mut Vec<String>) {
-        if held.over {
+    fn record_answer(
+        request: &mut RequestState,
+        settings: &Settings,
+        now: f64,
+        id: RequestId,
+        breaches: &mut Vec<String>,
+    ) {
+        if request.over {
             breaches.push(format!("rule 1: {id:?} answered twice"));
         }
-        if now > held.deadline + 2.0 * settings.tick {
+        if now > request.deadline + 2.0 * settings.tick {
             breaches.push(format!("rule 1: {id:?} answered late"));
         }
-        held.over = true;
+        request.over = true;
     }
 
     /// Rule 4 by what the busiest warm server got, or where none was warm would have got by an even part of
@@ -381,7 +398,7 @@
             sends.iter().filter(|x| x.0 == s && x.1 > now - rules.fall_window).count()
         };
         let warm = self.warm_sends.iter().map(|x| recent(&self.warm_sends, x.0)).max().unwrap_or(0);
-        let asked = self.asked.iter().filter(|t| **t > now - rules.fall_window).count();
+        let asked = self.requested_at.iter().filter(|t| **t > now - rules.fall_window).count();
         let up = self.servers.values().filter(|(_, gone)| gone.is_none()).count().max(1);
         let warm = (warm as f64).max(asked as f64 / up as f64);
         let share = rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_within;
@@ -393,8 +410,8 @@
 
     /// To be called when all deadlines have passed.
     pub fn finish(&mut self) {
-        for (id, held) in &self.requests {
-            if !held.over {
+        for (id, request) in &self.requests {
+            if !request.over {
                 self.breaches.push(format!("rule 1: {id:?} has no answer"));
             }
         }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_request_keeps_the_aim_that_it_came_under() {
-    let mut node = Node::fleet(settings(), 1);
+    let mut node = Node::with_servers(settings(), 1);
     let mut short = settings();
     short.classes[SAFE].aim = 40.0;
     let timeout = |actions: &[Action]| {
@@ -67,7 +67,7 @@
 
 #[test]
 fn attempts_cut_to_one_leave_retries_under_way() {
-    let mut node = Node::fleet(settings(), 3);
+    let mut node = Node::with_servers(settings(), 3);
     let (old, _) = node.ask(SAFE);
     policy(&mut node, Settings { limits: Limits { attempts: 1, ..settings().limits }, ..settings() });
     let (new, _) = node.ask(SAFE);
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_smaller_retry_budget_takes_what_was_saved_up() {
-    let mut node = Node::fleet(settings(), 3);
+    let mut node = Node::with_servers(settings(), 3);
     policy(&mut node, Settings { retry: Retry { share: 0.0, most: 1.0 }, ..settings() });
     let retried = |node: &mut Node| {
         let (id, _) = node.ask(SAFE);
@@ -95,7 +95,7 @@
     // Over its share a tenant's requests are worth nothing: with one server full, those within go first.
     let set =
         |quota_per_s| Settings { tenants: vec![Tenant { quota_per_s }], over_share_worth: 0.0, ..settings() };
-    let mut node = Node::fleet(set(40.0), 1);
+    let mut node = Node::with_servers(set(40.0), 1);
     node.wait(1000.0);
     assert_eq!(within_share(&mut node), 20, "all that two nodes may save up in a second");
     node.wait(1000.0);
@@ -110,7 +110,7 @@
 
 #[test]
 fn weights_that_change_in_a_round_let_no_turn_jump() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     assert_eq!(turns(&mut node, 6), [0, 1, 2, 3, 0, 1]);
     let weights = [(ServerId(2), 2.0), (ServerId(9), 0.5)].into();
     policy(&mut node, Settings { server_weights: weights, ..settings() });
@@ -132,7 +132,7 @@
 #[test]
 fn a_larger_weight_does_not_push_a_cold_server() {
     let sent = |weights: &[(ServerId, f64)]| {
-        let mut node = Node::fleet(settings(), 3);
+        let mut node = Node::with_servers(settings(), 3);
         policy(&mut node, Settings { server_weights: weights.iter().copied().collect(), ..settings() });
         turns(&mut node, 400);
         let started = Some(node.now);
@@ -145,7 +145,7 @@
 
 #[test]
 fn fewer_failures_eject_sooner() {
-    let mut node = Node::fleet(settings(), 3);
+    let mut node = Node::with_servers(settings(), 3);
     policy(&mut node, Settings { ejection: Ejection { failures: 1, at_most: 0.4 }, ..settings() });
     for ejected in [1, 1] {
         let (id, _) = node.ask(UNSAFE);
@@ -156,19 +156,19 @@
 
 #[test]
 fn a_shorter_deadline_makes_no_new_request_an_old_one() {
-    let mut node = Node::fleet(settings(), 2);
-    node.ask_with(UNSAFE, None, 1000.0);
+    let mut node = Node::with_servers(settings(), 2);
+    node.ask_with_timeout(UNSAFE, None, 1000.0);
     let mut short = settings();
     short.classes[UNSAFE].deadline = 400.0;
     policy(&mut node, short);
-    let (_, actions) = node.ask_with(UNSAFE, None, 400.0);
+    let (_, actions) = node.ask_with_timeout(UNSAFE, None, 400.0);
     assert!(sent_to(&actions).is_some(), "{actions:?}");
 }
 
 #[test]
 fn held_requests_are_answered_in_time_though_aims_grow() {
-    let mut node = Node::fleet(settings(), 0);
-    let (id, _) = node.ask_with(SAFE, None, 90.0);
+    let mut node = Node::with_servers(settings(), 0);
+    let (id, _) = node.ask_with_timeout(SAFE, None, 90.0);
     let mut long = settings();
     for class in &mut long.classes {
         class.aim = 5000.0;
@@ -200,7 +200,7 @@
         other.limits.attempts = 1;
         let error = settings().may_become(&other).expect_err(name);
         assert!(error.0.starts_with(name), "{error}");
-        let mut node = Node::fleet(settings(), 3);
+        let mut node = Node::with_servers(settings(), 3);
         policy(&mut node, other);
         let (id, _) = node.ask(SAFE);
         assert_eq!(sends(&node.end(id, Outcome::Error)), [id], "{name}: the settings are as they were");
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -75,11 +75,11 @@
 
 impl Day {
     fn event(&mut self, event: Event) {
-        self.referee.told(self.now, &event);
+        self.referee.observe_event(self.now, &event);
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions.iter().filter_map(|a| (self.variant)(a)) {
-            self.referee.did(&self.settings, self.now, &action);
+            self.referee.observe_action(&self.settings, self.now, &action);
             match action {
                 Action::Send { id, server, timeout } => {
                     let Some((deadline, attempts, most)) = self.open.get_mut(&id) else { continue };
--- a/tests/rotation.rs
+++ b/tests/rotation.rs
@@ -14,15 +14,15 @@
 
 #[test]
 fn equal_servers_take_turns_in_cyclic_order() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     assert_eq!(turns(&mut node, 8), [0, 1, 2, 3, 0, 1, 2, 3]);
 }
 
 #[test]
 fn each_node_starts_at_its_own_number() {
-    let mut node = Node::fleet(Settings { number: 1, nodes: 7, ..settings() }, 4);
+    let mut node = Node::with_servers(Settings { number: 1, nodes: 7, ..settings() }, 4);
     assert_eq!(turns(&mut node, 5), [1, 2, 3, 0, 1]);
-    let mut node = Node::fleet(Settings { number: 6, nodes: 7, ..settings() }, 4);
+    let mut node = Node::with_servers(Settings { number: 6, nodes: 7, ..settings() }, 4);
     assert_eq!(turns(&mut node, 5), [2, 3, 0, 1, 2]);
 }
 
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_weight_change_does_not_restart() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     turns(&mut node, 2);
     node.event(Event::ListChange(vec![entry(0, 1.1)]));
     assert_eq!(turns(&mut node, 2), [2, 3]);
@@ -53,7 +53,7 @@
 /// the servers after the offsets got everything.
 #[test]
 fn a_change_of_members_keeps_the_place() {
-    let mut node = Node::fleet(Settings { number: 1, ..settings() }, 3);
+    let mut node = Node::with_servers(Settings { number: 1, ..settings() }, 3);
     assert_eq!(turns(&mut node, 2), [1, 2]);
     node.event(Event::ListChange(vec![entry(3, 1.0)]));
     assert_eq!(turns(&mut node, 8), [3, 0, 1, 2, 3, 0, 1, 2]);
@@ -63,7 +63,7 @@
 
 #[test]
 fn an_unready_server_is_passed_over_in_place() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     turns(&mut node, 1);
     for round in 0..3 {
         let (id, actions) = node.ask(SAFE);
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_server_with_late_answers_loses_turns_slowly() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     let mut sent = [0; 4];
     for round in 0..400 {
         let (id, actions) = node.ask(SAFE);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,7 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_resent_nor_refused() {
     for outcome in [Outcome::TimedOut, Outcome::Error, Outcome::Reset] {
-        let mut node = Node::fleet(settings(), 3);
+        let mut node = Node::with_servers(settings(), 3);
         let (id, _) = node.ask(UNSAFE);
         let actions = node.end(id, outcome);
         assert!(failed(&actions, id) && sent_to(&actions).is_none(), "{outcome:?}: {actions:?}");
@@ -17,7 +17,7 @@
 #[test]
 fn an_unsafe_request_that_never_ran_is_resent() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed] {
-        let mut node = Node::fleet(settings(), 3);
+        let mut node = Node::with_servers(settings(), 3);
         let (id, _) = node.ask(UNSAFE);
         assert_eq!(sent_to(&node.end(id, outcome)), Some(ServerId(1)));
     }
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_cell() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     let (id, actions) = node.ask(KEYED);
     assert_eq!(sent_to(&actions), Some(ServerId(0)));
     node.now += 10.0;
@@ -37,7 +37,7 @@
     let mut slow = settings();
     slow.classes[KEYED].aim = 2000.0;
     slow.classes[KEYED].effect = Effect::Keyed { group: Group::All, memory: 5.0 };
-    let mut node = Node::fleet(slow, 4);
+    let mut node = Node::with_servers(slow, 4);
     let (id, _) = node.ask(KEYED);
     node.now += 6.0;
     let actions = node.end(id, Outcome::Error);
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_draining_server_gets_nothing_new() {
-    let mut node = Node::fleet(settings(), 2);
+    let mut node = Node::with_servers(settings(), 2);
     node.event(Event::ListChange(vec![Entry { state: Listed::Draining, ..entry(0, 1.0) }]));
     for _ in 0..5 {
         assert_eq!(node.serve(SAFE, 1.0), Some(ServerId(1)));
@@ -59,28 +59,28 @@
 #[test]
 fn a_request_that_is_coming_is_sent_once() {
     for (class, refusable) in [(SAFE, true), (UNSAFE, false)] {
-        let mut node = Node::fleet(settings(), 3);
-        let (id, actions) = node.ask_coming(class);
+        let mut node = Node::with_servers(settings(), 3);
+        let (id, actions) = node.ask_streaming(class);
         assert!(sent_to(&actions).is_some());
         let actions = node.end(id, Outcome::Error);
         assert!(sent_to(&actions).is_none(), "{actions:?}");
         assert_eq!((refused(&actions, id), failed(&actions, id)), (refusable, !refusable));
     }
-    let mut node = Node::fleet(settings(), 3);
-    let (id, _) = node.ask_coming(UNSAFE);
+    let mut node = Node::with_servers(settings(), 3);
+    let (id, _) = node.ask_streaming(UNSAFE);
     assert!(refused(&node.end(id, Outcome::ConnectFailed), id), "it never ran, and the client may ask again");
 }
 
 /// Its server has no work of it until it is whole, and its time counts from then on.
 #[test]
 fn a_request_that_is_coming_takes_no_room() {
-    let mut node = Node::fleet(settings(), 1);
-    let coming: Vec<_> = (0..50).map(|_| node.ask_coming(SAFE)).collect();
+    let mut node = Node::with_servers(settings(), 1);
+    let coming: Vec<_> = (0..50).map(|_| node.ask_streaming(SAFE)).collect();
     assert!(coming.iter().all(|(_, actions)| sent_to(actions).is_some()));
     node.now += 5000.0;
     assert!(node.serve(SAFE, 1.0).is_some(), "there is room for others");
     for (id, _) in &coming {
-        node.event(Event::Whole { id: *id, deadline: node.now + PATIENCE });
+        node.event(Event::Whole { id: *id, deadline: node.now + CLIENT_TIMEOUT_MS });
     }
     let (held, actions) = node.ask(SAFE);
     assert!(sent_to(&actions).is_none(), "the server has all of them now");
@@ -95,7 +95,7 @@
 /// is held, until one call gives it back.
 #[test]
 fn a_disabled_server_gets_nothing_until_it_is_enabled() {
-    let mut node = Node::fleet(settings(), 2);
+    let mut node = Node::with_servers(settings(), 2);
     let (held, _) = node.ask(SAFE);
     node.event(Event::Disable(ServerId(1)));
     node.event(Event::Disable(ServerId(1)));
@@ -116,7 +116,7 @@
 /// Its process is a new one: what comes back is cold, and what was seen of the old one says nothing of it.
 #[test]
 fn an_enabled_server_returns_as_cold() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
     }
@@ -140,7 +140,7 @@
 /// With the last one out, and with ids that are draining, gone or nobody's, requests are refused in time.
 #[test]
 fn disabling_all_that_there_is_refuses_in_time() {
-    let mut node = Node::fleet(settings(), 3);
+    let mut node = Node::with_servers(settings(), 3);
     node.event(Event::ListChange(vec![
         Entry { state: Listed::Draining, ..entry(1, 1.0) },
         Entry { state: Listed::Gone, ..entry(2, 1.0) },
@@ -165,7 +165,7 @@
 
 #[test]
 fn no_servers_means_a_refusal_in_time() {
-    let mut node = Node::fleet(settings(), 0);
+    let mut node = Node::with_servers(settings(), 0);
     let (id, actions) = node.ask(UNSAFE);
     assert!(!refused(&actions, id), "held first");
     assert!(refused(&node.wait(60.0), id));
@@ -174,7 +174,7 @@
 /// Guards the failure of incidents ia125e6 and i0ddaf6.
 #[test]
 fn a_request_held_after_a_failed_attempt_is_answered_in_time() {
-    let mut node = Node::fleet(settings(), 1);
+    let mut node = Node::with_servers(settings(), 1);
     let (id, _) = node.ask(UNSAFE);
     for _ in 0..2 {
         assert!(sent_to(&node.end(id, Outcome::ConnectFailed)).is_some(), "there is no other server");
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_cold_server_gets_its_part_without_bursts() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
     }
@@ -202,7 +202,7 @@
 
 #[test]
 fn a_cold_server_alone_is_not_pushed_over() {
-    let mut node = Node::fleet(settings(), 2);
+    let mut node = Node::with_servers(settings(), 2);
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
     }
@@ -275,7 +275,7 @@
         (Outcome::ConnectFailed, 0.3, true),
         (Outcome::Reset, 20.0, true),
     ] {
-        let mut node = Node::fleet(settings(), 4);
+        let mut node = Node::with_servers(settings(), 4);
         for _ in 0..40 {
             node.serve(SAFE, 5.0);
         }
@@ -306,7 +306,7 @@
 #[test]
 fn broken_connections_eject_only_where_all_break_for_a_while() {
     for outcome in [Outcome::Reset, Outcome::ConnectFailed] {
-        let mut node = Node::fleet(settings(), 4);
+        let mut node = Node::with_servers(settings(), 4);
         // How often server 1 has a turn in 20 rounds when every `nth` attempt at it fails, one each `pause`.
         let mut turns = |nth: usize, pause: f64| {
             let mut tried = 0;
@@ -337,10 +337,10 @@
 #[test]
 fn time_outs_that_had_little_time_eject_nobody() {
     let turns_after = |left: f64| {
-        let mut node = Node::fleet(settings(), 4);
+        let mut node = Node::with_servers(settings(), 4);
         let mut turns = [0; 4];
         for _ in 0..24 {
-            let (id, actions) = node.ask_with(SAFE, None, left);
+            let (id, actions) = node.ask_with_timeout(SAFE, None, left);
             let server = sent_to(&actions).expect("sent").0 as usize;
             turns[server] += 1;
             node.now += if server == 1 { left - 1.0 } else { 1.0 };
@@ -356,7 +356,7 @@
 /// Guards incident i0ddaf6: a zone cut off is more than half of the fleet, and all of it refuses.
 #[test]
 fn refused_connections_eject_without_a_cap() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     for _ in 0..3 {
         let (id, actions) = node.ask(SAFE);
         let mut server = sent_to(&actions).expect("sent");
@@ -374,7 +374,7 @@
 /// Guards overload: what is beyond the limit of own attempts is held, not queued at a slow server.
 #[test]
 fn a_server_full_with_own_attempts_is_passed_over() {
-    let mut node = Node::fleet(settings(), 2);
+    let mut node = Node::with_servers(settings(), 2);
     let mut ask = || {
         node.now += 0.5;
         node.ask(SAFE)
@@ -392,7 +392,7 @@
 /// down was crowded until it choked, and its neighbours after it.
 #[test]
 fn a_server_that_slows_down_rests_where_many_nodes_share_it() {
-    let mut node = Node::fleet(Settings { nodes: 300, ..settings() }, 60);
+    let mut node = Node::with_servers(Settings { nodes: 300, ..settings() }, 60);
     let mut ask = |slow: Option<u64>| {
         node.wait(60.0);
         let (id, mut actions) = node.ask(SAFE);
@@ -415,7 +415,7 @@
 /// Guards overload: what is served after a long hold has lost the time that it needed.
 #[test]
 fn a_lasting_overload_shortens_the_hold() {
-    let mut node = Node::fleet(settings(), 0);
+    let mut node = Node::with_servers(settings(), 0);
     let refused_after = |node: &mut Node| {
         let (id, _) = node.ask(SAFE);
         let start = node.now;
@@ -438,21 +438,22 @@
 #[test]
 fn a_repeat_counts_from_the_first_asking_where_its_deadline_tells() {
     let timeout = |class, left| {
-        let mut node = Node::fleet(settings(), 3);
+        let mut node = Node::with_servers(settings(), 3);
         node.serve(class, 10.0);
-        let (_, actions) = node.ask_with(class, None, left);
+        let (_, actions) = node.ask_with_timeout(class, None, left);
         actions.iter().find_map(|a| if let Action::Send { timeout, .. } = a { *timeout } else { None })
     };
-    let (new, back) = (timeout(UNSAFE, PATIENCE).expect("sent"), timeout(UNSAFE, PATIENCE - 60.0));
+    let (new, back) =
+        (timeout(UNSAFE, CLIENT_TIMEOUT_MS).expect("sent"), timeout(UNSAFE, CLIENT_TIMEOUT_MS - 60.0));
     assert_eq!(back, Some(new - 60.0));
     // Clients may give up a try of a safe request for another: what its deadline tells is that of the try.
-    assert_eq!(timeout(SAFE, PATIENCE - 60.0), timeout(SAFE, PATIENCE));
+    assert_eq!(timeout(SAFE, CLIENT_TIMEOUT_MS - 60.0), timeout(SAFE, CLIENT_TIMEOUT_MS));
 
     // A repeat is held no longer than an answer may still be of use.
-    let mut node = Node::fleet(settings(), 1);
+    let mut node = Node::with_servers(settings(), 1);
     while sent_to(&node.ask(UNSAFE).1).is_some() {}
-    let (old, _) = node.ask_with(UNSAFE, None, PATIENCE - 85.0);
-    let (fresh, _) = node.ask_with(UNSAFE, None, PATIENCE);
+    let (old, _) = node.ask_with_timeout(UNSAFE, None, CLIENT_TIMEOUT_MS - 85.0);
+    let (fresh, _) = node.ask_with_timeout(UNSAFE, None, CLIENT_TIMEOUT_MS);
     let actions = node.wait(12.0);
     assert!(refused(&actions, old) && !refused(&actions, fresh), "{actions:?}");
 }
@@ -460,7 +461,7 @@
 /// Guards overload: first come, first served starved the classes with short aims.
 #[test]
 fn the_held_request_of_most_worth_goes_first() {
-    let mut node = Node::fleet(settings(), 1);
+    let mut node = Node::with_servers(settings(), 1);
     let sent: Vec<_> = (0..4).map(|_| node.ask(SAFE).0).collect();
     let (poor, _) = node.ask(SAFE);
     let (rich, _) = node.ask(UNSAFE);
@@ -503,7 +504,7 @@
 #[test]
 fn a_tenant_beyond_its_share_waits_behind_one_within() {
     let tenants = vec![Tenant { quota_per_s: 4.0 }, Tenant { quota_per_s: 1000.0 }];
-    let mut node = Node::fleet(Settings { tenants, ..settings() }, 1);
+    let mut node = Node::with_servers(Settings { tenants, ..settings() }, 1);
     let sent: Vec<_> = (0..4).map(|_| node.ask_for(SAFE, Some(0)).0).collect();
     let (beyond, _) = node.ask_for(SAFE, Some(0));
     let (within, _) = node.ask_for(SAFE, Some(1));
@@ -517,7 +518,7 @@
 #[test]
 fn a_cut_off_attempt_weighs_more_than_a_late_answer() {
     let room_after = |outcome, took| {
-        let mut node = Node::fleet(settings(), 8);
+        let mut node = Node::with_servers(settings(), 8);
         for _ in 0..16 {
             node.serve(UNSAFE, 5.0);
         }
@@ -539,7 +540,7 @@
 /// its own few answers, with three quarters of them late.
 #[test]
 fn a_fleet_that_slows_down_at_once_is_soon_spared() {
-    let mut node = Node::fleet(settings(), 10);
+    let mut node = Node::with_servers(settings(), 10);
     let taken = |node: &mut Node| {
         let asked: Vec<_> = (0..60).map(|_| node.ask(SAFE)).collect();
         asked
@@ -578,15 +579,15 @@
 /// Guards incident i19f915: refusals went on for long after a slow spell.
 #[test]
 fn a_server_that_recovers_is_soon_used_again() {
-    let mut node = Node::fleet(settings(), 1);
+    let mut node = Node::with_servers(settings(), 1);
     for _ in 0..60 {
-        if node.serve_held(SAFE, 100.0).is_none() {
+        if node.serve_after_hold(SAFE, 100.0).is_none() {
             node.wait(100.0);
         }
     }
     let served = (0..100)
         .filter(|_| {
-            let served = node.serve_held(SAFE, 5.0).is_some();
+            let served = node.serve_after_hold(SAFE, 5.0).is_some();
             node.wait(30.0);
             served
         })
@@ -597,7 +598,7 @@
 /// Guards incident i6a66ac: limits fell to a rest between attempts though answers still came in time.
 #[test]
 fn answers_in_time_leave_one_attempt_at_a_time() {
-    let mut node = Node::fleet(settings(), 1);
+    let mut node = Node::with_servers(settings(), 1);
     for _ in 0..100 {
         node.serve(SAFE, 90.0);
     }
@@ -606,7 +607,7 @@
 
 #[test]
 fn discovery_is_asked_and_asked_again_with_growing_pauses() {
-    let mut node = Node::fleet(Settings { discovery: Discovery::Asked, ..settings() }, 2);
+    let mut node = Node::with_servers(Settings { discovery: Discovery::Asked, ..settings() }, 2);
     let mut pauses = Vec::new();
     for _ in 0..5 {
         // The first call goes out with the first list, before this loop.
@@ -641,33 +642,33 @@
     }
 }
 
-/// A client waits for PATIENCE a try and twice that in all, and wants SAFE within a fifth of it.
+/// A client waits for CLIENT_TIMEOUT_MS a try and twice that in all, and wants SAFE within a fifth of it.
 #[test]
 fn a_marked_repeat_is_not_begun_where_it_can_t_be_in_time() {
-    let mut node = Node::fleet(settings(), 4);
-    let (first, actions) = node.ask_with(SAFE, None, PATIENCE);
+    let mut node = Node::with_servers(settings(), 4);
+    let (first, actions) = node.ask_with_timeout(SAFE, None, CLIENT_TIMEOUT_MS);
     assert!(sent_to(&actions).is_some());
     node.end(first, Outcome::Done);
-    let (late, actions) = node.ask_again(SAFE, 0.7 * PATIENCE);
+    let (late, actions) = node.ask_repeat(SAFE, 0.7 * CLIENT_TIMEOUT_MS);
     assert!(refused(&actions, late) && sent_to(&actions).is_none(), "{actions:?}");
-    let (_, actions) = node.ask_with(SAFE, None, 0.7 * PATIENCE);
+    let (_, actions) = node.ask_with_timeout(SAFE, None, 0.7 * CLIENT_TIMEOUT_MS);
     assert!(sent_to(&actions).is_some(), "one that is not marked may have little patience: {actions:?}");
 }
 
 /// SAFE is wanted within 100 ms, and the servers' answers show what its usual work takes.
 #[test]
 fn more_work_than_there_is_time_for_is_not_begun() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     for _ in 0..20 {
-        let (id, _) = node.ask_guessed(SAFE, 10.0);
+        let (id, _) = node.ask_with_estimate(SAFE, 10.0);
         node.now += 12.0;
         node.end(id, Outcome::Done);
     }
-    let (heavy, actions) = node.ask_guessed(SAFE, 250.0);
+    let (heavy, actions) = node.ask_with_estimate(SAFE, 250.0);
     assert!(refused(&actions, heavy) && sent_to(&actions).is_none(), "{actions:?}");
-    let (_, actions) = node.ask_guessed(SAFE, 60.0);
+    let (_, actions) = node.ask_with_estimate(SAFE, 60.0);
     assert!(sent_to(&actions).is_some(), "{actions:?}");
-    let (shot, actions) = node.ask_guessed(SAFE, 150.0);
+    let (shot, actions) = node.ask_with_estimate(SAFE, 150.0);
     assert!(sent_to(&actions).is_some(), "while there is room, a long shot is taken: {actions:?}");
     node.end(shot, Outcome::Error);
     let (_, actions) = node.ask(SAFE);
@@ -675,20 +676,20 @@
     let crowd: Vec<_> = (0..60).map(|_| node.ask(SAFE).0).collect();
     let actions = node.wait(60.0);
     assert!(crowd.iter().any(|id| refused(&actions, *id)), "{actions:?}");
-    let (shot, actions) = node.ask_guessed(SAFE, 150.0);
+    let (shot, actions) = node.ask_with_estimate(SAFE, 150.0);
     assert!(refused(&actions, shot), "while others are refused, none is: {actions:?}");
 }
 
 /// Guards rule 1: the repeat was answered as failed, and the first was sent or answered once more.
 #[test]
 fn a_request_id_handed_in_again_changes_nothing() {
-    let mut node = Node::fleet(settings(), 0);
+    let mut node = Node::with_servers(settings(), 0);
     let (id, _) = node.ask(UNSAFE);
     let again = Event::Request {
         id,
         class: UNSAFE,
         tenant: None,
-        deadline: node.now + PATIENCE,
+        deadline: node.now + CLIENT_TIMEOUT_MS,
         coming: false,
         again: false,
         work: None,
@@ -714,7 +715,7 @@
             let weights = [f64::NAN, f64::INFINITY, 0.0];
             let fleet = (0..servers).map(|id| entry(id, weights[id as usize])).collect();
             let mut node = Node::new(settings(), fleet);
-            let (id, mut actions) = node.ask_with(UNSAFE, None, left);
+            let (id, mut actions) = node.ask_with_timeout(UNSAFE, None, left);
             actions.extend(node.wait(200.0));
             let answered = refused(&actions, id) || failed(&actions, id);
             assert!(answered || sent_to(&actions).is_some(), "{left} with {servers}: {actions:?}");
@@ -725,7 +726,7 @@
 
 #[test]
 fn a_clock_that_jumps_forward_answers_what_is_held() {
-    let mut node = Node::fleet(settings(), 0);
+    let mut node = Node::with_servers(settings(), 0);
     let (id, _) = node.ask(SAFE);
     node.now += 1e9;
     let actions = node.event(Event::Timer);
@@ -736,7 +737,7 @@
 #[test]
 fn the_more_nodes_share_a_slow_server_the_rarer_each_looks() {
     let sends_of = |nodes| {
-        let mut node = Node::fleet(Settings { nodes, ..settings() }, 60);
+        let mut node = Node::with_servers(Settings { nodes, ..settings() }, 60);
         let (mut count, start) = (0, node.now);
         while node.now < start + 60_000.0 {
             let (id, mut actions) = node.ask(SAFE);
@@ -757,7 +758,7 @@
 
 #[test]
 fn a_wholly_draining_list_gets_nothing_and_answers_are_given() {
-    let mut node = Node::fleet(settings(), 3);
+    let mut node = Node::with_servers(settings(), 3);
     let draining = (0..3).map(|id| Entry { state: Listed::Draining, ..entry(id, 1.0) }).collect();
     node.event(Event::List { entries: draining, saved: false });
     let (id, mut actions) = node.ask(UNSAFE);
@@ -767,7 +768,7 @@
 
 #[test]
 fn news_of_what_is_over_or_was_not_asked_changes_nothing() {
-    let mut node = Node::fleet(settings(), 2);
+    let mut node = Node::with_servers(settings(), 2);
     let (id, _) = node.ask(SAFE);
     node.end(id, Outcome::Done);
     let quiet = |actions: &[Action]| actions.iter().all(|a| matches!(a, Action::SetTimer(_)));
@@ -785,9 +786,9 @@
 /// a server bears.
 #[test]
 fn quick_answers_raise_a_shared_limit_slowly_beyond_its_start() {
-    let mut node = Node::fleet(Settings { nodes: 1000, ..settings() }, 60);
+    let mut node = Node::with_servers(Settings { nodes: 1000, ..settings() }, 60);
     let start = node.now;
-    let served = (0..30).filter(|_| node.serve_held(SAFE, 5.0).is_some()).count();
+    let served = (0..30).filter(|_| node.serve_after_hold(SAFE, 5.0).is_some()).count();
     let each = (node.now - start) / served as f64;
     assert!(served >= 10 && each > 9.0, "{served} served, {each} ms from one to the next");
 }
@@ -799,7 +800,7 @@
         let mut set = settings();
         set.limits.max_retry_after = most;
         let mut node = Node::new(set, Vec::new());
-        let (_, actions) = node.ask_with(SAFE, None, 1.0);
+        let (_, actions) = node.ask_with_timeout(SAFE, None, 1.0);
         actions.iter().find_map(|a| {
             if let Action::Refuse { stay_away, .. } = a {
                 Some(*stay_away)
@@ -842,7 +843,7 @@
             let mut set = settings();
             set.classes[KEYED].late_worth = late_worth;
             set.classes[KEYED].effect = Effect::Keyed { group: Group::All, memory: KNOWN };
-            Node::fleet(set, servers)
+            Node::with_servers(set, servers)
         };
         // Usual is a quarter of the aim of 200.
         for (after, begun) in [(0.0, true), (25.0, true), (31.0, false), (79.0, false)] {
@@ -872,7 +873,7 @@
             let actions = node.end(id, Outcome::Error);
             assert!(timeout(&actions).is_some_and(|timeout| spent + timeout < KNOWN), "{actions:?}");
         }
-        // Held for want of a server, it is not sent when there is one again.
+        // RequestState for want of a server, it is not sent when there is one again.
         let mut node = fleet(1);
         let (id, _) = node.ask(KEYED);
         node.event(Event::Disable(ServerId(0)));
--- a/tests/votes.rs
+++ b/tests/votes.rs
@@ -10,7 +10,7 @@
 
 /// A node that votes; the group has been heard.
 fn node(servers: u64) -> Node {
-    let mut node = Node::fleet(Settings { votes: Some(votes()), ..settings() }, servers);
+    let mut node = Node::with_servers(Settings { votes: Some(votes()), ..settings() }, servers);
     hear(&mut node, &[]);
     node
 }
@@ -233,7 +233,7 @@
 
 #[test]
 fn with_votes_off_the_group_is_not_heard() {
-    let mut node = Node::fleet(settings(), 4);
+    let mut node = Node::with_servers(settings(), 4);
     hear(&mut node, &[(2, false)]);
     assert!(play(&mut node, 100, SAFE, &[], None)[2] > 10);
     assert_eq!(node.balancer.ballots(), Ballots::default());
