--- a/crates/stoneshift/tests/fleet.rs
+++ b/crates/stoneshift/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 use fixture::{until, Calls, Group, Terms};
 use load::{ask, judge, Client, Taken};
-use peers::{host, operated, Node, Peer, Registry};
+use peers::{config_with_admin, host, Node, Registry, TestServer};
 use serde_json::{json, Value};
 
 /// Three replicas and three nodes with a client each.
@@ -21,19 +21,19 @@
     /// What processes that are gone have taken.
     ended: Vec<Vec<Taken>>,
     _registry: Registry,
-    _server: Peer,
+    _server: TestServer,
 }
 
 impl Fleet {
     fn start() -> Self {
         let group = Group::start(env!("CARGO_BIN_EXE_stoneshift").into(), 3);
-        let server = Peer::good("served");
+        let server = TestServer::ok("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let replicas: Vec<String> =
             (0..group.len()).map(|replica| group.reached(replica).to_string()).collect();
         let configs: Vec<Value> = (0..3)
             .map(|node| {
-                let mut config = operated(&registry);
+                let mut config = config_with_admin(&registry);
                 config["name"] = json!(format!("n{node}"));
                 config["settings"]["Me"] = json!(node);
                 config["settings"]["PeersTotal"] = json!(3);
@@ -41,7 +41,7 @@
                 config
             })
             .collect();
-        let nodes: Vec<Node> = configs.iter().map(Node::ready).collect();
+        let nodes: Vec<Node> = configs.iter().map(Node::start_ready).collect();
         let clients = nodes.iter().map(|node| Client::of(node.address)).collect();
         let (calls, ended) = (group.calls(), Vec::new());
         Self { group, calls, nodes, clients, configs, ended, _registry: registry, _server: server }
@@ -96,7 +96,7 @@
     /// Kills a node and starts it again, at another port.
     fn replace(&mut self, node: usize) {
         self.nodes[node].signal("-KILL");
-        let old = std::mem::replace(&mut self.nodes[node], Node::listening(&self.configs[node], None));
+        let old = std::mem::replace(&mut self.nodes[node], Node::start_listening(&self.configs[node], None));
         drop(old);
         let new = Client::of(self.nodes[node].address);
         self.ended.push(std::mem::replace(&mut self.clients[node], new).end());
--- a/crates/stoneshift/tests/hard.rs
+++ b/crates/stoneshift/tests/hard.rs
@@ -17,7 +17,7 @@
 
 use fixture::{until, Answer, Calls, Group, Party, Terms};
 use load::{ask, judge, Client};
-use peers::{host, operated, Node, Peer, Registry};
+use peers::{config_with_admin, host, Node, Registry, TestServer};
 use relay::{Fault, Flow};
 use serde_json::{json, Value};
 
@@ -42,24 +42,24 @@
     /// Two processes serve at the first node's address, and each changes over by itself.
     upgraded: bool,
     _registry: Registry,
-    _server: Peer,
+    _server: TestServer,
 }
 
 impl Fleet {
     fn start(nodes: usize, terms: Terms) -> Self {
         let mut fleet = Self::without_nodes(nodes, terms);
-        fleet.nodes = fleet.configs.iter().map(Node::ready).collect();
+        fleet.nodes = fleet.configs.iter().map(Node::start_ready).collect();
         fleet.clients = fleet.nodes.iter().map(|node| Client::of(node.address)).collect();
         fleet
     }
 
     fn without_nodes(nodes: usize, terms: Terms) -> Self {
         let group = Group::linked(env!("CARGO_BIN_EXE_stoneshift").into(), 3, nodes, terms);
-        let server = Peer::good("served");
+        let server = TestServer::ok("served");
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
         let config = |node: usize| {
             let reached = |replica| group.link(Party::Node(node), replica).address().to_string();
-            let mut config = operated(&registry);
+            let mut config = config_with_admin(&registry);
             config["name"] = json!(format!("n{node}"));
             // So that they watch at different replicas.
             config["seed"] = json!(format!("{:016x}", node + 1));
@@ -163,7 +163,7 @@
         let committed: BTreeSet<u64> =
             done.map(|change| change["epoch"].as_u64().expect("a number")).chain([0]).collect();
         for node in &self.nodes {
-            let epochs = node.epochs();
+            let epochs = node.policy_epochs();
             assert!(epochs.is_sorted(), "a node went back: {epochs:?}");
         }
         let mut taken: Vec<_> = self.clients.into_iter().map(Client::end).collect();
@@ -336,14 +336,14 @@
     let mut fleet = Fleet::without_nodes(2, Terms::SHORT);
     fleet.upgraded = true;
     let held = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let ready = |node: &Node| until("it is ready", || (node.call("GET /ready").0 == 200).then_some(()));
-    let mut older = Node::inheriting(&fleet.configs[0], &held, &[]);
+    let ready = |node: &Node| until("it is ready", || (node.admin_call("GET /ready").0 == 200).then_some(()));
+    let mut older = Node::start_inheriting(&fleet.configs[0], &held, &[]);
     ready(&older);
-    fleet.nodes = vec![Node::ready(&fleet.configs[1])];
+    fleet.nodes = vec![Node::start_ready(&fleet.configs[1])];
     fleet.clients = vec![Client::of(older.address), Client::of(fleet.nodes[0].address)];
     let (newer, new) = until("a process joins between staged and active", || {
         let (_, asked) = fleet.stage(0, 1);
-        let newer = Node::inheriting(&fleet.configs[0], &held, &[]);
+        let newer = Node::start_inheriting(&fleet.configs[0], &held, &[]);
         until("both are members", || fleet.members(0).filter(|members| members.len() == 2));
         let under_way = !asked.is_finished();
         fleet.nodes[0].signal("-CONT");
@@ -351,7 +351,9 @@
         Some((newer, ended.as_ref().and_then(epoch).filter(|_| under_way)?))
     });
     let by = |node: &Node, epoch: u64| {
-        until("it judges by that epoch", || node.logged(&format!("judges by epoch {epoch}")).then_some(()));
+        until("it judges by that epoch", || {
+            node.has_logged(&format!("judges by epoch {epoch}")).then_some(())
+        });
     };
     ready(&newer);
     by(&older, new);
@@ -366,7 +368,7 @@
     by(&newer, new);
 
     older.terminate();
-    assert_eq!(older.exit_code(), Some(0));
+    assert_eq!(older.wait_exit_code(), Some(0));
     until("the older one is no member", || (fleet.members(0)?.len() == 1).then_some(()));
     fleet.nodes.push(newer);
     fleet.judge();
--- a/crates/stoneshift/tests/votes.rs
+++ b/crates/stoneshift/tests/votes.rs
@@ -14,7 +14,9 @@
 use fixture::{ask, until, Calls, Group};
 use member::votes::{Ballot, Evidence, Stand, Votes};
 use member::{Answer, Beat, News, Process, Stamp};
-use peers::{answer, figure, host, operated, request, Client, Node, Peer, Registry, Say};
+use peers::{
+    config_with_admin, host, http_response, metric, request, Client, Node, Registry, Reply, TestServer,
+};
 use serde_json::{json, Value};
 
 /// The servers.
@@ -207,13 +209,13 @@
         let (served, over) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(false)));
         let (count, end, at) = (served.clone(), over.clone(), node.address);
         let thread = std::thread::spawn(move || {
-            let mut client = Client::at(at);
+            let mut client = Client::connect_to(at);
             while !end.load(Ordering::SeqCst) {
                 client.send(&request("look", "t1", 10_000));
-                match client.hear() {
+                match client.receive() {
                     Some(heard) if heard.status() == 200 => drop(count.fetch_add(1, Ordering::SeqCst)),
                     Some(_) => {}
-                    None => client = Client::at(at),
+                    None => client = Client::connect_to(at),
                 }
                 std::thread::sleep(PAUSE);
             }
@@ -242,14 +244,15 @@
     nodes: Vec<Node>,
     group: Group,
     calls: Calls,
-    servers: Vec<Peer>,
+    servers: Vec<TestServer>,
     bad: Arc<AtomicBool>,
     registry: Registry,
 }
 
 /// The list, with the start of the first server's process.
-fn list(servers: &[Peer], born_ms: u64) -> Vec<Value> {
-    let entry = |(cell, (server, name)): (u64, (&Peer, &&str))| host(name, server.address, "active", cell);
+fn list(servers: &[TestServer], born_ms: u64) -> Vec<Value> {
+    let entry =
+        |(cell, (server, name)): (u64, (&TestServer, &&str))| host(name, server.address, "active", cell);
     let mut hosts: Vec<Value> = (1..).zip(servers.iter().zip(&SERVERS)).map(entry).collect();
     hosts[0]["born_ms"] = json!(born_ms);
     hosts
@@ -265,20 +268,22 @@
         let server = |name: &&'static str| {
             let (name, fails) = (*name, bad.clone());
             let fails = move || name == BAD && fails.load(Ordering::SeqCst);
-            Peer::new(move |_| Say::This(if fails() { answer(500, "", "") } else { answer(200, "", name) }))
+            TestServer::new(move |_| {
+                Reply::Send(if fails() { http_response(500, "", "") } else { http_response(200, "", name) })
+            })
         };
-        let servers: Vec<Peer> = SERVERS.iter().map(server).collect();
+        let servers: Vec<TestServer> = SERVERS.iter().map(server).collect();
         let registry = Registry::new(&list(&servers, 0));
         let replicas: Vec<String> = (0..group.len()).map(|r| group.reached(r).to_string()).collect();
         let nodes: Vec<Node> = (0..3)
             .map(|node| {
-                let mut config = operated(&registry);
+                let mut config = config_with_admin(&registry);
                 config["name"] = json!(format!("n{node}"));
                 config["settings"]["Me"] = json!(node);
                 config["settings"]["PeersTotal"] = json!(3);
                 let zone = if node < 2 { "a" } else { "b" };
                 config["control"] = json!({"replicas": replicas, "zone": zone});
-                Node::ready(&config)
+                Node::start_ready(&config)
             })
             .collect();
         Self { loads: Vec::new(), nodes, group, calls, servers, bad, registry }
@@ -293,7 +298,7 @@
 
     /// Requests that the first server has had.
     fn asked(&self) -> usize {
-        self.servers[0].seen().len()
+        self.servers[0].requests().len()
     }
 
     /// Waits until each client has been served so often again.
@@ -310,9 +315,9 @@
             verdicts(&self.calls, self.calls.leader()?).filter(|known| !known["removed"][BAD].is_null())
         });
         for node in &self.nodes {
-            until("a node heeds it", || (figure(node, "votes.removed") == 1).then_some(()));
+            until("a node heeds it", || (metric(node, "votes.removed") == 1).then_some(()));
             let line = format!("{BAD} is removed by votes");
-            until("its log says so", || node.logged(&line).then_some(()));
+            until("its log says so", || node.has_logged(&line).then_some(()));
         }
         known
     }
@@ -332,8 +337,8 @@
             verdicts(&self.calls, self.calls.leader()?).filter(|known| known["removed"] == json!({}))
         });
         for node in &self.nodes {
-            until("a node knows it", || (figure(node, "votes.removed") == 0).then_some(()));
-            until("its log says so", || node.logged(&format!("{BAD} is back")).then_some(()));
+            until("a node knows it", || (metric(node, "votes.removed") == 0).then_some(()));
+            until("its log says so", || node.has_logged(&format!("{BAD} is back")).then_some(()));
         }
         let before = self.asked();
         until("it is asked again", || (self.asked() > before + ENOUGH).then_some(()));
@@ -355,7 +360,7 @@
     assert!(fleet.shuns(), "a removed server gets nothing");
     fleet.bad.store(false, Ordering::SeqCst);
     let (all, entry) = (list(&fleet.servers, 7), list(&fleet.servers, 7).swap_remove(0));
-    fleet.registry.tell(2, &all, &[entry]);
+    fleet.registry.publish(2, &all, &[entry]);
     let known = fleet.until_back();
     assert_eq!(known["ended"][0]["why"], "restarted", "{known}");
 }
@@ -392,7 +397,7 @@
         (answered >= 50).then_some(())
     });
     fleet.until_served();
-    assert!(fleet.nodes.iter().all(|node| figure(node, "votes.removed") == 0));
+    assert!(fleet.nodes.iter().all(|node| metric(node, "votes.removed") == 0));
 }
 
 #[test]
@@ -402,7 +407,7 @@
     fleet.load(2);
     let leader = until("two of three are for the removal", || {
         let leader = fleet.calls.leader()?;
-        let suspects = fleet.nodes.iter().filter(|node| figure(node, "votes.suspects") == 1);
+        let suspects = fleet.nodes.iter().filter(|node| metric(node, "votes.suspects") == 1);
         (suspects.count() == 2 && verdicts(&fleet.calls, leader)?["votes"]["voters"].as_u64() >= Some(2))
             .then_some(leader)
     });
@@ -425,8 +430,8 @@
     fleet.group.kill(&[0, 1, 2]);
     until("it is tried again", || (fleet.asked() > before).then_some(()));
     for node in &fleet.nodes {
-        until("a node is alone", || (figure(node, "votes.alone") == 1).then_some(()));
-        until("it ejects the server", || (figure(node, "targets_disabled") == 1).then_some(()));
+        until("a node is alone", || (metric(node, "votes.alone") == 1).then_some(()));
+        until("it ejects the server", || (metric(node, "targets_disabled") == 1).then_some(()));
     }
     fleet.until_served();
 }
--- a/tests/agreed.rs
+++ b/tests/agreed.rs
@@ -14,41 +14,43 @@
 use serde_json::{json, Value};
 
 /// A server that does as the request's id says; what is late fails at first, and is then served.
-fn server() -> Peer {
+fn server() -> TestServer {
     let tried = AtomicBool::new(false);
-    Peer::new(move |m| match m.header("x-txn") {
-        Some(txn) if txn.starts_with("long") => Say::Later(Duration::from_secs(2), answer(200, "", "served")),
-        Some(txn) if txn.starts_with("fails") => Say::This(answer(500, "", "")),
+    TestServer::new(move |m| match m.header("x-txn") {
+        Some(txn) if txn.starts_with("long") => {
+            Reply::SendAfter(Duration::from_secs(2), http_response(200, "", "served"))
+        }
+        Some(txn) if txn.starts_with("fails") => Reply::Send(http_response(500, "", "")),
         Some("late") if !tried.swap(true, Ordering::SeqCst) => {
-            Say::Later(Duration::from_millis(1500), answer(500, "", ""))
+            Reply::SendAfter(Duration::from_millis(1500), http_response(500, "", ""))
         }
-        _ => Say::This(answer(200, "", "served")),
+        _ => Reply::Send(http_response(200, "", "served")),
     })
 }
 
 /// A server in a list, and a node's configuration that has it follow the group.
 fn member(group: &Group) -> (Registry, Value) {
     let registry = Registry::new(&[host("s0", server().address, "active", 1)]);
-    let mut config = operated(&registry);
+    let mut config = config_with_admin(&registry);
     config["control"] = group.control();
     (registry, config)
 }
 
 /// Asks once: the status and the epoch.
 fn ask(node: &Node, txn: &str) -> (u16, Option<u64>) {
-    let heard = Client::to(node).ask(&request("look", txn, 10_000));
+    let heard = Client::connect(node).exchange(&request("look", txn, 10_000));
     (heard.status(), heard.header("x-policy-epoch").map(|e| e.parse().expect("a number")))
 }
 
 fn until_served(node: &Node, epoch: u64) {
-    until("it serves under that epoch", || ask(node, "t1") == (200, Some(epoch)));
+    wait_until("it serves under that epoch", || ask(node, "t1") == (200, Some(epoch)));
 }
 
 /// Is what fails under epoch 1 not tried again?
 fn sends_once(node: &Node) -> bool {
-    let sent = figure(node, "dispatches");
+    let sent = metric(node, "dispatches");
     assert_eq!(ask(node, "fails"), (503, Some(1)));
-    figure(node, "dispatches") == sent + 1
+    metric(node, "dispatches") == sent + 1
 }
 
 #[test]
@@ -56,17 +58,17 @@
     let group = Group::new();
     group.cut(true, false);
     let (_registry, config) = member(&group);
-    let node = Node::listening(&config, None);
-    until("it beats", || !group.beats().is_empty());
-    let refused = Client::to(&node).ask(&request("look", "t1", 10_000));
+    let node = Node::start_listening(&config, None);
+    wait_until("it beats", || !group.beats().is_empty());
+    let refused = Client::connect(&node).exchange(&request("look", "t1", 10_000));
     assert_eq!((refused.status(), refused.header("retry-after")), (503, Some("0.500")));
-    assert_eq!((node.call("GET /ready").0, figure(&node, "policy.held")), (503, 1));
-    assert!(node.logged(&format!("waits for the agreed epoch from {}", group.address)));
+    assert_eq!((node.admin_call("GET /ready").0, metric(&node, "policy.held")), (503, 1));
+    assert!(node.has_logged(&format!("waits for the agreed epoch from {}", group.address)));
     group.cut(false, false);
     node.wait_ready();
     assert_eq!(ask(&node, "t2"), (200, Some(0)));
-    assert_eq!((figure(&node, "policy.held"), figure(&node, "policy.epoch")), (0, 0));
-    assert_eq!(figure(&node, "replies.look.overload"), 1);
+    assert_eq!((metric(&node, "policy.held"), metric(&node, "policy.epoch")), (0, 0));
+    assert_eq!(metric(&node, "replies.look.overload"), 1);
 }
 
 /// A change takes hold for what is admitted after it; what was admitted before goes on by the old figures: its second
@@ -76,34 +78,34 @@
     let group = Group::new();
     group.no_beats();
     let (_registry, config) = member(&group);
-    let node = Node::ready(&config);
-    let mut before = Client::to(&node);
+    let node = Node::start_ready(&config);
+    let mut before = Client::connect(&node);
     before.send(&request("look", "late", 10_000));
-    until("it is sent on", || figure(&node, "dispatches") == 1);
+    wait_until("it is sent on", || metric(&node, "dispatches") == 1);
     group.change(json!({"Limits": {"AttemptsCap": 1}}));
     until_served(&node, 1);
     assert!(sends_once(&node));
-    let heard = before.hear().expect("an answer");
+    let heard = before.receive().expect("an answer");
     assert_eq!((heard.status(), heard.header("x-policy-epoch")), (200, Some("0")), "it was tried again");
     group.stage(json!({"Limits": {"AttemptsCap": 2}}));
     group.end(false);
-    until("the abort is known", || node.logged("takes hold nowhere"));
+    wait_until("the abort is known", || node.has_logged("takes hold nowhere"));
     assert_eq!(ask(&node, "t2"), (200, Some(1)));
-    assert_eq!(figure(&node, "policy.epoch"), 1);
+    assert_eq!(metric(&node, "policy.epoch"), 1);
 }
 
 #[test]
 fn a_policy_that_the_node_can_not_bear_is_refused_in_words() {
     let group = Group::new();
     let (_registry, config) = member(&group);
-    let node = Node::ready(&config);
+    let node = Node::start_ready(&config);
     for (field, of) in [
         ("OpenCap", json!({"Limits": {"OpenCap": 1_000_000}})),
         ("Me", json!({"Me": 1})),
         ("nobody", json!({"Classes": [{"Name": "nobody", "Slo": 10.0}]})),
     ] {
         let asked = group.propose(of);
-        until("it is refused", || {
+        wait_until("it is refused", || {
             let named = |words: &str| words.contains(field) && words.contains("; ");
             matches!(group.word(), Some(Word::Refused { change, words }) if change == asked && named(&words))
         });
@@ -119,9 +121,11 @@
     group.propose(json!({"Classes": [{"Name": "nobody", "Slo": 10.0}]}));
     group.end(true);
     let (_registry, config) = member(&group);
-    let node = Node::listening(&config, None);
-    until("it says why", || node.logged("epoch 1 can't be judged by: ") && node.logged("nobody"));
-    assert_eq!((ask(&node, "t1"), node.call("GET /ready").0), ((503, None), 503));
+    let node = Node::start_listening(&config, None);
+    wait_until("it says why", || {
+        node.has_logged("epoch 1 can't be judged by: ") && node.has_logged("nobody")
+    });
+    assert_eq!((ask(&node, "t1"), node.admin_call("GET /ready").0), ((503, None), 503));
     group.change(json!({}));
     until_served(&node, 2);
 }
@@ -132,14 +136,14 @@
 fn a_change_in_doubt_stops_what_is_new() {
     let group = Group::new();
     let (_registry, config) = member(&group);
-    let node = Node::ready(&config);
+    let node = Node::start_ready(&config);
     group.stage(json!({"Limits": {"AttemptsCap": 2}}));
     group.cut(true, true);
-    let mut open = Client::to(&node);
+    let mut open = Client::connect(&node);
     open.send(&request("look", "long", 10_000));
-    until("its promise has passed", || ask(&node, "t1") == (503, None));
-    assert_eq!((figure(&node, "policy.held"), node.call("GET /ready").0), (1, 503));
-    assert_eq!(open.hear().expect("an answer").status(), 200);
+    wait_until("its promise has passed", || ask(&node, "t1") == (503, None));
+    assert_eq!((metric(&node, "policy.held"), node.admin_call("GET /ready").0), (1, 503));
+    assert_eq!(open.receive().expect("an answer").status(), 200);
     group.end(true);
     group.cut(true, false);
     until_served(&node, 1);
@@ -151,31 +155,31 @@
 fn a_held_node_refuses_by_the_policy_that_it_judged_by_last() {
     let group = Group::new();
     let (_registry, config) = member(&group);
-    let node = Node::ready(&config);
-    let mut client = Client::to(&node);
+    let node = Node::start_ready(&config);
+    let mut client = Client::connect(&node);
     let mut held = |epoch: u64| {
         group.stage(json!({"Limits": {"AttemptsCap": 2}}));
         group.cut(true, true);
         let mut refused = None;
-        until("its promise has passed", || {
-            let heard = client.ask(&request("look", "t", 10_000));
+        wait_until("its promise has passed", || {
+            let heard = client.exchange(&request("look", "t", 10_000));
             refused = (heard.status() == 503).then_some(heard);
             refused.is_some()
         });
         group.end(false);
         group.cut(false, false);
-        until("it serves again", || {
-            let heard = client.ask(&request("look", "t", 10_000));
+        wait_until("it serves again", || {
+            let heard = client.exchange(&request("look", "t", 10_000));
             heard.header("x-policy-epoch") == Some(epoch.to_string().as_str())
         });
         refused.and_then(|heard| heard.header("retry-after").map(str::to_owned))
     };
     assert_eq!(held(0).as_deref(), Some("0.500"));
     group.change(json!({"Limits": {"MaxRetryAfter": 70}}));
-    until("it is judged by", || node.epochs().contains(&1));
+    wait_until("it is judged by", || node.policy_epochs().contains(&1));
     assert_eq!(held(1).as_deref(), Some("0.070"));
     group.change(json!({"Limits": {"RetryAfter": false}}));
-    until("it is judged by", || node.epochs().contains(&2));
+    wait_until("it is judged by", || node.policy_epochs().contains(&2));
     assert_eq!(held(2), None);
 }
 
@@ -184,18 +188,18 @@
 fn a_process_that_was_stopped_takes_nothing_until_it_knows() {
     let group = Group::new();
     let (_registry, config) = member(&group);
-    let node = Node::ready(&config);
-    let mut client = Client::to(&node);
-    assert_eq!(client.ask(&request("look", "t1", 10_000)).status(), 200);
+    let node = Node::start_ready(&config);
+    let mut client = Client::connect(&node);
+    assert_eq!(client.exchange(&request("look", "t1", 10_000)).status(), 200);
     group.stage(json!({"Limits": {"AttemptsCap": 2}}));
     group.cut(true, true);
     node.signal("-STOP");
     let stopped = Instant::now();
     client.send(&request("look", "t2", 10_000));
-    until("its promise has passed", || stopped.elapsed().as_secs_f64() * 1000.0 > PROMISE_MS + 50.0);
+    wait_until("its promise has passed", || stopped.elapsed().as_secs_f64() * 1000.0 > PROMISE_MS + 50.0);
     group.end(true);
     node.signal("-CONT");
-    assert_eq!(client.hear().expect("an answer").status(), 503);
+    assert_eq!(client.receive().expect("an answer").status(), 503);
     group.cut(false, false);
     until_served(&node, 1);
 }
@@ -205,13 +209,13 @@
 fn a_process_that_was_killed_joins_anew() {
     let group = Group::new();
     let (_registry, config) = member(&group);
-    drop(Node::ready(&config));
+    drop(Node::start_ready(&config));
     group.cut(true, true);
     let old = group.beats().swap_remove(0);
-    let node = Node::listening(&config, None);
+    let node = Node::start_listening(&config, None);
     // The killed one's last beat may still be on its way.
     let of_another = || group.beats().into_iter().find(|beat| beat.process.boot != old.process.boot);
-    until("it beats", || of_another().is_some());
+    wait_until("it beats", || of_another().is_some());
     let new = of_another().expect("it beats");
     assert_eq!(old.process.name, new.process.name);
     assert!(old.life != new.life && new.active.is_none() && !new.beside);
@@ -224,32 +228,32 @@
 fn a_start_without_the_group_serves_by_what_was_saved() {
     let group = Group::new();
     let (_registry, mut config) = member(&group);
-    let state = format!("{}/state", folder("saved"));
+    let state = format!("{}/state", temp_dir("saved"));
     std::fs::write(&state, "").expect("a file where the folder should be");
     config["control"]["start"] = json!("saved");
     config["control"]["saved_after_ms"] = json!(300);
     config["state_dir"] = json!(state);
     let file = format!("{state}/agreed-epoch");
     let saved = || std::fs::read_to_string(&file).unwrap_or_default();
-    let node = Node::ready(&config);
-    until("what failed is said", || node.logged("the epoch is not saved"));
+    let node = Node::start_ready(&config);
+    wait_until("what failed is said", || node.has_logged("the epoch is not saved"));
     assert_eq!(ask(&node, "t1"), (200, Some(0)));
     std::fs::remove_file(&state).expect("the file");
     std::fs::create_dir(&state).expect("a folder");
-    until("it is saved", || node.logged("epoch 0 is saved") && !saved().is_empty());
+    wait_until("it is saved", || node.has_logged("epoch 0 is saved") && !saved().is_empty());
     group.change(json!({"Limits": {"AttemptsCap": 1}}));
-    until("the next one, too", || saved().contains("\"epoch\":1"));
+    wait_until("the next one, too", || saved().contains("\"epoch\":1"));
     drop(node);
     group.cut(true, true);
-    let node = Node::listening(&config, None);
+    let node = Node::start_listening(&config, None);
     until_served(&node, 1);
     assert!(sends_once(&node));
     drop(node);
     std::fs::write(&file, saved().replace("\"epoch\":1", "\"epoch\":7")).expect("spoilt");
     let start = Instant::now();
-    let node = Node::listening(&config, None);
-    until("it is named", || node.logged("damaged, left out"));
-    until("the saved epoch would be due", || start.elapsed() > Duration::from_millis(800));
+    let node = Node::start_listening(&config, None);
+    wait_until("it is named", || node.has_logged("damaged, left out"));
+    wait_until("the saved epoch would be due", || start.elapsed() > Duration::from_millis(800));
     assert_eq!(ask(&node, "t1"), (503, None));
 }
 
@@ -259,16 +263,16 @@
     let group = Group::new();
     let (_registry, config) = member(&group);
     let held = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut old = Node::inheriting(&config, &held, &[]);
-    until("it is ready", || old.call("GET /ready").0 == 200);
-    let new = Node::inheriting(&config, &held, &[]);
-    until("it is ready", || new.call("GET /ready").0 == 200);
+    let mut old = Node::start_inheriting(&config, &held, &[]);
+    wait_until("it is ready", || old.admin_call("GET /ready").0 == 200);
+    let new = Node::start_inheriting(&config, &held, &[]);
+    wait_until("it is ready", || new.admin_call("GET /ready").0 == 200);
     let boots = || group.beats().iter().map(|b| b.process.boot).collect::<std::collections::BTreeSet<_>>();
     assert!(boots().len() == 2 && group.beats().iter().all(|b| b.beside));
     let first = group.beats()[0].process.boot;
     group.change(json!({"Limits": {"AttemptsCap": 2}}));
     old.terminate();
-    assert_eq!(old.exit_code(), Some(0));
+    assert_eq!(old.wait_exit_code(), Some(0));
     assert!(group.beats().iter().any(|b| b.bye && b.process.boot == first));
     until_served(&new, 1);
 }
@@ -282,7 +286,7 @@
     let (_registry, mut config) = member(&group);
     for replicas in [[gone, other.address], [other.address, gone]] {
         config["control"]["replicas"] = json!(replicas.map(|at| at.to_string()));
-        let node = Node::ready(&config);
+        let node = Node::start_ready(&config);
         assert_eq!(ask(&node, "t1"), (200, Some(0)));
     }
 }
@@ -292,24 +296,24 @@
 fn a_ban_of_the_policy_and_one_by_hand_are_two() {
     let group = Group::new();
     let (_registry, config) = member(&group);
-    let node = Node::ready(&config);
-    let serves = || Client::to(&node).ask(&request("look", "t1", 500)).status() == 200;
-    let out = || !serves() && figure(&node, "targets_disabled") == 1;
+    let node = Node::start_ready(&config);
+    let serves = || Client::connect(&node).exchange(&request("look", "t1", 500)).status() == 200;
+    let out = || !serves() && metric(&node, "targets_disabled") == 1;
     let agreed = |epoch: u64, bans: Value| {
         group.change(json!({"ServerBans": bans}));
-        until("it is judged by", || figure(&node, "policy.epoch") == epoch);
+        wait_until("it is judged by", || metric(&node, "policy.epoch") == epoch);
     };
     assert!(serves());
     agreed(1, json!(["s0"]));
     assert!(out());
-    assert_eq!(node.call("PUT /app-servers/disable/s0").0, 200);
+    assert_eq!(node.admin_call("PUT /app-servers/disable/s0").0, 200);
     agreed(2, json!([]));
     assert!(out());
     agreed(3, json!(["s0"]));
-    assert_eq!(node.call("PUT /app-servers/enable/s0").0, 200);
+    assert_eq!(node.admin_call("PUT /app-servers/enable/s0").0, 200);
     assert!(out());
     agreed(4, json!([]));
-    until("it is back", serves);
+    wait_until("it is back", serves);
 }
 
 /// Nothing of votes goes over the wire, and none is shown, unless the agreed policy has their figures.
@@ -318,21 +322,23 @@
     let group = Group::new();
     let (_registry, mut config) = member(&group);
     config["control"]["zone"] = json!("east");
-    let node = Node::ready(&config);
-    let shown = || node.call("GET /metrics").1.contains("votes.");
+    let node = Node::start_ready(&config);
+    let shown = || node.admin_call("GET /metrics").1.contains("votes.");
     assert!(!shown() && group.beats().iter().all(|beat| beat.votes.is_none() && beat.verdicts.is_none()));
     group.change(json!({"Votes": {"Window": 60000}}));
     until_served(&node, 1);
     assert_eq!(ask(&node, "fails").0, 503);
-    until("it is for the removal of what fails", || {
+    wait_until("it is for the removal of what fails", || {
         let votes = group.beats().pop().and_then(|beat| beat.votes);
         votes.is_some_and(|votes| {
             assert_eq!((votes.zone.as_deref(), votes.up.as_slice()), (Some("east"), &[("a".into(), 1)][..]));
             votes.ballots.iter().any(|b| b.server == "s0" && b.evidence.errors == 3 && b.stand == Stand::For)
         })
     });
-    assert!(shown() && figure(&node, "votes.removed") == 0);
+    assert!(shown() && metric(&node, "votes.removed") == 0);
     group.change(json!({}));
-    until("its beats say nothing of it", || group.beats().last().is_some_and(|beat| beat.votes.is_none()));
+    wait_until("its beats say nothing of it", || {
+        group.beats().last().is_some_and(|beat| beat.votes.is_none())
+    });
     assert!(!shown());
 }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -17,26 +17,26 @@
 /// A node of one server at whose failures it neither spares further attempts nor ejects.
 fn patient(server: SocketAddr) -> (Registry, Value) {
     let registry = Registry::new(&[host("s0", server, "active", 1)]);
-    let mut config = operated(&registry);
+    let mut config = config_with_admin(&registry);
     config["settings"]["Retry"] = json!({"BudgetShare": 1.0, "BudgetMax": 1000.0});
     config["settings"]["Ejection"] = json!({"Failures": 1000});
     (registry, config)
 }
 
 /// How many attempts at that request came whole.
-fn attempts(server: &Peer, txn: &str) -> usize {
-    server.seen().iter().filter(|m| m.header("x-txn") == Some(txn)).count()
+fn attempts(server: &TestServer, txn: &str) -> usize {
+    server.requests().iter().filter(|m| m.header("x-txn") == Some(txn)).count()
 }
 
 /// A server that does `first` with the first attempt at each request, and serves further ones.
-fn spoiling(first: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Peer {
+fn spoiling(first: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> TestServer {
     let tried = Mutex::new(BTreeSet::new());
-    Peer::new(move |m| {
+    TestServer::new(move |m| {
         let txn = m.header("x-txn").unwrap_or_default().to_string();
         if m.path() != "/health" && tried.lock().expect("no panic").insert(txn) {
             first(m)
         } else {
-            Say::This(answer(200, "", "served"))
+            Reply::Send(http_response(200, "", "served"))
         }
     })
 }
@@ -65,9 +65,9 @@
         Self { listener, fillers, address }
     }
 
-    fn open(self, script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Peer {
+    fn open(self, script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> TestServer {
         drop(self.fillers);
-        Peer::on(self.listener, script)
+        TestServer::on(self.listener, script)
     }
 }
 
@@ -88,11 +88,11 @@
     config["settings"]["Limits"]["ConnectTimeout"] = json!(50_000.0);
     config["settings"]["Classes"][2]["Slo"] = json!(60_000.0);
     set(&mut config);
-    let node = Node::ready(&config);
-    let mut client = Client::to(&node);
+    let node = Node::start_ready(&config);
+    let mut client = Client::connect(&node);
     let sent = Instant::now();
     client.send(&request("slip", "t1", remaining));
-    until("the attempt connects", || connections(shut.address, SYN_SENT) == 1);
+    wait_until("the attempt connects", || connections(shut.address, SYN_SENT) == 1);
     (registry, node, client, sent)
 }
 
@@ -103,9 +103,10 @@
     let (_registry, _node, mut client, sent) = connecting(&shut, 20_000, |_| ());
     std::thread::sleep((300 * MS).saturating_sub(sent.elapsed()));
     let late = sent.elapsed();
-    let server = shut.open(|_| Say::This(answer(200, "", "late")));
-    assert_eq!(client.hear().expect("an answer").body, b"late");
-    let told: u64 = server.seen()[0].header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time");
+    let server = shut.open(|_| Reply::Send(http_response(200, "", "late")));
+    assert_eq!(client.receive().expect("an answer").body, b"late");
+    let told: u64 =
+        server.requests()[0].header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time");
     assert!(Duration::from_millis(told) + late <= 20_000 * MS, "{told} ms told {late:?} later");
 }
 
@@ -119,33 +120,33 @@
         let set = |config: &mut Value| config["settings"]["Limits"]["Cancel"] = json!(cancel);
         let (_registry, node, client, _) = connecting(&shut, 20_000, set);
         drop(client);
-        until("the client has left", || figure(&node, "concurrent") == 0);
+        wait_until("the client has left", || metric(&node, "concurrent") == 0);
         if cancel {
-            until("the attempt is called off", || connections(address, SYN_SENT) == 0);
+            wait_until("the attempt is called off", || connections(address, SYN_SENT) == 0);
         }
-        let server = shut.open(|_| Say::This(answer(200, "", "late")));
-        until("nothing is left of the attempt", || {
+        let server = shut.open(|_| Reply::Send(http_response(200, "", "late")));
+        wait_until("nothing is left of the attempt", || {
             let open = connections(address, SYN_SENT) + connections(address, ESTABLISHED);
-            open == 0 || !server.seen().is_empty()
+            open == 0 || !server.requests().is_empty()
         });
-        assert_eq!((server.seen().len(), figure(&node, "dispatches")), (0, 0), "cancel: {cancel}");
+        assert_eq!((server.requests().len(), metric(&node, "dispatches")), (0, 0), "cancel: {cancel}");
     }
 }
 
 /// A connection that never comes up has cost the request nothing but time.
 #[test]
 fn a_connection_that_never_comes_up_leaves_the_request_to_another_server() {
-    let (shut, good) = (Shut::new(), Peer::good("good"));
+    let (shut, good) = (Shut::new(), TestServer::ok("good"));
     let hosts = [host("s0", shut.address, "active", 1), host("s1", good.address, "active", 2)];
     let registry = Registry::new(&hosts);
     let mut config = config(registry.address);
     config["settings"]["Limits"]["ConnectTimeout"] = json!(300.0);
-    let node = Node::ready(&config);
-    let mut client = Client::to(&node);
+    let node = Node::start_ready(&config);
+    let mut client = Client::connect(&node);
     for n in 0..3 {
-        assert_eq!(client.ask(&request("slip", &format!("t{n}"), 15_000)).body, b"good");
+        assert_eq!(client.exchange(&request("slip", &format!("t{n}"), 15_000)).body, b"good");
     }
-    assert_eq!(good.seen().len(), 3);
+    assert_eq!(good.requests().len(), 3);
 }
 
 // ---- Answers that break ----
@@ -154,37 +155,39 @@
 /// request is sent once.
 #[test]
 fn spoilt_answers_are_passed_on_to_nobody() {
-    type Spoil = fn() -> Say;
+    type Spoil = fn() -> Reply;
     let cases: [(&str, Spoil); 19] = [
-        ("before the head", || Say::reset(b"")),
-        ("in the head", || Say::reset(b"HTTP/1.1 200 OK\r\nConte")),
-        ("behind interim answers", || Say::reset(&b"HTTP/1.1 103 Early Hints\r\n\r\n".repeat(50))),
-        ("no length", || Say::reset(b"HTTP/1.1 200 OK\r\n\r\npart")),
-        ("no length, to close", || Say::reset(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")),
-        ("no length, empty", || Say::reset(b"HTTP/1.1 200 OK\r\n\r\n")),
-        ("length", || Say::reset(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\npart")),
-        ("chunks", || Say::reset(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")),
-        ("old", || Say::reset(b"HTTP/1.0 200 OK\r\n\r\npart")),
-        ("a length too long", || Say::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nserved".to_vec())),
+        ("before the head", || Reply::reset(b"")),
+        ("in the head", || Reply::reset(b"HTTP/1.1 200 OK\r\nConte")),
+        ("behind interim answers", || Reply::reset(&b"HTTP/1.1 103 Early Hints\r\n\r\n".repeat(50))),
+        ("no length", || Reply::reset(b"HTTP/1.1 200 OK\r\n\r\npart")),
+        ("no length, to close", || Reply::reset(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")),
+        ("no length, empty", || Reply::reset(b"HTTP/1.1 200 OK\r\n\r\n")),
+        ("length", || Reply::reset(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\npart")),
+        ("chunks", || Reply::reset(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")),
+        ("old", || Reply::reset(b"HTTP/1.0 200 OK\r\n\r\npart")),
+        ("a length too long", || {
+            Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nserved".to_vec())
+        }),
         ("two lengths", || {
-            Say::This(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Length: 4\r\n\r\nserved".to_vec())
+            Reply::Send(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Length: 4\r\n\r\nserved".to_vec())
         }),
         ("length and chunks", || {
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 16\r\n\r\n";
-            Say::This([head, "6\r\nserved\r\n0\r\n\r\n"].concat().into_bytes())
+            Reply::Send([head, "6\r\nserved\r\n0\r\n\r\n"].concat().into_bytes())
         }),
         ("another encoding", || {
             let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n";
-            Say::This([head, "6\r\nserved\r\n0\r\n\r\n"].concat().into_bytes())
+            Reply::Send([head, "6\r\nserved\r\n0\r\n\r\n"].concat().into_bytes())
         }),
         ("an unknown encoding", || {
-            Say::Last(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\n\r\nserved".to_vec())
+            Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\n\r\nserved".to_vec())
         }),
-        ("a head without end", || Say::This([&b"HTTP/1.1 200 OK\r\nX: "[..], &[b'x'; 40_000]].concat())),
-        ("no head", || Say::This(b"served\r\n\r\n".to_vec())),
-        ("204", || Say::This(b"HTTP/1.1 204 No Content\r\n\r\n".to_vec())),
-        ("304 and more", || Say::This(answer(304, "", "served"))),
-        ("101", || Say::This(b"HTTP/1.1 101 Over\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n".to_vec())),
+        ("a head without end", || Reply::Send([&b"HTTP/1.1 200 OK\r\nX: "[..], &[b'x'; 40_000]].concat())),
+        ("no head", || Reply::Send(b"served\r\n\r\n".to_vec())),
+        ("204", || Reply::Send(b"HTTP/1.1 204 No Content\r\n\r\n".to_vec())),
+        ("304 and more", || Reply::Send(http_response(304, "", "served"))),
+        ("101", || Reply::Send(b"HTTP/1.1 101 Over\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n".to_vec())),
     ];
     let spoils: Vec<Spoil> = cases.iter().map(|(_, spoil)| *spoil).collect();
     let server = spoiling(move |m| {
@@ -192,27 +195,27 @@
         spoils[txn.split('-').next().and_then(|n| n.parse::<usize>().ok()).expect("its case")]()
     });
     let (_registry, config) = patient(server.address);
-    let node = Node::ready(&config);
+    let node = Node::start_ready(&config);
     for (n, (case, _)) in cases.iter().enumerate() {
         for (class, heard, sent) in [("look", 200, 2), ("pay", 200, 2), ("slip", 502, 1)] {
             let txn = format!("{n}-{class}");
-            let answer = Client::to(&node).ask(&request(class, &txn, 15_000));
+            let answer = Client::connect(&node).exchange(&request(class, &txn, 15_000));
             assert_eq!((answer.status(), attempts(&server, &txn)), (heard, sent), "{case}, {class}");
             assert!(heard != 200 || answer.body == b"served", "{case}, {class}");
         }
     }
-    assert_eq!(figure(&node, "targets_disabled"), 0);
+    assert_eq!(metric(&node, "targets_disabled"), 0);
 }
 
 /// Interim answers, however many, are none; the one behind them counts.
 #[test]
 fn interim_answers_are_no_answer() {
-    let many = [b"HTTP/1.1 100 Continue\r\n\r\n".repeat(20_000), answer(200, "", "served")].concat();
-    let server = Peer::new(move |_| Say::This(many.clone()));
+    let many = [b"HTTP/1.1 100 Continue\r\n\r\n".repeat(20_000), http_response(200, "", "served")].concat();
+    let server = TestServer::new(move |_| Reply::Send(many.clone()));
     let (_registry, config) = patient(server.address);
-    let node = Node::ready(&config);
-    let heard = Client::to(&node).ask(&request("slip", "t1", 15_000));
-    assert_eq!((heard.status(), heard.body, server.seen().len()), (200, b"served".to_vec(), 1));
+    let node = Node::start_ready(&config);
+    let heard = Client::connect(&node).exchange(&request("slip", "t1", 15_000));
+    assert_eq!((heard.status(), heard.body, server.requests().len()), (200, b"served".to_vec(), 1));
 }
 
 /// An answer that was begun, held as long as it may be, and reset long after its head: its client can tell.
@@ -227,17 +230,17 @@
         for version in ["HTTP/1.1", "HTTP/1.0"] {
             let go = Arc::new(AtomicBool::new(false));
             let begun = go.clone();
-            let server = Peer::new(move |_| {
+            let server = TestServer::new(move |_| {
                 let begun = begun.clone();
-                Say::Does(Box::new(move |out| {
+                Reply::Custom(Box::new(move |out| {
                     let _ = out.write_all(head.as_bytes());
-                    until("its client has some of it", || begun.load(Ordering::SeqCst));
+                    wait_until("its client has some of it", || begun.load(Ordering::SeqCst));
                     socket2::SockRef::from(&*out).set_linger(Some(Duration::ZERO)).expect("a socket");
                 }))
             });
             let (_registry, config) = patient(server.address);
-            let node = Node::ready(&config);
-            let mut client = Client::to(&node);
+            let node = Node::start_ready(&config);
+            let mut client = Client::connect(&node);
             client.send(&request("slip", "t1", 4000).replace("HTTP/1.1", version));
             let mut bytes = Vec::new();
             while !bytes.windows(4).any(|w| w == b"part") {
@@ -246,7 +249,7 @@
                 bytes.extend(more);
             }
             go.store(true, Ordering::SeqCst);
-            let (rest, in_order) = client.rest();
+            let (rest, in_order) = client.read_to_end();
             let whole = [bytes, rest].concat();
             let words = String::from_utf8_lossy(&whole).to_ascii_lowercase();
             assert!(words.starts_with("http/1.1 200") || words.starts_with("http/1.0 200"), "{words}");
@@ -254,7 +257,7 @@
             let framed = words.contains("content-length: 100000") || words.contains("chunked");
             assert!(framed || !in_order, "{framing}, {version}: {words}");
             assert!(!whole.ends_with(b"0\r\n\r\n"), "{framing}, {version}: {words}");
-            assert_eq!(server.seen().len(), 1);
+            assert_eq!(server.requests().len(), 1);
         }
     }
 }
@@ -272,14 +275,14 @@
         let case = m.header("x-txn").and_then(|txn| txn.split('-').next()?.parse::<usize>().ok());
         let (_, status, headers) = cases[case.expect("its case")];
         let begun = format!("HTTP/1.1 {status} X\r\n{headers}\r\npart");
-        Say::Pieces(vec![(Duration::ZERO, begun.into_bytes())], false)
+        Reply::SendPieces(vec![(Duration::ZERO, begun.into_bytes())], false)
     });
     let (_registry, config) = patient(server.address);
-    let node = Node::ready(&config);
+    let node = Node::start_ready(&config);
     for (n, (case, status, _)) in cases.iter().enumerate() {
         for class in ["look", "pay", "slip"] {
             let txn = format!("{n}-{class}");
-            let heard = Client::to(&node).ask(&request(class, &txn, 3000)).status();
+            let heard = Client::connect(&node).exchange(&request(class, &txn, 3000)).status();
             let ran = *status == 500 && class == "slip";
             let right = if ran { (502, 1) } else { (200, 2) };
             assert_eq!((heard, attempts(&server, &txn)), right, "{case}, {class}");
@@ -294,26 +297,26 @@
 fn a_kept_connection_closed_under_a_request_counts_as_a_run() {
     for reset in [false, true] {
         let tried = Mutex::new(BTreeSet::new());
-        let server = Peer::new(move |m| {
+        let server = TestServer::new(move |m| {
             let txn = m.header("x-txn").unwrap_or_default().to_string();
             match (txn.starts_with("keep"), tried.lock().expect("no panic").insert(txn)) {
-                (false, true) if reset => Say::reset(b""),
-                (false, true) => Say::Last(Vec::new()),
-                _ => Say::This(answer(200, "", "served")),
+                (false, true) if reset => Reply::reset(b""),
+                (false, true) => Reply::SendAndClose(Vec::new()),
+                _ => Reply::Send(http_response(200, "", "served")),
             }
         });
         let (_registry, config) = patient(server.address);
-        let node = Node::ready(&config);
-        let mut client = Client::to(&node);
+        let node = Node::start_ready(&config);
+        let mut client = Client::connect(&node);
         for (class, heard, sent) in [("look", 200, 2), ("pay", 200, 2), ("slip", 502, 1)] {
-            assert_eq!(client.ask(&request(class, &format!("keep-{class}"), 15_000)).status(), 200);
-            std::thread::sleep(RESTED);
-            assert_eq!(client.ask(&request(class, class, 15_000)).status(), heard, "{class}");
+            assert_eq!(client.exchange(&request(class, &format!("keep-{class}"), 15_000)).status(), 200);
+            std::thread::sleep(REUSE_DELAY);
+            assert_eq!(client.exchange(&request(class, class, 15_000)).status(), heard, "{class}");
             assert_eq!(attempts(&server, class), sent, "{class}");
-            let seen = server.seen();
-            let on = |txn: &str| seen.iter().find(|m| m.header("x-txn") == Some(txn)).map(|m| m.conn);
+            let seen = server.requests();
+            let on = |txn: &str| seen.iter().find(|m| m.header("x-txn") == Some(txn)).map(|m| m.connection);
             assert_eq!(on(class), on(&format!("keep-{class}")), "{class}: on the kept one");
-            std::thread::sleep(RESTED);
+            std::thread::sleep(REUSE_DELAY);
         }
     }
 }
@@ -323,18 +326,18 @@
 fn a_late_second_answer_does_not_answer_the_next_request() {
     let next = Arc::new(Mutex::new(BTreeSet::new()));
     let come = next.clone();
-    let server = Peer::new(move |m| {
+    let server = TestServer::new(move |m| {
         let txn = m.header("x-txn").unwrap_or("?").to_string();
         come.lock().expect("no panic").insert(txn.clone());
-        let Some(n) = txn.strip_prefix("first") else { return Say::This(answer(200, "", &txn)) };
+        let Some(n) = txn.strip_prefix("first") else { return Reply::Send(http_response(200, "", &txn)) };
         let (come, then) = (come.clone(), format!("next{n}"));
-        let mine = answer(200, "", &txn);
-        Say::Does(Box::new(move |out| {
+        let mine = http_response(200, "", &txn);
+        Reply::Custom(Box::new(move |out| {
             let _ = out.write_all(&mine);
             // Also where the next request comes on this very connection, and nobody reads it.
             let mut byte = [0; 1];
             out.set_nonblocking(true).expect("a socket");
-            until("the next request", || {
+            wait_until("the next request", || {
                 come.lock().expect("no panic").contains(&then) || matches!(out.peek(&mut byte), Ok(1))
             });
             out.set_nonblocking(false).expect("a socket");
@@ -343,20 +346,20 @@
         }))
     });
     let (_registry, config) = patient(server.address);
-    let node = Node::ready(&config);
-    let mut client = Client::to(&node);
+    let node = Node::start_ready(&config);
+    let mut client = Client::connect(&node);
     let mut rounds = 0;
     while rounds < 5 {
-        let withheld = node.withheld();
+        let withheld = node.cpu_wait();
         let (first, then) = (format!("first{rounds}"), format!("next{rounds}"));
-        assert_eq!(client.ask(&request("slip", &first, 15_000)).body, first.as_bytes());
-        let heard = client.ask(&request("slip", &then, 15_000));
+        assert_eq!(client.exchange(&request("slip", &first, 15_000)).body, first.as_bytes());
+        let heard = client.exchange(&request("slip", &then, 15_000));
         // A connection that has rested for as long as the machine gave no core would be used again.
-        if node.withheld() - withheld < 5 * MS {
+        if node.cpu_wait() - withheld < 5 * MS {
             assert_eq!((heard.status(), heard.body), (200, then.into_bytes()));
             rounds += 1;
         }
-        std::thread::sleep(RESTED);
+        std::thread::sleep(REUSE_DELAY);
     }
 }
 
@@ -365,10 +368,10 @@
 #[test]
 fn an_answer_before_the_end_of_its_request_serves_nobody() {
     for (words, heard) in [
-        (answer(200, "", "another's"), 503),
-        (answer(503, "X-Turned-Away: 1\r\n", ""), 503),
-        (answer(500, "", ""), 502),
-        (answer(400, "", ""), 502),
+        (http_response(200, "", "another's"), 503),
+        (http_response(503, "X-Turned-Away: 1\r\n", ""), 503),
+        (http_response(500, "", ""), 502),
+        (http_response(400, "", ""), 502),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
@@ -386,13 +389,13 @@
             }
         });
         let (_registry, config) = patient(address);
-        let node = Node::ready(&config);
-        let mut client = Client::to(&node);
+        let node = Node::start_ready(&config);
+        let mut client = Client::connect(&node);
         client.send(
             "POST /slip/7 HTTP/1.1\r\nHost: x\r\nX-Txn: t1\r\nX-Remaining-Ms: 5000\r\nContent-Length: 200000\r\n\r\n",
         );
         client.send_bytes(&[b'x'; 100_000]);
-        assert_eq!(client.hear().map(|m| m.status()), Some(heard));
+        assert_eq!(client.receive().map(|m| m.status()), Some(heard));
     }
 }
 
@@ -400,23 +403,23 @@
 #[test]
 fn want_of_room_is_held_against_no_server() {
     let servers = [(); 2].map(|()| {
-        Peer::new(|_| {
+        TestServer::new(|_| {
             let begun =
                 [&b"HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n"[..], &[b'x'; 100_000]].concat();
-            Say::Pieces(vec![(Duration::ZERO, begun)], false)
+            Reply::SendPieces(vec![(Duration::ZERO, begun)], false)
         })
     });
     let hosts = [0, 1].map(|n| host(&format!("s{n}"), servers[n].address, "active", 1));
     let registry = Registry::new(&hosts);
-    let mut config = operated(&registry);
+    let mut config = config_with_admin(&registry);
     config["limits"]["memory_mb"] = json!(32);
     config["limits"]["sockets"] = json!(1024);
     config["settings"]["Classes"][0]["Slo"] = json!(100_000.0);
     config["settings"]["Ejection"] = json!({"AtMost": 1.0});
-    let node = Node::ready(&config);
+    let node = Node::start_ready(&config);
     let mut clients: Vec<Client> = (0..100)
         .map(|n| {
-            let mut client = Client::to(&node);
+            let mut client = Client::connect(&node);
             client.send(&request("look", &format!("t{n}"), 100_000));
             client
         })
@@ -424,8 +427,8 @@
     let statuses: Vec<Vec<u8>> = clients.iter_mut().map(|client| client.read(12)).collect();
     let failed = statuses.iter().filter(|s| s.ends_with(b"502")).count();
     assert!(failed >= 10, "{failed}");
-    let seen: usize = servers.iter().map(|s| s.seen().len()).sum();
-    assert_eq!((seen, figure(&node, "targets_disabled")), (100, 0));
+    let seen: usize = servers.iter().map(|s| s.requests().len()).sum();
+    assert_eq!((seen, metric(&node, "targets_disabled")), (100, 0));
 }
 
 /// A request that came right behind another has waited since then: its server is told what is left by now, and nothing
@@ -433,19 +436,19 @@
 #[test]
 fn the_time_of_what_came_behind_another_request_has_run_meanwhile() {
     const FIRST: Duration = Duration::from_millis(600);
-    let server = Peer::new(|m| {
+    let server = TestServer::new(|m| {
         let first = m.header("x-txn") == Some("first");
-        Say::Later(if first { FIRST } else { Duration::ZERO }, answer(200, "", "served"))
+        Reply::SendAfter(if first { FIRST } else { Duration::ZERO }, http_response(200, "", "served"))
     });
     let (_registry, config) = patient(server.address);
-    let node = Node::ready(&config);
-    let mut client = Client::to(&node);
+    let node = Node::start_ready(&config);
+    let mut client = Client::connect(&node);
     client.send(
         &[("first", 15_000), ("second", 5000), ("third", 400)].map(|(t, n)| request("slip", t, n)).concat(),
     );
-    assert_eq!([(); 2].map(|()| client.hear().expect("an answer").status()), [200, 200]);
-    assert!(client.hear().expect("an answer").status() > 500);
-    let seen = server.seen();
+    assert_eq!([(); 2].map(|()| client.receive().expect("an answer").status()), [200, 200]);
+    assert!(client.receive().expect("an answer").status() > 500);
+    let seen = server.requests();
     assert_eq!(seen.len(), 2);
     let told: u64 = seen[1].header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time");
     assert!(Duration::from_millis(told) + FIRST <= 5000 * MS, "{told} ms");
--- a/tests/group/mod.rs
+++ b/tests/group/mod.rs
@@ -10,7 +10,7 @@
 };
 use serde_json::{json, Value};
 
-use crate::peers::{answer, read_message, until, PATIENCE};
+use crate::peers::{http_response, read_message, wait_until, WAIT_TIMEOUT};
 
 /// How long a promise lasts.
 pub const PROMISE_MS: f64 = 1000.0;
@@ -94,9 +94,9 @@
             });
             match said {
                 Some((status, body)) => {
-                    out.write_all(&answer(status, "", &body.expect("plain data"))).ok()?
+                    out.write_all(&http_response(status, "", &body.expect("plain data"))).ok()?
                 }
-                None => std::thread::sleep(PATIENCE),
+                None => std::thread::sleep(WAIT_TIMEOUT),
             }
         }
     }
@@ -147,7 +147,7 @@
     /// Proposes a policy and waits until the node has staged it.
     pub fn stage(&self, of: Value) {
         let asked = self.propose(of);
-        until(
+        wait_until(
             "the change is staged",
             || matches!(self.word(), Some(Word::Staged { change, .. }) if change == asked),
         );
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -10,7 +10,7 @@
 use peers::*;
 use serde_json::{json, Value};
 
-const WAYS: [Leave; 3] = [Leave::Close, Leave::Reset, Leave::HalfClose];
+const WAYS: [Disconnect; 3] = [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose];
 /// Far off, so that nothing ends by it here.
 const DEADLINE: u64 = 100_000;
 /// How many attempts a server gets at a time at first.
@@ -26,57 +26,57 @@
 }
 
 /// A server that never answers `f`, and turns `w` away once it is let; anything else is served.
-fn server(turned_away: &Arc<AtomicBool>) -> Peer {
+fn server(turned_away: &Arc<AtomicBool>) -> TestServer {
     let let_go = turned_away.clone();
-    Peer::new(move |m| match m.header("x-txn").unwrap_or_default().as_bytes() {
-        [b'f', ..] => Say::Nothing,
+    TestServer::new(move |m| match m.header("x-txn").unwrap_or_default().as_bytes() {
+        [b'f', ..] => Reply::Silence,
         b"w" => {
             while !let_go.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(1));
             }
-            Say::This(answer(503, "X-Turned-Away: 1\r\n", ""))
+            Reply::Send(http_response(503, "X-Turned-Away: 1\r\n", ""))
         }
-        _ => Say::This(answer(200, "", "served")),
+        _ => Reply::Send(http_response(200, "", "served")),
     })
 }
 
 fn ask(node: &Node, txn: &str) -> Client {
-    let mut client = Client::to(node);
+    let mut client = Client::connect(node);
     client.send(&request("slip", txn, DEADLINE));
     client
 }
 
 /// Has all attempts taken that the server may have, by clients that keep waiting.
-fn fill(node: &Node, server: &Peer, from: usize) -> Vec<Client> {
+fn fill(node: &Node, server: &TestServer, from: usize) -> Vec<Client> {
     let crowd = (from..AT_A_TIME).map(|n| ask(node, &format!("f{n}"))).collect();
-    until("all attempts are out", || server.seen().len() == AT_A_TIME);
+    wait_until("all attempts are out", || server.requests().len() == AT_A_TIME);
     crowd
 }
 
 /// The client leaves, and the node soon knows: `txn` is what it waited for.
-fn leaves(node: &Node, client: Client, way: Leave, txn: &str) {
+fn leaves(node: &Node, client: Client, way: Disconnect, txn: &str) {
     let left = Instant::now();
-    let rest = client.leave(way);
-    until("the node knows", || node.logged(&format!("{txn}: left by its client")));
-    assert!(left.elapsed() < Duration::from_secs(5) + node.withheld(), "{:?}", left.elapsed());
+    let rest = client.disconnect(way);
+    wait_until("the node knows", || node.has_logged(&format!("{txn}: left by its client")));
+    assert!(left.elapsed() < Duration::from_secs(5) + node.cpu_wait(), "{:?}", left.elapsed());
     if let Some(mut rest) = rest {
-        assert_eq!(rest.rest().0, b"", "{txn} {way:?}: there is no answer for who has gone");
+        assert_eq!(rest.read_to_end().0, b"", "{txn} {way:?}: there is no answer for who has gone");
     }
 }
 
 /// How often the server has seen `w` and its like.
-fn seen(server: &Peer) -> usize {
-    server.seen().iter().filter(|m| m.header("x-txn").is_some_and(|t| t.starts_with('w'))).count()
+fn seen(server: &TestServer) -> usize {
+    server.requests().iter().filter(|m| m.header("x-txn").is_some_and(|t| t.starts_with('w'))).count()
 }
 
 /// Others are served, and of `w` and its like the server has seen no more than that.
-fn assert_seen(node: &Node, server: &Peer, what: &str, most: usize) {
+fn assert_seen(node: &Node, server: &TestServer, what: &str, most: usize) {
     for n in 0..4 {
-        let heard = ask(node, &format!("after{n}")).hear().expect("an answer");
+        let heard = ask(node, &format!("after{n}")).receive().expect("an answer");
         assert_eq!(heard.status(), 200, "{what}");
     }
     assert!(seen(server) <= most, "{what}: sent on for a client that had gone");
-    until("all is released", || node.state().contains(" 0 requests"));
+    wait_until("all is released", || node.last_state_line().contains(" 0 requests"));
 }
 
 /// A request whose body has come by half.
@@ -90,52 +90,52 @@
 /// request waited for a server, and none that was out goes on; of a half-sent request, no server has all.
 #[test]
 fn nothing_is_begun_for_a_client_that_has_left() {
-    type Act = fn(&Node, &Peer, &AtomicBool, Leave) -> usize;
+    type Act = fn(&Node, &TestServer, &AtomicBool, Disconnect) -> usize;
     let cases: [(&str, Act); 5] = [
         ("while it waits", |node, server, _, way| {
             let crowd = fill(node, server, 0);
             let client = ask(node, "w");
-            until("it waits", || node.state().contains(" 1 held"));
+            wait_until("it waits", || node.last_state_line().contains(" 1 held"));
             leaves(node, client, way, "w");
             drop(crowd);
             0
         }),
         ("while it waits, with a long body half sent", |node, server, _, way| {
             let crowd = fill(node, server, 0);
-            let mut client = Client::to(node);
+            let mut client = Client::connect(node);
             client.send(&half_sent("w", 200_000));
-            until("it waits", || node.state().contains(" 1 held"));
+            wait_until("it waits", || node.last_state_line().contains(" 1 held"));
             leaves(node, client, way, "w");
             drop(crowd);
             0
         }),
         ("between two attempts", |node, server, let_go, way| {
             let client = ask(node, "w");
-            until("it is out", || server.seen().len() == 1);
+            wait_until("it is out", || server.requests().len() == 1);
             let crowd = fill(node, server, 1);
             let next = ask(node, "f8");
-            until("that one waits", || node.state().contains(" 1 held"));
+            wait_until("that one waits", || node.last_state_line().contains(" 1 held"));
             let_go.store(true, Ordering::SeqCst);
-            until("both wait", || node.state().contains(" 2 held"));
+            wait_until("both wait", || node.last_state_line().contains(" 2 held"));
             let most = seen(server);
             leaves(node, client, way, "w");
             drop((crowd, next));
             most
         }),
         ("with a long body half sent on", |node, server, _, way| {
-            let mut client = Client::to(node);
-            let before = server.open();
+            let mut client = Client::connect(node);
+            let before = server.open_connections();
             client.send(&half_sent("w", 200_000));
-            until("its attempt is out", || server.open() > before);
+            wait_until("its attempt is out", || server.open_connections() > before);
             leaves(node, client, way, "w");
-            until("the attempt is given up", || server.open() == before);
+            wait_until("the attempt is given up", || server.open_connections() == before);
             0
         }),
         ("with a short body half sent", |node, _, _, way| {
-            let mut client = Client::to(node);
+            let mut client = Client::connect(node);
             client.send(&half_sent("w", 10));
-            if let Some(mut rest) = client.leave(way) {
-                assert!(!rest.rest().0.starts_with(b"HTTP/1.1 2"));
+            if let Some(mut rest) = client.disconnect(way) {
+                assert!(!rest.read_to_end().0.starts_with(b"HTTP/1.1 2"));
             }
             0
         }),
@@ -147,7 +147,7 @@
                     let let_go = Arc::new(AtomicBool::new(false));
                     let server = server(&let_go);
                     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-                    let node = Node::ready(&patient(registry.address));
+                    let node = Node::start_ready(&patient(registry.address));
                     let most = act(&node, &server, &let_go, way);
                     assert_seen(&node, &server, &format!("{way:?} {case}"), most);
                 }
@@ -170,15 +170,15 @@
         let connect = |_| std::net::TcpStream::connect_timeout(&at, Duration::from_millis(300)).ok();
         let fillers: Vec<_> = (0..3).filter_map(connect).collect();
         let registry = Registry::new(&[host("s0", at, "active", 1)]);
-        let node = Node::ready(&patient(registry.address));
-        until("the node is at rest", || node.state().starts_with("0 clients, 0 requests"));
+        let node = Node::start_ready(&patient(registry.address));
+        wait_until("the node is at rest", || node.last_state_line().starts_with("0 clients, 0 requests"));
         let before = node.descriptors();
         let client = ask(&node, "w");
-        until("its attempt is being connected", || node.descriptors() == before + 2);
+        wait_until("its attempt is being connected", || node.descriptors() == before + 2);
         leaves(&node, client, way, "w");
-        until("what was out is released", || node.descriptors() == before);
+        wait_until("what was out is released", || node.descriptors() == before);
         drop(fillers);
-        let server = Peer::on(full, |_| Say::This(answer(200, "", "served")));
+        let server = TestServer::on(full, |_| Reply::Send(http_response(200, "", "served")));
         assert_seen(&node, &server, &format!("{way:?}"), 0);
     }
 }
@@ -191,13 +191,13 @@
     for (commands, way) in [3, 300].into_iter().flat_map(|n| WAYS.map(|way| (n, way))) {
         let server = server(&Arc::default());
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-        let node = Node::ready(&patient(registry.address));
-        let mut client = Client::to(&node);
+        let node = Node::start_ready(&patient(registry.address));
+        let mut client = Client::connect(&node);
         let words: String = (1..commands).map(|n| request("slip", &format!("w{n}"), DEADLINE)).collect();
         client.send(&(request("slip", "f", DEADLINE) + &words));
-        until("the first is out", || server.seen().len() == 1);
+        wait_until("the first is out", || server.requests().len() == 1);
         leaves(&node, client, way, "f");
-        until("its attempt is given up", || server.open() == 0);
+        wait_until("its attempt is given up", || server.open_connections() == 0);
         assert_seen(&node, &server, &format!("{commands} commands, {way:?}"), 0);
     }
 }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -15,16 +15,16 @@
 use socket2::SockRef;
 
 /// How long anything that should happen is waited for: far more than it takes, on a busy machine too.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Longer than a connection to a server rests behind an answer.
-pub const RESTED: Duration = Duration::from_millis(60);
+pub const REUSE_DELAY: Duration = Duration::from_millis(60);
 
 /// Waits until the condition holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -37,7 +37,7 @@
     pub head: String,
     pub body: Vec<u8>,
     /// The connection that it came on, counted from 1.
-    pub conn: usize,
+    pub connection: usize,
 }
 
 impl Message {
@@ -58,14 +58,14 @@
 }
 
 /// Reads one message; `None` where the connection ends.
-pub fn read_message(from: &mut BufReader<TcpStream>, conn: usize) -> Option<Message> {
+pub fn read_message(from: &mut BufReader<TcpStream>, connection: usize) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if from.read_line(&mut head).ok()? == 0 {
             return None;
         }
     }
-    let mut message = Message { head, body: Vec::new(), conn };
+    let mut message = Message { head, body: Vec::new(), connection };
     if message.header("transfer-encoding").is_some() {
         message.body = read_chunks(from)?;
         return Some(message);
@@ -93,52 +93,52 @@
 }
 
 /// An answer with a body.
-pub fn answer(status: u16, headers: &str, body: &str) -> Vec<u8> {
+pub fn http_response(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 // ---- Servers ----
 
 /// What a scripted server does with a request.
-pub enum Say {
+pub enum Reply {
     /// Answers.
-    This(Vec<u8>),
+    Send(Vec<u8>),
     /// Writes that and closes.
-    Last(Vec<u8>),
+    SendAndClose(Vec<u8>),
     /// Answers after a while.
-    Later(Duration, Vec<u8>),
+    SendAfter(Duration, Vec<u8>),
     /// Writes these, each after a while, and closes if so told.
-    Pieces(Vec<(Duration, Vec<u8>)>, bool),
+    SendPieces(Vec<(Duration, Vec<u8>)>, bool),
     /// Stays silent.
-    Nothing,
+    Silence,
     /// Does that with the connection, and drops it.
-    Does(Box<dyn FnOnce(&mut TcpStream)>),
+    Custom(Box<dyn FnOnce(&mut TcpStream)>),
 }
 
-impl Say {
+impl Reply {
     /// Writes that and resets the connection.
     pub fn reset(bytes: &[u8]) -> Self {
         let bytes = bytes.to_vec();
-        Self::Does(Box::new(move |out| {
+        Self::Custom(Box::new(move |out| {
             let _ = out.write_all(&bytes);
             SockRef::from(&*out).set_linger(Some(Duration::ZERO)).expect("a socket");
         }))
     }
 }
 
-pub struct Peer {
+pub struct TestServer {
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Message>>>,
     open: Arc<AtomicUsize>,
 }
 
-impl Peer {
+impl TestServer {
     /// A server that follows a script.
-    pub fn new(script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Self {
+    pub fn new(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
     }
 
-    pub fn on(listener: TcpListener, script: impl Fn(&Message) -> Say + Send + Sync + 'static) -> Self {
+    pub fn on(listener: TcpListener, script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         let address = listener.local_addr().expect("bound");
         let (seen, open) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
         let peer = Self { address, seen: seen.clone(), open: open.clone() };
@@ -158,40 +158,40 @@
     }
 
     /// A server that serves everything, and says who it is.
-    pub fn good(name: &'static str) -> Self {
-        Self::new(move |_| Say::This(answer(200, "", name)))
+    pub fn ok(name: &'static str) -> Self {
+        Self::new(move |_| Reply::Send(http_response(200, "", name)))
     }
 
     /// The requests that came, without probes.
-    pub fn seen(&self) -> Vec<Message> {
+    pub fn requests(&self) -> Vec<Message> {
         let seen = self.seen.lock().expect("no panic");
         seen.iter().filter(|m| m.path() != "/health").cloned().collect()
     }
 
     /// How many probes came.
     pub fn probes(&self) -> usize {
-        self.seen.lock().expect("no panic").len() - self.seen().len()
+        self.seen.lock().expect("no panic").len() - self.requests().len()
     }
 
     /// How many connections are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 }
 
-fn converse(stream: TcpStream, conn: usize, seen: &Mutex<Vec<Message>>, script: &dyn Fn(&Message) -> Say) {
+fn converse(stream: TcpStream, conn: usize, seen: &Mutex<Vec<Message>>, script: &dyn Fn(&Message) -> Reply) {
     let Ok(mut out) = stream.try_clone() else { return };
     let mut from = BufReader::new(stream);
     while let Some(message) = read_message(&mut from, conn) {
         seen.lock().expect("no panic").push(message.clone());
         let (bytes, last) = match script(&message) {
-            Say::This(bytes) => (bytes, false),
-            Say::Last(bytes) => (bytes, true),
-            Say::Later(span, bytes) => {
+            Reply::Send(bytes) => (bytes, false),
+            Reply::SendAndClose(bytes) => (bytes, true),
+            Reply::SendAfter(span, bytes) => {
                 std::thread::sleep(span);
                 (bytes, false)
             }
-            Say::Pieces(pieces, last) => {
+            Reply::SendPieces(pieces, last) => {
                 for (span, piece) in pieces {
                     std::thread::sleep(span);
                     if out.write_all(&piece).is_err() {
@@ -200,8 +200,8 @@
                 }
                 (Vec::new(), last)
             }
-            Say::Nothing => (Vec::new(), false),
-            Say::Does(what) => return what(&mut out),
+            Reply::Silence => (Vec::new(), false),
+            Reply::Custom(what) => return what(&mut out),
         };
         if out.write_all(&bytes).is_err() || last {
             break;
@@ -218,7 +218,7 @@
         "health": health, "share": 1.0, "born_ms": 0})
 }
 
-pub fn line(seq: u64, whole: bool, hosts: &[Value]) -> String {
+pub fn list_line(seq: u64, whole: bool, hosts: &[Value]) -> String {
     json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string()
 }
 
@@ -248,7 +248,7 @@
 impl Registry {
     pub fn new(hosts: &[Value]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let told = Arc::new(Mutex::new(Told { whole: line(1, true, hosts), ..Told::default() }));
+        let told = Arc::new(Mutex::new(Told { whole: list_line(1, true, hosts), ..Told::default() }));
         let registry = Self { address: listener.local_addr().expect("bound"), told };
         let this = registry.clone();
         std::thread::spawn(move || {
@@ -272,14 +272,14 @@
             (t.whole.clone(), t.down, t.epoch, t.news.len(), t.mute)
         });
         if mute {
-            std::thread::sleep(PATIENCE);
+            std::thread::sleep(WAIT_TIMEOUT);
             return None;
         }
         if down {
             return None;
         }
         if !request.path().contains("watch") {
-            return out.write_all(&answer(200, "", &whole)).ok();
+            return out.write_all(&http_response(200, "", &whole)).ok();
         }
         out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
         let mut say = |line: &str| write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1);
@@ -308,34 +308,34 @@
     }
 
     /// Tells all watches, and has the list as `hosts` from now on.
-    pub fn tell(&self, seq: u64, hosts: &[Value], changes: &[Value]) {
+    pub fn publish(&self, seq: u64, hosts: &[Value], changes: &[Value]) {
         self.with(|t| {
-            t.whole = line(seq, true, hosts);
-            t.news.push(line(seq, false, changes));
+            t.whole = list_line(seq, true, hosts);
+            t.news.push(list_line(seq, false, changes));
         });
     }
 
     /// Says something else to all watches.
-    pub fn say(&self, words: &str) {
+    pub fn send_raw(&self, words: &str) {
         self.with(|t| t.news.push(words.to_string()));
     }
 
     /// Goes down, or comes back; watches end.
-    pub fn down(&self, down: bool) {
+    pub fn set_down(&self, down: bool) {
         self.with(|t| {
             (t.down, t.epoch) = (down, t.epoch + 1);
         });
     }
 
     /// Takes calls and never answers those, or answers again; watches end.
-    pub fn mute(&self, mute: bool) {
+    pub fn set_unresponsive(&self, mute: bool) {
         self.with(|t| {
             (t.mute, t.epoch) = (mute, t.epoch + 1);
         });
     }
 
     /// The link goes dead without a word.
-    pub fn silent(&self) {
+    pub fn silence_watches(&self) {
         self.with(|t| t.silent = true);
     }
 
@@ -344,13 +344,13 @@
     }
 
     /// How many watches were ever begun.
-    pub fn watches(&self) -> usize {
+    pub fn watches_started(&self) -> usize {
         self.with(|t| t.watches)
     }
 }
 
 /// Discovery whose calls the test answers itself, one by one and byte by byte.
-pub struct Agent {
+pub struct ManualRegistry {
     pub address: SocketAddr,
     calls: Receiver<Call>,
 }
@@ -361,7 +361,7 @@
     out: TcpStream,
 }
 
-impl Agent {
+impl ManualRegistry {
     pub fn new() -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
@@ -384,24 +384,24 @@
     }
 
     /// The next call, waited for.
-    pub fn call(&self) -> Call {
-        self.call_within(PATIENCE).expect("a call")
+    pub fn next_call(&self) -> Call {
+        self.next_call_within(WAIT_TIMEOUT).expect("a call")
     }
 
     /// The next call, if one comes in time.
-    pub fn call_within(&self, span: Duration) -> Option<Call> {
+    pub fn next_call_within(&self, span: Duration) -> Option<Call> {
         self.calls.recv_timeout(span).ok()
     }
 }
 
 impl Call {
     /// Begins an answer in chunks.
-    pub fn head(&mut self) {
+    pub fn send_head(&mut self) {
         assert!(self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
 
     /// Says some words of it; false where the node has gone.
-    pub fn say(&mut self, words: &str) -> bool {
+    pub fn send_chunk(&mut self, words: &str) -> bool {
         self.write(format!("{:x}\r\n{words}\r\n", words.len()).as_bytes())
     }
 
@@ -410,7 +410,7 @@
     }
 
     /// Ends as it should.
-    pub fn end(mut self) {
+    pub fn finish(mut self) {
         self.write(b"0\r\n\r\n");
     }
 
@@ -442,7 +442,7 @@
 }
 
 /// A configuration with a second address.
-pub fn operated(registry: &Registry) -> Value {
+pub fn config_with_admin(registry: &Registry) -> Value {
     let mut config = config(registry.address);
     config["admin_addr"] = json!("127.0.0.1:0");
     config["settings"]["Contract"]["WarmWithin"] = json!(1000.0);
@@ -450,7 +450,7 @@
 }
 
 /// A folder of its own for what outlives a process.
-pub fn folder(test: &str) -> String {
+pub fn temp_dir(test: &str) -> String {
     let folder = format!("{}/{test}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -500,10 +500,10 @@
 }
 
 /// Runs a node that should not come up: its exit code and what it says.
-pub fn run(config: &Value, env: &[(&str, &str)]) -> (Option<i32>, String) {
+pub fn run_to_exit(config: &Value, env: &[(&str, &str)]) -> (Option<i32>, String) {
     let mut child = command(config, None).0.envs(env.iter().copied()).spawn().expect("it runs");
     let start = Instant::now();
-    while child.try_wait().expect("a child").is_none() && start.elapsed() < PATIENCE {
+    while child.try_wait().expect("a child").is_none() && start.elapsed() < WAIT_TIMEOUT {
         std::thread::sleep(Duration::from_millis(5));
     }
     // One that came up all the same has no exit code.
@@ -514,18 +514,18 @@
 
 impl Node {
     /// Starts a node and waits until it listens.
-    pub fn listening(config: &Value, descriptors: Option<usize>) -> Self {
-        Self::start(config, descriptors, &[])
+    pub fn start_listening(config: &Value, descriptors: Option<usize>) -> Self {
+        Self::spawn(config, descriptors, &[])
     }
 
     /// Starts a node that inherits a listener, with more in its environment.
-    pub fn inheriting(config: &Value, listener: &TcpListener, env: &[(&str, &str)]) -> Self {
+    pub fn start_inheriting(config: &Value, listener: &TcpListener, env: &[(&str, &str)]) -> Self {
         SockRef::from(listener).set_cloexec(false).expect("a socket");
         let fd = listener.as_raw_fd().to_string();
-        Self::start(config, None, &[&[("BALANCER_INHERITED_FD", fd.as_str())], env].concat())
+        Self::spawn(config, None, &[&[("BALANCER_INHERITED_FD", fd.as_str())], env].concat())
     }
 
-    fn start(config: &Value, descriptors: Option<usize>, env: &[(&str, &str)]) -> Self {
+    fn spawn(config: &Value, descriptors: Option<usize>, env: &[(&str, &str)]) -> Self {
         let (mut command, file) = command(config, descriptors);
         command.envs(env.iter().copied());
         // As in service, where the environment says the same as the file.
@@ -540,7 +540,7 @@
             }
         });
         let mut address = None;
-        until("the node listens", || {
+        wait_until("the node listens", || {
             let lines = log.lock().expect("no panic");
             let find = |l: &String| l.split_once(" listens at ").and_then(|(_, a)| a.parse().ok());
             address = lines.iter().find_map(find);
@@ -550,7 +550,7 @@
     }
 
     /// Starts a node that inherits a listener and whose standard error is a socket that nobody reads, full already.
-    pub fn unheard(config: &Value, listener: &TcpListener) -> (Self, UnixStream) {
+    pub fn start_with_full_log(config: &Value, listener: &TcpListener) -> (Self, UnixStream) {
         let (ours, theirs) = UnixStream::pair().expect("two sockets");
         theirs.set_nonblocking(true).expect("a socket");
         while (&theirs).write(&[b'x'; 1024]).is_ok() {}
@@ -569,53 +569,53 @@
     }
 
     /// Starts a node and waits until it is ready.
-    pub fn ready(config: &Value) -> Self {
-        let node = Self::listening(config, None);
+    pub fn start_ready(config: &Value) -> Self {
+        let node = Self::start_listening(config, None);
         node.wait_ready();
         node
     }
 
     pub fn wait_ready(&self) {
-        until("the node is ready", || {
-            Client::to(self).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
+        wait_until("the node is ready", || {
+            Client::connect(self).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
         });
     }
 
     /// Its second address.
-    pub fn admin(&self) -> SocketAddr {
+    pub fn admin_addr(&self) -> SocketAddr {
         let lines = self.log.lock().expect("no panic");
         let find = |l: &String| l.split_once(" operators' calls at ").and_then(|(_, a)| a.parse().ok());
         lines.iter().find_map(find).expect("logged before the first address")
     }
 
     /// One call at the second address: the status, and the words of the answer.
-    pub fn call(&self, call: &str) -> (u16, String) {
-        let heard = self.caller().ask(&format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n"));
+    pub fn admin_call(&self, call: &str) -> (u16, String) {
+        let heard = self.admin_client().exchange(&format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n"));
         (heard.status(), String::from_utf8(heard.body).expect("text"))
     }
 
     /// A connection to the second address.
-    pub fn caller(&self) -> Client {
-        Client::at(self.admin())
+    pub fn admin_client(&self) -> Client {
+        Client::connect_to(self.admin_addr())
     }
 
-    pub fn logged(&self, words: &str) -> bool {
+    pub fn has_logged(&self, words: &str) -> bool {
         self.log.lock().expect("no panic").iter().any(|l| l.contains(words))
     }
 
     /// The last of the lines on its state, which come every half second; empty before the first.
-    pub fn state(&self) -> String {
+    pub fn last_state_line(&self) -> String {
         let lines = self.log.lock().expect("no panic");
         lines.iter().rfind(|l| l.contains(" clients, ")).cloned().unwrap_or_default()
     }
 
     /// All that it has logged.
-    pub fn log(&self) -> Vec<String> {
+    pub fn log_lines(&self) -> Vec<String> {
         self.log.lock().expect("no panic").clone()
     }
 
     /// The epochs that it has judged by, in their order.
-    pub fn epochs(&self) -> Vec<u64> {
+    pub fn policy_epochs(&self) -> Vec<u64> {
         let lines = self.log.lock().expect("no panic");
         let epoch = |l: &String| l.split_once("judges by epoch ")?.1.parse().ok();
         lines.iter().filter_map(epoch).collect()
@@ -642,7 +642,7 @@
     }
 
     /// How many of them it has opened itself.
-    pub fn opened(&self) -> usize {
+    pub fn opened_descriptors(&self) -> usize {
         // Whatever stands open in the process that runs the tests, and is passed on to its children.
         let mut child = Command::new("sleep").arg("60").stdin(Stdio::null()).spawn().expect("it runs");
         let passed_on = descriptors(&child);
@@ -656,7 +656,7 @@
     }
 
     /// How long the node's main thread and this one have been ready to run without a core, so far.
-    pub fn withheld(&self) -> Duration {
+    pub fn cpu_wait(&self) -> Duration {
         let of = |path: &str| {
             let schedule = std::fs::read_to_string(path).expect("the system counts it");
             let waited = schedule.split(' ').nth(1).expect("three numbers");
@@ -666,18 +666,18 @@
     }
 
     /// The memory that the node holds, in KiB.
-    pub fn resident(&self) -> usize {
+    pub fn peak_memory_kib(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
         let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its peak");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    pub fn running(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_none()
     }
 
-    pub fn exit_code(&mut self) -> Option<i32> {
-        until("the node ends", || !self.running());
+    pub fn wait_exit_code(&mut self) -> Option<i32> {
+        wait_until("the node ends", || !self.is_running());
         self.child.wait().expect("it ended").code()
     }
 }
@@ -695,8 +695,8 @@
 }
 
 /// One of the figures that the node reports.
-pub fn figure(node: &Node, name: &str) -> u64 {
-    let (status, text) = node.call("GET /metrics");
+pub fn metric(node: &Node, name: &str) -> u64 {
+    let (status, text) = node.admin_call("GET /metrics");
     assert_eq!(status, 200);
     let line =
         |l: &str| l.strip_prefix("edge_balancer.")?.strip_prefix(name)?.strip_prefix('=')?.parse().ok();
@@ -724,13 +724,13 @@
 }
 
 impl Client {
-    pub fn to(node: &Node) -> Self {
-        Self::at(node.address)
+    pub fn connect(node: &Node) -> Self {
+        Self::connect_to(node.address)
     }
 
-    pub fn at(address: SocketAddr) -> Self {
+    pub fn connect_to(address: SocketAddr) -> Self {
         let out = TcpStream::connect(address).expect("the node listens");
-        out.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        out.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
         let from = BufReader::new(out.try_clone().expect("a socket"));
         Self { out, from }
     }
@@ -752,24 +752,24 @@
     }
 
     /// All that comes until the connection ends, and whether it ended in order.
-    pub fn rest(&mut self) -> (Vec<u8>, bool) {
+    pub fn read_to_end(&mut self) -> (Vec<u8>, bool) {
         let mut bytes = Vec::new();
         let ended = self.from.read_to_end(&mut bytes).is_ok();
         (bytes, ended)
     }
 
     /// The next answer; `None` where the connection ends first.
-    pub fn hear(&mut self) -> Option<Message> {
+    pub fn receive(&mut self) -> Option<Message> {
         read_message(&mut self.from, 0)
     }
 
-    pub fn ask(&mut self, words: &str) -> Message {
+    pub fn exchange(&mut self, words: &str) -> Message {
         self.send(words);
-        self.hear().expect("an answer")
+        self.receive().expect("an answer")
     }
 
     /// Has the node closed or reset the connection? Waits for it.
-    pub fn gone(&mut self) -> bool {
+    pub fn closed_or_reset(&mut self) -> bool {
         let reset = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
         match self.from.read(&mut [0; 64]) {
             Ok(n) => n == 0,
@@ -778,19 +778,19 @@
     }
 
     /// Has the node closed the connection? Waits for it.
-    pub fn ended(&mut self) -> bool {
+    pub fn closed(&mut self) -> bool {
         matches!(self.from.read(&mut [0; 64]), Ok(0))
     }
 
     /// Leaves; one that only ends its sending still reads what comes.
-    pub fn leave(self, how: Leave) -> Option<Self> {
+    pub fn disconnect(self, how: Disconnect) -> Option<Self> {
         match how {
-            Leave::Close => None,
-            Leave::Reset => {
+            Disconnect::Close => None,
+            Disconnect::Reset => {
                 SockRef::from(&self.out).set_linger(Some(Duration::ZERO)).expect("a socket");
                 None
             }
-            Leave::HalfClose => {
+            Disconnect::HalfClose => {
                 self.out.shutdown(std::net::Shutdown::Write).expect("it is connected");
                 Some(self)
             }
@@ -800,7 +800,7 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-pub enum Leave {
+pub enum Disconnect {
     Close,
     Reset,
     HalfClose,
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -20,19 +20,19 @@
 }
 
 fn is_ready(node: &Node) -> bool {
-    Client::to(node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
+    Client::connect(node).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
 }
 
 /// With a saved list a node is ready in time and serves by it, whether discovery refuses, is silent, is slow, or breaks
 /// off; without one it is once discovery has a list for it, and not before.
 #[test]
 fn a_start_is_ready_in_time_whatever_discovery_does() {
-    type Script = fn(&str) -> Say;
+    type Script = fn(&str) -> Reply;
     let states: [(&str, Option<Script>); 4] = [
         ("down", None),
-        ("silent", Some(|_| Say::Nothing)),
-        ("slow", Some(|list| Say::Later(Duration::from_secs(4), answer(200, "", list)))),
-        ("cut off", Some(|list| Say::Last(answer(200, "", list)[..60].to_vec()))),
+        ("silent", Some(|_| Reply::Silence)),
+        ("slow", Some(|list| Reply::SendAfter(Duration::from_secs(4), http_response(200, "", list)))),
+        ("cut off", Some(|list| Reply::SendAndClose(http_response(200, "", list)[..60].to_vec()))),
     ];
     // Side by side: each takes seconds.
     std::thread::scope(|scope| {
@@ -42,8 +42,8 @@
             .flat_map(|start| states.map(|state| (start, state)))
         {
             scope.spawn(move || {
-                let server = Peer::good("a");
-                let list = line(7, true, &[host("s0", server.address, "active", 1)]);
+                let server = TestServer::ok("a");
+                let list = list_line(7, true, &[host("s0", server.address, "active", 1)]);
                 // Bound and not listening: it refuses.
                 let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
                 let socket = socket.expect("a socket");
@@ -54,30 +54,33 @@
                     || socket.listen(128).and_then(|()| socket.try_clone()).expect("it listens").into();
                 let bad = script.map(|script| {
                     let list = list.clone();
-                    Peer::on(open(), move |_| script(&list))
+                    TestServer::on(open(), move |_| script(&list))
                 });
                 let start = Instant::now();
-                let node = Node::listening(&started(at, way, saved.then_some(&list)), None);
+                let node = Node::start_listening(&started(at, way, saved.then_some(&list)), None);
                 if saved {
                     node.wait_ready();
-                    let took = start.elapsed().saturating_sub(node.withheld());
+                    let took = start.elapsed().saturating_sub(node.cpu_wait());
                     assert!(took < READY, "{way}, {state}: {took:?}");
                 } else {
-                    until("it has asked", || {
-                        node.logged("discovery: ") || bad.as_ref().is_some_and(|b| !b.seen().is_empty())
+                    wait_until("it has asked", || {
+                        node.has_logged("discovery: ")
+                            || bad.as_ref().is_some_and(|b| !b.requests().is_empty())
                     });
                     assert!(!is_ready(&node), "{way}, {state}: without a list");
                     if bad.is_some() {
                         return;
                     }
                     let words = list.clone();
-                    let (_back, since) =
-                        (Peer::on(open(), move |_| Say::Last(answer(200, "", &words))), Instant::now());
+                    let (_back, since) = (
+                        TestServer::on(open(), move |_| Reply::SendAndClose(http_response(200, "", &words))),
+                        Instant::now(),
+                    );
                     node.wait_ready();
-                    let took = since.elapsed().saturating_sub(node.withheld());
+                    let took = since.elapsed().saturating_sub(node.cpu_wait());
                     assert!(took < Duration::from_millis(6050), "{way}, back: {took:?}");
                 }
-                let heard = Client::to(&node).ask(&request("look", "t1", 15_000));
+                let heard = Client::connect(&node).exchange(&request("look", "t1", 15_000));
                 assert_eq!((heard.status(), &heard.body[..]), (200, &b"a"[..]), "{way}, {state}");
             });
         }
@@ -88,14 +91,14 @@
 #[test]
 fn an_empty_line_makes_nobody_ready() {
     for way in WAYS {
-        let (agent, server) = (Agent::new(), Peer::good("a"));
-        let node = Node::listening(&started(agent.address, way, None), None);
-        let mut watch = agent.call();
-        watch.head();
-        watch.say("\n{\"seq\":0,\"whole\":false,\"hosts\":[]}\n");
-        until("the line was read", || node.logged("list 0 heard "));
+        let (agent, server) = (ManualRegistry::new(), TestServer::ok("a"));
+        let node = Node::start_listening(&started(agent.address, way, None), None);
+        let mut watch = agent.next_call();
+        watch.send_head();
+        watch.send_chunk("\n{\"seq\":0,\"whole\":false,\"hosts\":[]}\n");
+        wait_until("the line was read", || node.has_logged("list 0 heard "));
         assert!(!is_ready(&node), "{way}");
-        watch.say(&line(1, true, &[host("s0", server.address, "active", 1)]));
+        watch.send_chunk(&list_line(1, true, &[host("s0", server.address, "active", 1)]));
         node.wait_ready();
     }
 }
@@ -104,15 +107,15 @@
 #[test]
 fn a_saved_list_is_no_answer_of_discovery() {
     for way in WAYS {
-        let (agent, old, new) = (Agent::new(), Peer::good("old"), Peer::good("new"));
-        let saved = line(7, false, &[host("s0", old.address, "active", 1)]);
-        let node = Node::listening(&started(agent.address, way, Some(&saved)), None);
-        let mut watch = agent.call();
+        let (agent, old, new) = (ManualRegistry::new(), TestServer::ok("old"), TestServer::ok("new"));
+        let saved = list_line(7, false, &[host("s0", old.address, "active", 1)]);
+        let node = Node::start_listening(&started(agent.address, way, Some(&saved)), None);
+        let mut watch = agent.next_call();
         assert_eq!(watch.path, "/v1/endpoints?watch=1&from=7", "{way}");
-        watch.head();
-        watch.say(&line(8, true, &[host("s1", new.address, "active", 1)]));
+        watch.send_head();
+        watch.send_chunk(&list_line(8, true, &[host("s1", new.address, "active", 1)]));
         node.wait_ready();
-        let ask = |_| Client::to(&node).ask(&request("look", "t1", 15_000)).body;
+        let ask = |_| Client::connect(&node).exchange(&request("look", "t1", 15_000)).body;
         assert!((0..4).map(ask).all(|body| body == b"new"), "{way}");
     }
 }
@@ -130,7 +133,7 @@
     ];
     for (field, known, at) in cases {
         let config = started(at.parse().expect("an address"), "automatic", Some(&known));
-        let (code, words) = run(&config, &[]);
+        let (code, words) = run_to_exit(&config, &[]);
         assert_eq!(code, Some(1), "{field}: {words}");
         assert!(
             words.starts_with(&format!("glenwood: {field}: ")) && words.contains("; "),
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -14,9 +14,9 @@
 const MS: Duration = Duration::from_millis(1);
 
 /// A server that answers once it is let, and begins some answers before.
-fn gated(open: &Arc<AtomicBool>) -> Peer {
+fn gated(open: &Arc<AtomicBool>) -> TestServer {
     let gate = open.clone();
-    Peer::new(move |m| {
+    TestServer::new(move |m| {
         let wait = || {
             while !gate.load(Ordering::SeqCst) {
                 std::thread::sleep(MS);
@@ -24,16 +24,16 @@
         };
         match m.header("x-txn") {
             Some("long") => {
-                let whole = answer(200, "", &"x".repeat(200_000));
-                Say::Pieces(
+                let whole = http_response(200, "", &"x".repeat(200_000));
+                Reply::SendPieces(
                     vec![(Duration::ZERO, whole[..100_000].to_vec()), (1500 * MS, whole[100_000..].to_vec())],
                     false,
                 )
             }
-            Some("quick") => Say::This(answer(200, "", "served")),
+            Some("quick") => Reply::Send(http_response(200, "", "served")),
             _ => {
                 wait();
-                Say::This(answer(200, "", "served"))
+                Reply::Send(http_response(200, "", "served"))
             }
         }
     })
@@ -41,8 +41,8 @@
 
 fn told(node: &Node) {
     node.terminate();
-    until("the signal has come", || {
-        Client::to(node).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 503
+    wait_until("the signal has come", || {
+        Client::connect(node).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 503
     });
 }
 
@@ -56,31 +56,31 @@
     for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
         class["Slo"] = json!(100_000.0);
     }
-    let mut node = Node::ready(&config);
+    let mut node = Node::start_ready(&config);
     let words = |txn: &str| request("slip", txn, 20_000);
-    let mut rested = Client::to(&node);
-    assert_eq!(rested.ask(&words("quick")).status(), 200);
-    let mut begun = Client::to(&node);
+    let mut rested = Client::connect(&node);
+    assert_eq!(rested.exchange(&words("quick")).status(), 200);
+    let mut begun = Client::connect(&node);
     begun.send(&words("long"));
     assert!(begun.read(15).starts_with(b"HTTP/1.1 200"));
     // More are out than a server gets at a time: three wait for their turn. Behind the last comes a second command.
     let mut out: Vec<(Client, String)> =
-        (0..11).map(|n| (Client::to(&node), words(&format!("out{n}")))).collect();
+        (0..11).map(|n| (Client::connect(&node), words(&format!("out{n}")))).collect();
     for (client, words) in &mut out {
         client.send(words);
     }
-    until("all are taken, and some wait", || {
-        let state = node.state();
+    wait_until("all are taken, and some wait", || {
+        let state = node.last_state_line();
         state.contains(" 11 requests") && !state.contains(" 0 held")
     });
     // Others come as far as that: nothing, half a head, a head and half a body.
     let mut coming: Vec<(Client, String)> =
-        (0..3).map(|n| (Client::to(&node), words(&format!("coming{n}")))).collect();
+        (0..3).map(|n| (Client::connect(&node), words(&format!("coming{n}")))).collect();
     let cuts = [0, 40, coming[2].1.len() - 2];
     for ((client, words), cut) in coming.iter_mut().zip(cuts) {
         client.send(&words[..cut]);
     }
-    until("they have come", || node.state().starts_with("16 clients"));
+    wait_until("they have come", || node.last_state_line().starts_with("16 clients"));
     told(&node);
     for ((client, words), cut) in coming.iter_mut().zip(cuts) {
         client.send(&words[cut..]);
@@ -89,19 +89,19 @@
     out[10].0.send(&words("second"));
     open.store(true, Ordering::SeqCst);
     for (client, words) in out.iter_mut().chain(&mut coming[1..]) {
-        let heard = client.hear().expect("an answer");
+        let heard = client.receive().expect("an answer");
         assert_eq!((heard.status(), heard.header("connection")), (200, Some("close")), "{words}");
-        assert!(client.ended(), "the connection ends in order: {words}");
+        assert!(client.closed(), "the connection ends in order: {words}");
     }
-    let (rest, in_order) = begun.rest();
+    let (rest, in_order) = begun.read_to_end();
     assert!(rest.len() >= 200_000 && in_order, "{}", rest.len());
-    let seen = |txn: &str| server.seen().iter().any(|m| m.header("x-txn") == Some(txn));
+    let seen = |txn: &str| server.requests().iter().any(|m| m.header("x-txn") == Some(txn));
     assert!(!seen("second"), "read after the signal");
     // Where the machine was slow to send them, these had rested for too long, and were closed unread.
     for (client, txn) in [(&mut coming[0].0, "coming0"), (&mut rested, "rested")] {
-        assert_eq!(client.hear().map(|m| m.status()), seen(txn).then_some(200), "{txn}");
+        assert_eq!(client.receive().map(|m| m.status()), seen(txn).then_some(200), "{txn}");
     }
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(node.wait_exit_code(), Some(0));
 }
 
 /// A connection that was accepted and waits for room when the signal comes is served.
@@ -115,41 +115,41 @@
     for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
         class["Slo"] = json!(100_000.0);
     }
-    let mut node = Node::ready(&config);
+    let mut node = Node::start_ready(&config);
     let ask = |txn: String| {
-        let mut client = Client::to(&node);
+        let mut client = Client::connect(&node);
         client.send(&request("slip", &txn, 100_000));
         client
     };
     // 24 descriptors are for clients and servers, of which clients have four in seven.
     let mut crowd: Vec<Client> = (0..13).map(|n| ask(format!("t{n}"))).collect();
-    until("attempts are out", || server.seen().len() == 8);
-    until("all have been accepted", || node.state().starts_with("13 clients"));
+    wait_until("attempts are out", || server.requests().len() == 8);
+    wait_until("all have been accepted", || node.last_state_line().starts_with("13 clients"));
     let held = node.descriptors();
     crowd.push(ask("next".into()));
-    until("one more waits", || node.descriptors() == held + 1);
+    wait_until("one more waits", || node.descriptors() == held + 1);
     node.terminate();
     open.store(true, Ordering::SeqCst);
     for client in &mut crowd {
-        assert_eq!(client.hear().map(|m| m.status()), Some(200));
+        assert_eq!(client.receive().map(|m| m.status()), Some(200));
     }
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(node.wait_exit_code(), Some(0));
 }
 
 /// An answer without a length that is not read is cut off by a reset: an end in order would make it look whole.
 #[test]
 fn an_answer_that_is_not_read_never_looks_whole() {
     let body = "x".repeat(16 << 20);
-    let server = Peer::new(move |_| {
-        Say::Last(format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}").into_bytes())
+    let server = TestServer::new(move |_| {
+        Reply::SendAndClose(format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}").into_bytes())
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-    let node = Node::ready(&config(registry.address));
-    let mut client = Client::to(&node);
+    let node = Node::start_ready(&config(registry.address));
+    let mut client = Client::connect(&node);
     client.send(&request("look", "t1", 15_000).replace("HTTP/1.1", "HTTP/1.0"));
     assert!(client.read(15).starts_with(b"HTTP/1.0 200"));
-    until("the node has given it up", || node.state().starts_with("0 clients"));
-    let (rest, in_order) = client.rest();
+    wait_until("the node has given it up", || node.last_state_line().starts_with("0 clients"));
+    let (rest, in_order) = client.read_to_end();
     assert!(rest.len() < 16 << 20 && !in_order, "{} bytes", rest.len());
 }
 
@@ -157,18 +157,18 @@
 #[test]
 fn the_end_comes_whatever_clients_do() {
     let body = "x".repeat(8 << 20);
-    let server = Peer::new(move |_| Say::This(answer(200, "", &body)));
+    let server = TestServer::new(move |_| Reply::Send(http_response(200, "", &body)));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
         class["Deadline"] = json!(500.0);
     }
-    let mut node = Node::ready(&config);
+    let mut node = Node::start_ready(&config);
     let address = node.address;
     let ended = Arc::new(AtomicBool::new(false));
     let flag = ended.clone();
     let over = move || flag.load(Ordering::SeqCst);
-    let mut slow = Client::to(&node);
+    let mut slow = Client::connect(&node);
     slow.send(&request("look", "t1", 5000));
     assert!(slow.read(15).starts_with(b"HTTP/1.1 200"));
     let reader = over.clone();
@@ -195,13 +195,13 @@
         "POST /slip/1 HTTP/1.1\r\nX-Txn: t\r\nX-Remaining-Ms: 9\r\nContent-Length: 9\r\n\r\n",
     ];
     let _half = half.map(|words| {
-        let mut client = Client::to(&node);
+        let mut client = Client::connect(&node);
         client.send(words);
         client
     });
     let told = Instant::now();
     node.terminate();
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(node.wait_exit_code(), Some(0));
     // 1.2 s until it may be killed, and 10 s for an answer that is still being read.
     assert!(told.elapsed() < Duration::from_secs(20), "{:?}", told.elapsed());
     ended.store(true, Ordering::SeqCst);
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -17,9 +17,9 @@
 
 /// Two servers, and a node that has had its list of both.
 struct Fleet {
-    agent: Agent,
-    a: Peer,
-    b: Peer,
+    agent: ManualRegistry,
+    a: TestServer,
+    b: TestServer,
     node: Node,
     config: Value,
 }
@@ -32,16 +32,16 @@
 
     /// The same, and the list came in a form of its own.
     fn told(way: &str, form: fn(&str) -> String) -> (Self, Call) {
-        let (agent, a, b) = (Agent::new(), Peer::good("a"), Peer::good("b"));
+        let (agent, a, b) = (ManualRegistry::new(), TestServer::ok("a"), TestServer::ok("b"));
         let mut config = config(agent.address);
         config["settings"]["Discovery"] = json!(way);
-        let node = Node::listening(&config, None);
+        let node = Node::start_listening(&config, None);
         let fleet = Self { agent, a, b, node, config };
-        let mut watch = fleet.agent.call();
-        watch.head();
-        watch.say(&form(&line(1, true, &fleet.hosts())));
+        let mut watch = fleet.agent.next_call();
+        watch.send_head();
+        watch.send_chunk(&form(&list_line(1, true, &fleet.hosts())));
         fleet.node.wait_ready();
-        until("both have turns", || fleet.ask() == b"a");
+        wait_until("both have turns", || fleet.ask() == b"a");
         (fleet, watch)
     }
 
@@ -51,30 +51,30 @@
 
     /// A list that leaves out the first server.
     fn without_a(&self, seq: u64) -> String {
-        line(seq, true, &self.hosts()[1..])
+        list_line(seq, true, &self.hosts()[1..])
     }
 
     fn ask(&self) -> Vec<u8> {
         static TXN: AtomicUsize = AtomicUsize::new(0);
         let txn = format!("t{}", TXN.fetch_add(1, Ordering::SeqCst));
-        let heard = Client::to(&self.node).ask(&request("look", &txn, 15_000));
+        let heard = Client::connect(&self.node).exchange(&request("look", &txn, 15_000));
         assert_eq!(heard.status(), 200);
         heard.body
     }
 
     /// Waits until turns go to the second server alone, and looks that they stay there.
     fn until_a_is_left(&self) {
-        until("the first has no turns", || (0..3).all(|_| self.ask() == b"b"));
-        let seen = self.a.seen().len();
+        wait_until("the first has no turns", || (0..3).all(|_| self.ask() == b"b"));
+        let seen = self.a.requests().len();
         assert!((0..10).all(|_| self.ask() == b"b"));
-        assert_eq!(self.a.seen().len(), seen);
+        assert_eq!(self.a.requests().len(), seen);
     }
 
     /// Answers the calls that come, also such as were given up, until turns go to the second server alone.
-    fn tell_all(&self, agent: &Agent, seq: u64) -> Vec<Call> {
+    fn tell_all(&self, agent: &ManualRegistry, seq: u64) -> Vec<Call> {
         let mut told = Vec::new();
-        until("the first has no turns", || {
-            while let Some(mut call) = agent.call_within(Duration::from_millis(1)) {
+        wait_until("the first has no turns", || {
+            while let Some(mut call) = agent.next_call_within(Duration::from_millis(1)) {
                 self.tell(&mut call, seq);
                 told.push(call);
             }
@@ -85,8 +85,8 @@
 
     /// Answers a call, by the list without the first server.
     fn tell(&self, call: &mut Call, seq: u64) {
-        call.head();
-        call.say(&(self.without_a(seq) + "\n"));
+        call.send_head();
+        call.send_chunk(&(self.without_a(seq) + "\n"));
     }
 }
 
@@ -109,10 +109,10 @@
         for (n, form) in forms.iter().enumerate() {
             let (fleet, mut watch) = Fleet::told(way, *form);
             for byte in form(&fleet.without_a(1)).chars() {
-                assert!(watch.say(&byte.to_string()), "{way}, form {n}");
+                assert!(watch.send_chunk(&byte.to_string()), "{way}, form {n}");
             }
             fleet.until_a_is_left();
-            while let Some(call) = fleet.agent.call_within(Duration::ZERO) {
+            while let Some(call) = fleet.agent.next_call_within(Duration::ZERO) {
                 // One beside the first, where the machine was slow; the watch stands.
                 assert!(call.path.ends_with("from=0"), "{way}, form {n}: {}", call.path);
             }
@@ -136,28 +136,28 @@
                 let (fleet, first) = Fleet::new(way);
                 // A watch that has just begun, and one that has not told anything.
                 first.reset();
-                let mut watch = fleet.agent.call();
-                watch.head();
-                watch.say(words);
-                let (fell, withheld) = (Instant::now(), fleet.node.withheld());
+                let mut watch = fleet.agent.next_call();
+                watch.send_head();
+                watch.send_chunk(words);
+                let (fell, withheld) = (Instant::now(), fleet.node.cpu_wait());
                 let mut watch = Some(watch);
                 match end {
-                    "end" => watch.take().expect("it stands").end(),
+                    "end" => watch.take().expect("it stands").finish(),
                     "reset" => watch.take().expect("it stands").reset(),
                     _ => {}
                 }
                 let mut next = None;
-                until("the node calls again", || {
+                wait_until("the node calls again", || {
                     if let Some(watch) = watch.as_mut().filter(|_| place == "blanks") {
-                        watch.say(words);
+                        watch.send_chunk(words);
                     }
-                    next = fleet.agent.call_within(Duration::from_millis(500));
+                    next = fleet.agent.next_call_within(Duration::from_millis(500));
                     next.is_some()
                 });
                 fleet.tell(next.as_mut().expect("it came"), 2);
                 let _told = fleet.tell_all(&fleet.agent, 2);
                 fleet.until_a_is_left();
-                let took = fell.elapsed().saturating_sub(fleet.node.withheld() - withheld);
+                let took = fell.elapsed().saturating_sub(fleet.node.cpu_wait() - withheld);
                 assert!(took < TOLD + GRACE, "{way}, {end} {place}: {took:?}");
             });
         }
@@ -174,7 +174,7 @@
         watch.reset();
         let mut held = Vec::new();
         for n in 1..=12 {
-            let call = fleet.agent.call();
+            let call = fleet.agent.next_call();
             match n % every {
                 0 => call.reset(),
                 _ => held.push(call),
@@ -185,9 +185,9 @@
             "{every}: a storm in {:?}",
             start.elapsed()
         );
-        let (back, withheld) = (Instant::now(), fleet.node.withheld());
+        let (back, withheld) = (Instant::now(), fleet.node.cpu_wait());
         let _told = fleet.tell_all(&fleet.agent, 2);
-        let took = back.elapsed().saturating_sub(fleet.node.withheld() - withheld);
+        let took = back.elapsed().saturating_sub(fleet.node.cpu_wait() - withheld);
         // A call that had to be given up first would be 1 s old, and a watch 3.2 s.
         assert!(took < Duration::from_millis(900), "{every}: {took:?}");
         fleet.until_a_is_left();
@@ -203,17 +203,17 @@
         for (turns, seq) in [(&[1][..], 1), (&[1], 0), (&[1, 2], 1), (&[1, 0], 1), (&[0], 1), (&[1, 2], 2)] {
             let (mut fleet, watch) = Fleet::new(way);
             watch.reset();
-            let stray = line(99, true, &fleet.hosts()[..1]) + "\n";
+            let stray = list_line(99, true, &fleet.hosts()[..1]) + "\n";
             let (half, rest) = stray.split_at(stray.len() / 2);
-            let others = [Agent::new(), Agent::new()];
+            let others = [ManualRegistry::new(), ManualRegistry::new()];
             // At each there is an outage in the middle of an answer, before the node is sent on.
-            let begin = |agent: &Agent, path: &str| {
-                let mut call = agent.call();
+            let begin = |agent: &ManualRegistry, path: &str| {
+                let mut call = agent.next_call();
                 while !call.path.starts_with(path) || call.path.contains("watch") != path.contains("watch") {
-                    call = agent.call();
+                    call = agent.next_call();
                 }
-                call.head();
-                call.say(half);
+                call.send_head();
+                call.send_chunk(half);
                 call
             };
             let mut late = vec![begin(&fleet.agent, "/v1/endpoints?watch")];
@@ -228,12 +228,12 @@
             }
             late.pop().expect("the last").reset();
             for call in &mut late {
-                call.say(rest);
+                call.send_chunk(rest);
             }
-            let withheld = fleet.node.withheld();
+            let withheld = fleet.node.cpu_wait();
             let agent = if last == 0 { &fleet.agent } else { &others[last - 1] };
             let _told = fleet.tell_all(agent, seq);
-            let took = told.elapsed().saturating_sub(fleet.node.withheld() - withheld);
+            let took = told.elapsed().saturating_sub(fleet.node.cpu_wait() - withheld);
             assert!(took < MOVED + GRACE, "{way} {turns:?} {seq}: {took:?}");
             fleet.until_a_is_left();
         }
@@ -255,15 +255,15 @@
     ];
     for (file, words) in cases {
         fleet.node.reload(file);
-        until(words, || fleet.node.logged(&format!("SIGHUP: nothing changed: {words}")));
+        wait_until(words, || fleet.node.has_logged(&format!("SIGHUP: nothing changed: {words}")));
     }
     std::fs::remove_file(&fleet.node.file).expect("a file");
     fleet.node.signal("-HUP");
     let unread = format!("SIGHUP: nothing changed: BALANCER_CONFIG: {}: ", fleet.node.file);
-    until("the file is missed", || fleet.node.logged(&unread));
-    watch.say(&(fleet.without_a(2) + "\n"));
+    wait_until("the file is missed", || fleet.node.has_logged(&unread));
+    watch.send_chunk(&(fleet.without_a(2) + "\n"));
     fleet.until_a_is_left();
-    assert!(fleet.agent.call_within(Duration::ZERO).is_none(), "the watch stands");
+    assert!(fleet.agent.next_call_within(Duration::ZERO).is_none(), "the watch stands");
 }
 
 /// What discovery says badly leaves the last good list in service, takes bounded memory and one line of the log, and
@@ -271,43 +271,43 @@
 #[test]
 fn bad_lists_leave_the_last_good_one() {
     let (fleet, mut watch) = Fleet::new("automatic");
-    let unknown = |word: &str| line(9, true, &[host("s0", fleet.a.address, word, 1)]);
-    watch.say("<html>\n");
+    let unknown = |word: &str| list_line(9, true, &[host("s0", fleet.a.address, word, 1)]);
+    watch.send_chunk("<html>\n");
     for bad in ["<html>".to_string(), unknown("do\nze"), unknown(&"x".repeat(2_000_000))] {
         let mut asked = 0;
         while asked < 3 {
-            let mut call = fleet.agent.call();
-            call.write(&answer(200, "", &bad));
+            let mut call = fleet.agent.next_call();
+            call.write(&http_response(200, "", &bad));
             asked += usize::from(call.path == "/v1/endpoints");
         }
-        until("both have turns", || fleet.ask() == b"a");
+        wait_until("both have turns", || fleet.ask() == b"a");
     }
-    let (before, endless) = (fleet.node.resident(), "x".repeat(1 << 20));
-    until("a line without end is cut off", || {
-        let mut call = fleet.agent.call();
-        call.head();
-        call.say("{\"seq\":\"");
-        assert!((0..64).any(|_| !call.say(&endless)), "it was read to the end");
-        fleet.node.logged("longer than a line may be")
+    let (before, endless) = (fleet.node.peak_memory_kib(), "x".repeat(1 << 20));
+    wait_until("a line without end is cut off", || {
+        let mut call = fleet.agent.next_call();
+        call.send_head();
+        call.send_chunk("{\"seq\":\"");
+        assert!((0..64).any(|_| !call.send_chunk(&endless)), "it was read to the end");
+        fleet.node.has_logged("longer than a line may be")
     });
-    let grown = fleet.node.resident() - before;
+    let grown = fleet.node.peak_memory_kib() - before;
     assert!(grown < 24 * 1024, "{grown} KiB for a line without end");
     // Figures that can be read, and can't be: they count as others would.
     let mut hosts = fleet.hosts();
     (hosts[0]["share"], hosts[0]["born_ms"]) = (json!(-1e308), json!(1e300));
     (hosts[1]["share"], hosts[1]["born_ms"]) = (json!(1.7e308), json!(-1e300));
-    let words = line(10, true, &[&hosts[..], &hosts[..]].concat());
+    let words = list_line(10, true, &[&hosts[..], &hosts[..]].concat());
     let mut watch = loop {
-        let mut call = fleet.agent.call();
+        let mut call = fleet.agent.next_call();
         if call.path.ends_with("from=10") {
             break call;
         }
-        call.write(&answer(200, "", &words));
+        call.write(&http_response(200, "", &words));
     };
     assert!((0..20).all(|_| [&b"a"[..], b"b"].contains(&&fleet.ask()[..])));
     fleet.tell(&mut watch, 11);
     let _told = fleet.tell_all(&fleet.agent, 11);
-    for line in fleet.node.log() {
+    for line in fleet.node.log_lines() {
         assert!(line.len() < 2000 && !line.starts_with("ze"), "{} bytes: {line:.100}", line.len());
     }
 }
