--- a/tests/agreed.rs
+++ b/tests/agreed.rs
@@ -32,7 +32,7 @@
 fn member(group: &Group) -> (Registry, Value) {
     let registry = Registry::new(&[host("s0", server().address, "active", 1)]);
     let mut config = config_with_admin(&registry);
-    config["control"] = group.control();
+    config["control"] = group.control_config();
     (registry, config)
 }
 
@@ -56,15 +56,15 @@
 #[test]
 fn nothing_is_taken_before_the_epoch_is_known() {
     let group = Group::new();
-    group.cut(true, false);
+    group.set_silent(true, false);
     let (_registry, config) = member(&group);
     let node = Node::start_listening(&config, None);
-    wait_until("it beats", || !group.beats().is_empty());
+    wait_until("it beats", || !group.heartbeats().is_empty());
     let refused = Client::connect(&node).exchange(&request("look", "t1", 10_000));
     assert_eq!((refused.status(), refused.header("retry-after")), (503, Some("0.500")));
     assert_eq!((node.admin_call("GET /ready").0, metric(&node, "policy.held")), (503, 1));
     assert!(node.has_logged(&format!("waits for the agreed epoch from {}", group.address)));
-    group.cut(false, false);
+    group.set_silent(false, false);
     node.wait_ready();
     assert_eq!(ask(&node, "t2"), (200, Some(0)));
     assert_eq!((metric(&node, "policy.held"), metric(&node, "policy.epoch")), (0, 0));
@@ -76,19 +76,19 @@
 #[test]
 fn a_change_takes_hold_for_what_comes_after_it() {
     let group = Group::new();
-    group.no_beats();
+    group.slow_heartbeats();
     let (_registry, config) = member(&group);
     let node = Node::start_ready(&config);
     let mut before = Client::connect(&node);
     before.send(&request("look", "late", 10_000));
     wait_until("it is sent on", || metric(&node, "dispatches") == 1);
-    group.change(json!({"Limits": {"AttemptsCap": 1}}));
+    group.commit_change(json!({"Limits": {"AttemptsCap": 1}}));
     until_served(&node, 1);
     assert!(sends_once(&node));
     let heard = before.receive().expect("an answer");
     assert_eq!((heard.status(), heard.header("x-policy-epoch")), (200, Some("0")), "it was tried again");
-    group.stage(json!({"Limits": {"AttemptsCap": 2}}));
-    group.end(false);
+    group.stage_change(json!({"Limits": {"AttemptsCap": 2}}));
+    group.finish_change(false);
     wait_until("the abort is known", || node.has_logged("takes hold nowhere"));
     assert_eq!(ask(&node, "t2"), (200, Some(1)));
     assert_eq!(metric(&node, "policy.epoch"), 1);
@@ -107,9 +107,9 @@
         let asked = group.propose(of);
         wait_until("it is refused", || {
             let named = |words: &str| words.contains(field) && words.contains("; ");
-            matches!(group.word(), Some(Word::Refused { change, words }) if change == asked && named(&words))
+            matches!(group.last_change_reply(), Some(Word::Refused { change, words }) if change == asked && named(&words))
         });
-        group.end(false);
+        group.finish_change(false);
     }
     assert_eq!(ask(&node, "t1"), (200, Some(0)));
 }
@@ -119,14 +119,14 @@
 fn a_policy_that_does_not_fit_a_newcomer_holds_it() {
     let group = Group::new();
     group.propose(json!({"Classes": [{"Name": "nobody", "Slo": 10.0}]}));
-    group.end(true);
+    group.finish_change(true);
     let (_registry, config) = member(&group);
     let node = Node::start_listening(&config, None);
     wait_until("it says why", || {
         node.has_logged("epoch 1 can't be judged by: ") && node.has_logged("nobody")
     });
     assert_eq!((ask(&node, "t1"), node.admin_call("GET /ready").0), ((503, None), 503));
-    group.change(json!({}));
+    group.commit_change(json!({}));
     until_served(&node, 2);
 }
 
@@ -137,15 +137,15 @@
     let group = Group::new();
     let (_registry, config) = member(&group);
     let node = Node::start_ready(&config);
-    group.stage(json!({"Limits": {"AttemptsCap": 2}}));
-    group.cut(true, true);
+    group.stage_change(json!({"Limits": {"AttemptsCap": 2}}));
+    group.set_silent(true, true);
     let mut open = Client::connect(&node);
     open.send(&request("look", "long", 10_000));
     wait_until("its promise has passed", || ask(&node, "t1") == (503, None));
     assert_eq!((metric(&node, "policy.held"), node.admin_call("GET /ready").0), (1, 503));
     assert_eq!(open.receive().expect("an answer").status(), 200);
-    group.end(true);
-    group.cut(true, false);
+    group.finish_change(true);
+    group.set_silent(true, false);
     until_served(&node, 1);
 }
 
@@ -158,16 +158,16 @@
     let node = Node::start_ready(&config);
     let mut client = Client::connect(&node);
     let mut held = |epoch: u64| {
-        group.stage(json!({"Limits": {"AttemptsCap": 2}}));
-        group.cut(true, true);
+        group.stage_change(json!({"Limits": {"AttemptsCap": 2}}));
+        group.set_silent(true, true);
         let mut refused = None;
         wait_until("its promise has passed", || {
             let heard = client.exchange(&request("look", "t", 10_000));
             refused = (heard.status() == 503).then_some(heard);
             refused.is_some()
         });
-        group.end(false);
-        group.cut(false, false);
+        group.finish_change(false);
+        group.set_silent(false, false);
         wait_until("it serves again", || {
             let heard = client.exchange(&request("look", "t", 10_000));
             heard.header("x-policy-epoch") == Some(epoch.to_string().as_str())
@@ -175,10 +175,10 @@
         refused.and_then(|heard| heard.header("retry-after").map(str::to_owned))
     };
     assert_eq!(held(0).as_deref(), Some("0.500"));
-    group.change(json!({"Limits": {"MaxRetryAfter": 70}}));
+    group.commit_change(json!({"Limits": {"MaxRetryAfter": 70}}));
     wait_until("it is judged by", || node.policy_epochs().contains(&1));
     assert_eq!(held(1).as_deref(), Some("0.070"));
-    group.change(json!({"Limits": {"RetryAfter": false}}));
+    group.commit_change(json!({"Limits": {"RetryAfter": false}}));
     wait_until("it is judged by", || node.policy_epochs().contains(&2));
     assert_eq!(held(2), None);
 }
@@ -191,16 +191,16 @@
     let node = Node::start_ready(&config);
     let mut client = Client::connect(&node);
     assert_eq!(client.exchange(&request("look", "t1", 10_000)).status(), 200);
-    group.stage(json!({"Limits": {"AttemptsCap": 2}}));
-    group.cut(true, true);
+    group.stage_change(json!({"Limits": {"AttemptsCap": 2}}));
+    group.set_silent(true, true);
     node.signal("-STOP");
     let stopped = Instant::now();
     client.send(&request("look", "t2", 10_000));
     wait_until("its promise has passed", || stopped.elapsed().as_secs_f64() * 1000.0 > PROMISE_MS + 50.0);
-    group.end(true);
+    group.finish_change(true);
     node.signal("-CONT");
     assert_eq!(client.receive().expect("an answer").status(), 503);
-    group.cut(false, false);
+    group.set_silent(false, false);
     until_served(&node, 1);
 }
 
@@ -210,11 +210,11 @@
     let group = Group::new();
     let (_registry, config) = member(&group);
     drop(Node::start_ready(&config));
-    group.cut(true, true);
-    let old = group.beats().swap_remove(0);
+    group.set_silent(true, true);
+    let old = group.heartbeats().swap_remove(0);
     let node = Node::start_listening(&config, None);
     // The killed one's last beat may still be on its way.
-    let of_another = || group.beats().into_iter().find(|beat| beat.process.boot != old.process.boot);
+    let of_another = || group.heartbeats().into_iter().find(|beat| beat.process.boot != old.process.boot);
     wait_until("it beats", || of_another().is_some());
     let new = of_another().expect("it beats");
     assert_eq!(old.process.name, new.process.name);
@@ -241,10 +241,10 @@
     std::fs::remove_file(&state).expect("the file");
     std::fs::create_dir(&state).expect("a folder");
     wait_until("it is saved", || node.has_logged("epoch 0 is saved") && !saved().is_empty());
-    group.change(json!({"Limits": {"AttemptsCap": 1}}));
+    group.commit_change(json!({"Limits": {"AttemptsCap": 1}}));
     wait_until("the next one, too", || saved().contains("\"epoch\":1"));
     drop(node);
-    group.cut(true, true);
+    group.set_silent(true, true);
     let node = Node::start_listening(&config, None);
     until_served(&node, 1);
     assert!(sends_once(&node));
@@ -267,13 +267,14 @@
     wait_until("it is ready", || old.admin_call("GET /ready").0 == 200);
     let new = Node::start_inheriting(&config, &held, &[]);
     wait_until("it is ready", || new.admin_call("GET /ready").0 == 200);
-    let boots = || group.beats().iter().map(|b| b.process.boot).collect::<std::collections::BTreeSet<_>>();
-    assert!(boots().len() == 2 && group.beats().iter().all(|b| b.beside));
-    let first = group.beats()[0].process.boot;
-    group.change(json!({"Limits": {"AttemptsCap": 2}}));
+    let boots =
+        || group.heartbeats().iter().map(|b| b.process.boot).collect::<std::collections::BTreeSet<_>>();
+    assert!(boots().len() == 2 && group.heartbeats().iter().all(|b| b.beside));
+    let first = group.heartbeats()[0].process.boot;
+    group.commit_change(json!({"Limits": {"AttemptsCap": 2}}));
     old.terminate();
     assert_eq!(old.wait_exit_code(), Some(0));
-    assert!(group.beats().iter().any(|b| b.bye && b.process.boot == first));
+    assert!(group.heartbeats().iter().any(|b| b.bye && b.process.boot == first));
     until_served(&new, 1);
 }
 
@@ -281,7 +282,7 @@
 #[test]
 fn the_leader_is_found() {
     let (group, other) = (Group::new(), Group::new());
-    other.led_by(group.address);
+    other.redirect_to(group.address);
     let gone = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let (_registry, mut config) = member(&group);
     for replicas in [[gone, other.address], [other.address, gone]] {
@@ -300,7 +301,7 @@
     let serves = || Client::connect(&node).exchange(&request("look", "t1", 500)).status() == 200;
     let out = || !serves() && metric(&node, "targets_disabled") == 1;
     let agreed = |epoch: u64, bans: Value| {
-        group.change(json!({"ServerBans": bans}));
+        group.commit_change(json!({"ServerBans": bans}));
         wait_until("it is judged by", || metric(&node, "policy.epoch") == epoch);
     };
     assert!(serves());
@@ -324,21 +325,23 @@
     config["control"]["zone"] = json!("east");
     let node = Node::start_ready(&config);
     let shown = || node.admin_call("GET /metrics").1.contains("votes.");
-    assert!(!shown() && group.beats().iter().all(|beat| beat.votes.is_none() && beat.verdicts.is_none()));
-    group.change(json!({"Votes": {"Window": 60000}}));
+    assert!(
+        !shown() && group.heartbeats().iter().all(|beat| beat.votes.is_none() && beat.verdicts.is_none())
+    );
+    group.commit_change(json!({"Votes": {"Window": 60000}}));
     until_served(&node, 1);
     assert_eq!(ask(&node, "fails").0, 503);
     wait_until("it is for the removal of what fails", || {
-        let votes = group.beats().pop().and_then(|beat| beat.votes);
+        let votes = group.heartbeats().pop().and_then(|beat| beat.votes);
         votes.is_some_and(|votes| {
             assert_eq!((votes.zone.as_deref(), votes.up.as_slice()), (Some("east"), &[("a".into(), 1)][..]));
             votes.ballots.iter().any(|b| b.server == "s0" && b.evidence.errors == 3 && b.stand == Stand::For)
         })
     });
     assert!(shown() && metric(&node, "votes.removed") == 0);
-    group.change(json!({}));
+    group.commit_change(json!({}));
     wait_until("its beats say nothing of it", || {
-        group.beats().last().is_some_and(|beat| beat.votes.is_none())
+        group.heartbeats().last().is_some_and(|beat| beat.votes.is_none())
     });
     assert!(!shown());
 }
