--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,18 +1,24 @@
-//! A node under test, and a referee that knows the four rules.
+//! The decision module with a simulated clock, and a referee that checks the four rules on its events and actions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
 
 use tulipmount::*;
 
+/// Index of the class that may run any number of times.
 pub const SAFE: usize = 0;
+/// Index of the class whose repeats are dropped within one cell for [`KEY_MEMORY_MS`].
 pub const KEYED: usize = 1;
+/// Index of the class that may run once.
 pub const UNSAFE: usize = 2;
+/// How long servers remember the key of a keyed request.
 pub const KEY_MEMORY_MS: f64 = 600.0;
+/// How long clients wait for each try.
 pub const CLIENT_TIMEOUT_MS: f64 = 500.0;
-/// The module stops at once, which keeps any grace; the referee allows none.
+/// How long the referee lets a draining server get work: the module stops at once, so it allows none.
 pub const DRAIN_GRACE_MS: f64 = 0.0;
 
+/// Settings of one of two nodes, with the classes [`SAFE`], [`KEYED`] and [`UNSAFE`].
 pub fn settings() -> Settings {
     let class =
         |aim, worth, effect| Class { aim, deadline: 2.0 * CLIENT_TIMEOUT_MS, worth, late_worth: 0.0, effect };
@@ -52,6 +58,7 @@
     }
 }
 
+/// The list entry of a server that is up; zone and cell are its number modulo 2.
 pub fn entry(server: u64, weight: f64) -> Entry {
     let state = Listed::Up;
     Entry {
@@ -65,30 +72,35 @@
     }
 }
 
-/// A balancer with a clock, that remembers what it did.
+/// A balancer with a simulated clock, which records the attempts it sends.
 pub struct Node {
     pub balancer: Balancer,
     pub now: f64,
-    next: u64,
+    next_id: u64,
+    /// Server and start of each attempt.
     attempts: BTreeMap<RequestId, Vec<(ServerId, f64)>>,
 }
 
 impl Node {
+    /// A node with this list and seed 1.
     pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
         Self::new_seeded(settings, entries, 1)
     }
 
+    /// A node with this list and seed.
     pub fn new_seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed).expect("good settings");
-        let mut node = Self { balancer, now: 1000.0, next: 0, attempts: BTreeMap::new() };
+        let mut node = Self { balancer, now: 1000.0, next_id: 0, attempts: BTreeMap::new() };
         node.event(Event::List { entries, saved: true });
         node
     }
 
+    /// A node with so many servers of equal weight.
     pub fn with_servers(settings: Settings, servers: u64) -> Self {
         Self::new(settings, (0..servers).map(|id| entry(id, 1.0)).collect())
     }
 
+    /// Hands in an event at the present time; returns the actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -100,30 +112,32 @@
         actions
     }
 
+    /// Hands in a request of a class.
     pub fn ask(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.ask_for(class, None)
     }
 
+    /// Hands in a request of a tenant.
     pub fn ask_for(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
         self.ask_with_timeout(class, tenant, CLIENT_TIMEOUT_MS)
     }
 
-    /// A request whose client gives up after `left`.
+    /// Hands in a request whose client gives up after `timeout`.
     pub fn ask_with_timeout(
         &mut self,
         class: usize,
         tenant: Option<usize>,
-        left: f64,
+        timeout: f64,
     ) -> (RequestId, Vec<Action>) {
-        self.send_request(class, tenant, left, false, None)
+        self.send_request(class, tenant, timeout, false, None)
     }
 
-    /// A marked repeat of a request, whose client gives up after `left`.
-    pub fn ask_repeat(&mut self, class: usize, left: f64) -> (RequestId, Vec<Action>) {
-        self.send_request(class, None, left, true, None)
+    /// Hands in a request that is marked as a repeat, whose client gives up after `timeout`.
+    pub fn ask_repeat(&mut self, class: usize, timeout: f64) -> (RequestId, Vec<Action>) {
+        self.send_request(class, None, timeout, true, None)
     }
 
-    /// A request whose client guesses its work.
+    /// Hands in a request whose client estimates its work.
     pub fn ask_with_estimate(&mut self, class: usize, work: f64) -> (RequestId, Vec<Action>) {
         self.send_request(class, None, CLIENT_TIMEOUT_MS, false, Some(work))
     }
@@ -132,20 +146,20 @@
         &mut self,
         class: usize,
         tenant: Option<usize>,
-        left: f64,
+        timeout: f64,
         again: bool,
         work: Option<f64>,
     ) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
-        let deadline = self.now + left;
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        let deadline = self.now + timeout;
         (id, self.event(Event::Request { id, class, tenant, deadline, coming: false, again, work }))
     }
 
-    /// A request whose body is still coming.
+    /// Hands in a request whose body is still arriving.
     pub fn ask_streaming(&mut self, class: usize) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
         let deadline = self.now + CLIENT_TIMEOUT_MS;
         (
             id,
@@ -171,13 +185,13 @@
         self.event(Event::Ended { id, attempt, server, outcome, took, finished })
     }
 
-    /// One request that is served after `took`; gives its server.
+    /// Hands in a request that is served after `took`; returns its server, if it was sent.
     pub fn serve(&mut self, class: usize, took: f64) -> Option<ServerId> {
-        let asked = self.ask(class);
-        self.serve_sent(asked, took)
+        let request = self.ask(class);
+        self.serve_sent(request, took)
     }
 
-    /// The same, waiting where it is held.
+    /// The same, but waits while the request is held.
     pub fn serve_after_hold(&mut self, class: usize, took: f64) -> Option<ServerId> {
         let (id, mut actions) = self.ask(class);
         while sent_to(&actions).is_none() && !refused(&actions, id) && !failed(&actions, id) {
@@ -195,7 +209,7 @@
         server
     }
 
-    /// Lets time pass, with the timers due in it.
+    /// Lets time pass, with a timer event every 5 ms; returns all actions.
     pub fn wait(&mut self, span: f64) -> Vec<Action> {
         let until = self.now + span;
         let mut all = Vec::new();
@@ -207,52 +221,62 @@
     }
 }
 
+/// The server of the first attempt that is sent.
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
 }
 
-/// The requests that were sent.
+/// The requests of all attempts that are sent.
 pub fn sends(actions: &[Action]) -> Vec<RequestId> {
     actions.iter().filter_map(|a| if let Action::Send { id, .. } = a { Some(*id) } else { None }).collect()
 }
 
+/// Is this request refused?
 pub fn refused(actions: &[Action], request: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { id, .. } if *id == request))
 }
 
+/// Is this request failed?
 pub fn failed(actions: &[Action], request: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(id) if *id == request))
 }
 
+/// What the referee knows of a request.
 struct RequestState {
     class: usize,
     deadline: f64,
+    /// Answered, or left by its client.
     over: bool,
+    /// Server, its cell, start and outcome of each attempt.
     attempts: Vec<(ServerId, u64, f64, Option<Outcome>)>,
 }
 
-/// Figures of votes for days of some seconds.
+/// Vote settings for simulated days of a few seconds.
 pub fn votes() -> Votes {
     let (window, aside, word) = (500.0, 50.0, 500.0);
     Votes { window, attempts: 3, failed: 0.5, doubt: 0.4, aside, trickle: 0.1, word }
 }
 
-/// Watches what a node is told and does, and notes each breach of a rule.
+/// Follows the events and actions of a node and records each breach of a rule.
 #[derive(Default)]
 pub struct Referee {
-    /// What the group has ruled (is it probed? of the process that runs?), when it was last heard, and whether votes are off.
+    /// The servers the group has removed: is it probed from here, and is the verdict about the process that runs?
     verdicts: BTreeMap<ServerId, (bool, bool)>,
+    /// When verdicts were last received.
     last_verdicts_at: f64,
     votes_off: bool,
     requests: BTreeMap<RequestId, RequestState>,
+    /// The entry of each server, and since when it has not been up.
     servers: BTreeMap<ServerId, (Entry, Option<f64>)>,
     warm_sends: Vec<(ServerId, f64)>,
     cold_sends: Vec<(ServerId, f64)>,
     requested_at: Vec<f64>,
+    /// The breaches found, each beginning with the name of its rule.
     pub breaches: Vec<String>,
 }
 
 impl Referee {
+    /// Records an event handed to the node.
     pub fn observe_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::List { entries, .. } => {
@@ -263,8 +287,8 @@
                 self.update_servers(now, entries);
             }
             Event::ListChange(entries) => self.update_servers(now, entries),
-            Event::Verdicts(rulings) if !self.votes_off => {
-                self.verdicts = rulings.iter().map(|r| (r.server, (r.probe, true))).collect();
+            Event::Verdicts(verdicts) if !self.votes_off => {
+                self.verdicts = verdicts.iter().map(|v| (v.server, (v.probe, true))).collect();
                 self.last_verdicts_at = now;
             }
             Event::Policy(new) => {
@@ -297,54 +321,60 @@
             let gone = (entry.state != Listed::Up).then_some(now);
             let known = self.servers.entry(entry.server).or_insert((entry.clone(), gone));
             if known.0.started != entry.started {
-                self.verdicts.entry(entry.server).and_modify(|(_, runs)| *runs = false);
+                self.verdicts.entry(entry.server).and_modify(|(_, current)| *current = false);
             }
             known.1 = if gone.is_some() { known.1.or(gone) } else { None };
             known.0 = entry.clone();
         }
     }
 
-    /// Is a server removed by votes, and is it probed? Not where too few would be left, nor without news.
+    /// `Some` if a server is removed by votes: is it probed from here? A verdict is void if it is stale, or if fewer
+    /// than half of the listed servers would be left.
     fn removed(&self, settings: &Settings, now: f64, server: ServerId) -> Option<bool> {
         let fresh = settings.votes.as_ref().is_some_and(|v| now - self.last_verdicts_at < v.word);
         let listed = self.servers.values().filter(|(e, _)| e.state != Listed::Gone).count();
         let up = self.servers.iter().filter(|(_, (e, _))| e.state == Listed::Up);
         let left = up.filter(|(id, _)| !self.verdicts.contains_key(id)).count();
-        let ruled = self.verdicts.get(&server).filter(|(_, runs)| *runs && fresh && 2 * left >= listed);
-        ruled.map(|(probe, _)| *probe)
+        let verdict = self.verdicts.get(&server);
+        let in_force = verdict.filter(|(_, current)| *current && fresh && 2 * left >= listed);
+        in_force.map(|(probe, _)| *probe)
     }
 
+    /// Checks an action of the node.
     pub fn observe_action(&mut self, settings: &Settings, now: f64, action: &Action) {
         if let Action::Send { id, server, .. } = action {
             let request = self.requests.get(id);
-            let may = request.is_some_and(|h| h.attempts.is_empty() && h.class == SAFE);
+            let may_probe = request.is_some_and(|r| r.attempts.is_empty() && r.class == SAFE);
             match self.removed(settings, now, *server) {
                 Some(false) => self.breaches.push(format!("votes: {server:?} is removed")),
-                Some(true) if !may => self.breaches.push(format!("votes: {id:?} may not probe")),
+                Some(true) if !may_probe => self.breaches.push(format!("votes: {id:?} may not probe")),
                 _ => {}
             }
         }
-        let mut note = |words: String| self.breaches.push(words);
+        let mut breach = |text: String| self.breaches.push(text);
         match action {
             Action::Send { id, server, .. } => {
                 let Some(request) = self.requests.get_mut(id) else {
-                    return note(format!("{id:?} is unknown"));
+                    return breach(format!("{id:?} is unknown"));
                 };
-                let Some((entry, gone)) = self.servers.get(server) else { return note("no server".into()) };
+                let Some((entry, gone)) = self.servers.get(server) else { return breach("no server".into()) };
                 if request.over {
-                    note(format!("rule 1: {id:?} sent after its end"));
+                    breach(format!("rule 1: {id:?} sent after its end"));
                 }
                 if gone.is_some_and(|at| now > at + DRAIN_GRACE_MS) {
-                    note(format!("rule 3: {server:?} got work after its drain"));
+                    breach(format!("rule 3: {server:?} got work after its drain"));
                 }
-                let mut ran = request.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
+                let mut may_have_run =
+                    request.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
                 let harmless = match settings.classes[request.class].effect {
                     Effect::Safe => true,
-                    Effect::Unsafe => ran.next().is_none(),
-                    Effect::Keyed { memory, .. } => ran.all(|a| a.1 == entry.cell && now < a.2 + memory),
+                    Effect::Unsafe => may_have_run.next().is_none(),
+                    Effect::Keyed { memory, .. } => {
+                        may_have_run.all(|a| a.1 == entry.cell && now < a.2 + memory)
+                    }
                 };
                 if !harmless {
-                    note(format!("rule 2: {id:?} sent again"));
+                    breach(format!("rule 2: {id:?} sent again"));
                 }
                 request.attempts.push((*server, entry.cell, now, None));
                 let age = entry.started.map_or(f64::INFINITY, |t| now - t);
@@ -357,11 +387,11 @@
             }
             Action::Refuse { id, .. } => {
                 let Some(request) = self.requests.get_mut(id) else {
-                    return note(format!("{id:?} is unknown"));
+                    return breach(format!("{id:?} is unknown"));
                 };
-                let ran = request.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
-                if ran && settings.classes[request.class].effect != Effect::Safe {
-                    note(format!("rule 2: {id:?} refused though it may have run"));
+                let may_have_run = request.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
+                if may_have_run && settings.classes[request.class].effect != Effect::Safe {
+                    breach(format!("rule 2: {id:?} refused though it may have run"));
                 }
                 Self::record_answer(request, settings, now, *id, &mut self.breaches);
             }
@@ -374,6 +404,7 @@
         }
     }
 
+    /// Rule 1: each request is answered once, and in time.
     fn record_answer(
         request: &mut RequestState,
         settings: &Settings,
@@ -390,17 +421,17 @@
         request.over = true;
     }
 
-    /// Rule 4 by what the busiest warm server got, or where none was warm would have got by an even part of
-    /// what was asked for: this node's part of a cold server's budget.
+    /// Rule 4: checks the sends to a cold server against this node's part of its budget. The measure of a warm server
+    /// is what the busiest one got or, if more, an even share of all requests.
     fn check_cold(&mut self, settings: &Settings, now: f64, server: ServerId, age: f64) {
         let rules = &settings.rules;
         let recent = |sends: &[(ServerId, f64)], s: ServerId| {
             sends.iter().filter(|x| x.0 == s && x.1 > now - rules.fall_window).count()
         };
         let warm = self.warm_sends.iter().map(|x| recent(&self.warm_sends, x.0)).max().unwrap_or(0);
-        let asked = self.requested_at.iter().filter(|t| **t > now - rules.fall_window).count();
+        let requested = self.requested_at.iter().filter(|t| **t > now - rules.fall_window).count();
         let up = self.servers.values().filter(|(_, gone)| gone.is_none()).count().max(1);
-        let warm = (warm as f64).max(asked as f64 / up as f64);
+        let warm = (warm as f64).max(requested as f64 / up as f64);
         let share = rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm_within;
         let budget = rules.fall_multiple * share * warm;
         if recent(&self.cold_sends, server) as f64 > budget.max(1.0) + 1.0 {
@@ -408,7 +439,7 @@
         }
     }
 
-    /// To be called when all deadlines have passed.
+    /// Checks that every request was answered; to be called once all deadlines have passed.
     pub fn finish(&mut self) {
         for (id, request) in &self.requests {
             if !request.over {
