--- a/tests/group/mod.rs
+++ b/tests/group/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted replica of the control group: it leads, and says what it is told to.
+//! A scripted control group of one replica, which leads and answers heartbeats and watches as the test sets it to.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,33 +12,38 @@
 
 use crate::peers::{http_response, read_message, wait_until, WAIT_TIMEOUT};
 
-/// How long a promise lasts.
+/// How long a node's promise lasts after the heartbeat that renewed it, in milliseconds.
 pub const PROMISE_MS: f64 = 1000.0;
 
+/// What the replica answers, and what it has received.
 struct GroupState {
     agreed: Agreed,
+    /// Every heartbeat received.
     heartbeats: Vec<Beat>,
-    /// Beats are not answered.
+    /// Heartbeats get no response.
     heartbeats_silent: bool,
-    /// Watches bring nothing.
+    /// Watches send nothing.
     watches_silent: bool,
-    /// Another replica leads.
+    /// The leader that heartbeats are redirected to, if it is not this replica.
     leader: Option<SocketAddr>,
-    /// From an answer to the next beat.
+    /// Interval from a response to the next heartbeat, as told to nodes.
     heartbeat_ms: f64,
 }
 
+/// A handle to the scripted replica.
 #[derive(Clone)]
 pub struct Group {
     pub address: SocketAddr,
     state: Arc<Mutex<GroupState>>,
 }
 
-pub fn policy(of: Value) -> Policy {
-    Policy(of.as_object().expect("an object").clone())
+/// A policy from the JSON object of its settings.
+pub fn policy(settings: Value) -> Policy {
+    Policy(settings.as_object().expect("an object").clone())
 }
 
 impl Group {
+    /// Starts a replica on a free port, with epoch 0 agreed and no change under way.
     pub fn new() -> Self {
         let policy = Policy::default();
         let agreed = Agreed { version: 5, sum: 0, epoch: 0, policy, change: None, ended: Vec::new() };
@@ -72,34 +77,34 @@
         let mut from = BufReader::new(stream);
         let start = Instant::now();
         loop {
-            let call = read_message(&mut from, 0)?;
-            if call.path().starts_with("/v1/watch") {
+            let request = read_message(&mut from, 0)?;
+            if request.path().starts_with("/v1/watch") {
                 return self.watch(out);
             }
-            let beat: Beat = serde_json::from_slice(&call.body).expect("a beat");
-            let said = self.with_state(|state| {
-                state.heartbeats.push(beat.clone());
+            let heartbeat: Beat = serde_json::from_slice(&request.body).expect("a heartbeat");
+            let response = self.with_state(|state| {
+                state.heartbeats.push(heartbeat.clone());
                 if let Some(leader) = state.leader {
-                    let no = NotLeader { error: "not the leader".into(), leader: Some(leader) };
-                    return Some((503, serde_json::to_string(&no)));
+                    let error = NotLeader { error: "not the leader".into(), leader: Some(leader) };
+                    return Some((503, serde_json::to_string(&error)));
                 }
                 let stamp = Stamp { term: 1, at: start.elapsed().as_secs_f64() * 1000.0 };
                 let known = state.agreed.known();
-                let same = beat.known == Some(known);
-                let said = Answer {
+                let up_to_date = heartbeat.known == Some(known);
+                let answer = Answer {
                     stamp,
-                    told: if same { Told::Same(known) } else { Told::News(state.agreed.clone()) },
+                    told: if up_to_date { Told::Same(known) } else { Told::News(state.agreed.clone()) },
                     beat_ms: state.heartbeat_ms,
                     lease_ms: None,
                     fenced: false,
                     promise_ms: PROMISE_MS,
-                    superseded: beat.bye,
+                    superseded: heartbeat.bye,
                     asked: Vec::new(),
                     verdicts: None,
                 };
-                (!state.heartbeats_silent).then(|| (200, serde_json::to_string(&said)))
+                (!state.heartbeats_silent).then(|| (200, serde_json::to_string(&answer)))
             });
-            match said {
+            match response {
                 Some((status, body)) => {
                     out.write_all(&http_response(status, "", &body.expect("plain data"))).ok()?
                 }
@@ -125,17 +130,18 @@
         }
     }
 
-    /// Proposes a policy: the next epoch, if it is committed.
-    pub fn propose(&self, of: Value) -> ChangeId {
+    /// Proposes a policy, which becomes the next epoch if it is committed.
+    pub fn propose(&self, settings: Value) -> ChangeId {
         self.with_state(|state| {
             state.agreed.version += 1;
             let id = ChangeId(state.agreed.version);
-            state.agreed.change = Some(Change { id, epoch: state.agreed.epoch + 1, policy: policy(of) });
+            state.agreed.change =
+                Some(Change { id, epoch: state.agreed.epoch + 1, policy: policy(settings) });
             id
         })
     }
 
-    /// Ends the change under way.
+    /// Commits the change under way, or aborts it as an operator would.
     pub fn finish_change(&self, committed: bool) {
         self.with_state(|state| {
             let Change { id, epoch, policy } = state.agreed.change.take().expect("under way");
@@ -148,44 +154,46 @@
     }
 
     /// Proposes a policy, waits until the node has staged it, and commits it.
-    pub fn commit_change(&self, of: Value) {
-        self.stage_change(of);
+    pub fn commit_change(&self, settings: Value) {
+        self.stage_change(settings);
         self.finish_change(true);
     }
 
     /// Proposes a policy and waits until the node has staged it.
-    pub fn stage_change(&self, of: Value) {
-        let proposed = self.propose(of);
+    pub fn stage_change(&self, settings: Value) {
+        let proposed = self.propose(settings);
         wait_until(
             "the change is staged",
             || matches!(self.last_change_reply(), Some(Word::Staged { change, .. }) if change == proposed),
         );
     }
 
-    /// What the last beat says of a change.
+    /// What the last heartbeat says about a change.
     pub fn last_change_reply(&self) -> Option<Word> {
-        self.with_state(|state| state.heartbeats.last().and_then(|beat| beat.change.clone()))
+        self.with_state(|state| state.heartbeats.last().and_then(|heartbeat| heartbeat.change.clone()))
     }
 
-    /// Answers no beats, brings no news; or does again.
+    /// Silences responses to heartbeats, or watches, or restores them.
     pub fn set_silent(&self, heartbeats: bool, watches: bool) {
         self.with_state(|state| (state.heartbeats_silent, state.watches_silent) = (heartbeats, watches));
     }
 
-    /// Beats come only when the node has something to say.
+    /// Sets so long an interval that heartbeats come only when the node has something to report.
     pub fn slow_heartbeats(&self) {
         self.with_state(|state| state.heartbeat_ms = 600_000.0);
     }
 
+    /// Answers heartbeats by naming another replica as the leader.
     pub fn redirect_to(&self, leader: SocketAddr) {
         self.with_state(|state| state.leader = Some(leader));
     }
 
+    /// Every heartbeat received.
     pub fn heartbeats(&self) -> Vec<Beat> {
         self.with_state(|state| state.heartbeats.clone())
     }
 
-    /// The part of a node's configuration that has it follow this group.
+    /// The `control` section of the configuration of a node that follows this group.
     pub fn control_config(&self) -> Value {
         json!({"replicas": [self.address.to_string()]})
     }
