--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The real program between scripted peers on loopback sockets.
+//! Runs the node's program between scripted app servers, discovery and clients, all on loopback sockets.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,33 +14,34 @@
 use serde_json::{json, Value};
 use socket2::SockRef;
 
-/// How long anything that should happen is waited for: far more than it takes, on a busy machine too.
+/// Longest wait for an expected event; far above what one takes, even on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longer than a connection to a server rests behind an answer.
+/// Longer than the node leaves a server connection unused after a response before it reuses it.
 pub const REUSE_DELAY: Duration = Duration::from_millis(60);
 
-/// Waits until the condition holds.
+/// Polls the condition until it holds; fails the test with `what` after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 // ---- Messages ----
 
-/// A request or an answer.
+/// An HTTP request or response.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
-    /// The connection that it came on, counted from 1.
+    /// Number of the connection on which it arrived, from 1 in the order of accepting; 0 where that is not counted.
     pub connection: usize,
 }
 
 impl Message {
+    /// The value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -48,16 +49,18 @@
         })
     }
 
+    /// The status code of a response.
     pub fn status(&self) -> u16 {
         self.head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
     }
 
+    /// The target of a request, with its query.
     pub fn path(&self) -> &str {
         self.head.split(' ').nth(1).expect("a request line")
     }
 }
 
-/// Reads one message; `None` where the connection ends.
+/// Reads one message; `None` if the connection ends first.
 pub fn read_message(from: &mut BufReader<TcpStream>, connection: usize) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -76,7 +79,7 @@
     Some(message)
 }
 
-/// Reads a body in chunks; `None` where the connection ends before the last.
+/// Reads a chunked body; `None` if the connection ends before the last chunk.
 fn read_chunks(from: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -92,31 +95,31 @@
     }
 }
 
-/// An answer with a body.
+/// A response with a body of known length; each line of `headers` ends in CRLF.
 pub fn http_response(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
 // ---- Servers ----
 
-/// What a scripted server does with a request.
+/// How a scripted server handles a request.
 pub enum Reply {
-    /// Answers.
+    /// Writes the bytes and keeps the connection.
     Send(Vec<u8>),
-    /// Writes that and closes.
+    /// Writes the bytes and closes the connection.
     SendAndClose(Vec<u8>),
-    /// Answers after a while.
+    /// Writes the bytes after a delay and keeps the connection.
     SendAfter(Duration, Vec<u8>),
-    /// Writes these, each after a while, and closes if so told.
+    /// Writes each piece after its delay, then closes the connection if the flag is set.
     SendPieces(Vec<(Duration, Vec<u8>)>, bool),
-    /// Stays silent.
+    /// Writes nothing and keeps the connection.
     Silence,
-    /// Does that with the connection, and drops it.
+    /// Runs the function on the connection, then drops it.
     Custom(Box<dyn FnOnce(&mut TcpStream)>),
 }
 
 impl Reply {
-    /// Writes that and resets the connection.
+    /// Writes the bytes and resets the connection.
     pub fn reset(bytes: &[u8]) -> Self {
         let bytes = bytes.to_vec();
         Self::Custom(Box::new(move |out| {
@@ -126,84 +129,92 @@
     }
 }
 
+/// A scripted app server.
 pub struct TestServer {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Message>>>,
-    open: Arc<AtomicUsize>,
+    /// Every message received, probes included.
+    received: Arc<Mutex<Vec<Message>>>,
+    open_connections: Arc<AtomicUsize>,
 }
 
 impl TestServer {
-    /// A server that follows a script.
+    /// Starts a server on a free port that handles each request as `script` says.
     pub fn new(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
     }
 
+    /// Starts a server on a given listener.
     pub fn on(listener: TcpListener, script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         let address = listener.local_addr().expect("bound");
-        let (seen, open) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
-        let peer = Self { address, seen: seen.clone(), open: open.clone() };
+        let (received, open) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
+        let server = Self { address, received: received.clone(), open_connections: open.clone() };
         let script = Arc::new(script);
         std::thread::spawn(move || {
-            for (conn, stream) in (1..).zip(listener.incoming()) {
-                let (seen, open, script) = (seen.clone(), open.clone(), script.clone());
+            for (connection, stream) in (1..).zip(listener.incoming()) {
+                let (received, open, script) = (received.clone(), open.clone(), script.clone());
                 let Ok(stream) = stream else { return };
                 open.fetch_add(1, Ordering::SeqCst);
                 std::thread::spawn(move || {
-                    converse(stream, conn, &seen, &*script);
+                    serve_connection(stream, connection, &received, &*script);
                     open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
-        peer
+        server
     }
 
-    /// A server that serves everything, and says who it is.
+    /// Starts a server that answers every request with 200 and its name as the body.
     pub fn ok(name: &'static str) -> Self {
         Self::new(move |_| Reply::Send(http_response(200, "", name)))
     }
 
-    /// The requests that came, without probes.
+    /// The requests received so far, without health probes.
     pub fn requests(&self) -> Vec<Message> {
-        let seen = self.seen.lock().expect("no panic");
-        seen.iter().filter(|m| m.path() != "/health").cloned().collect()
+        let received = self.received.lock().expect("no panic");
+        received.iter().filter(|m| m.path() != "/health").cloned().collect()
     }
 
-    /// How many probes came.
+    /// Number of health probes received.
     pub fn probes(&self) -> usize {
-        self.seen.lock().expect("no panic").len() - self.requests().len()
+        self.received.lock().expect("no panic").len() - self.requests().len()
     }
 
-    /// How many connections are open.
+    /// Number of connections open now.
     pub fn open_connections(&self) -> usize {
-        self.open.load(Ordering::SeqCst)
+        self.open_connections.load(Ordering::SeqCst)
     }
 }
 
-fn converse(stream: TcpStream, conn: usize, seen: &Mutex<Vec<Message>>, script: &dyn Fn(&Message) -> Reply) {
+fn serve_connection(
+    stream: TcpStream,
+    connection: usize,
+    received: &Mutex<Vec<Message>>,
+    script: &dyn Fn(&Message) -> Reply,
+) {
     let Ok(mut out) = stream.try_clone() else { return };
     let mut from = BufReader::new(stream);
-    while let Some(message) = read_message(&mut from, conn) {
-        seen.lock().expect("no panic").push(message.clone());
-        let (bytes, last) = match script(&message) {
+    while let Some(message) = read_message(&mut from, connection) {
+        received.lock().expect("no panic").push(message.clone());
+        let (bytes, close) = match script(&message) {
             Reply::Send(bytes) => (bytes, false),
             Reply::SendAndClose(bytes) => (bytes, true),
-            Reply::SendAfter(span, bytes) => {
-                std::thread::sleep(span);
+            Reply::SendAfter(delay, bytes) => {
+                std::thread::sleep(delay);
                 (bytes, false)
             }
-            Reply::SendPieces(pieces, last) => {
-                for (span, piece) in pieces {
-                    std::thread::sleep(span);
+            Reply::SendPieces(pieces, close) => {
+                for (delay, piece) in pieces {
+                    std::thread::sleep(delay);
                     if out.write_all(&piece).is_err() {
                         break;
                     }
                 }
-                (Vec::new(), last)
+                (Vec::new(), close)
             }
             Reply::Silence => (Vec::new(), false),
-            Reply::Custom(what) => return what(&mut out),
+            Reply::Custom(action) => return action(&mut out),
         };
-        if out.write_all(&bytes).is_err() || last {
+        if out.write_all(&bytes).is_err() || close {
             break;
         }
     }
@@ -212,44 +223,49 @@
 
 // ---- Discovery ----
 
-/// An entry of the list.
+/// A server's entry in the list.
 pub fn host(name: &str, at: SocketAddr, health: &str, cell: u64) -> Value {
     json!({"host": name, "dial": at.to_string(), "site": "a", "class": "m", "block": cell,
         "health": health, "share": 1.0, "born_ms": 0})
 }
 
+/// One line of discovery: the whole list, or the entries that changed.
 pub fn list_line(seq: u64, whole: bool, hosts: &[Value]) -> String {
     json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string()
 }
 
 #[derive(Default)]
-struct Told {
-    whole: String,
+struct RegistryState {
+    whole_list: String,
     /// Lines for the watches that are open.
-    news: Vec<String>,
+    updates: Vec<String>,
+    /// Connections are closed without a response.
     down: bool,
-    /// Watches stay open and say nothing.
-    silent: bool,
-    /// Calls are taken and never answered.
-    mute: bool,
-    /// Raised to end all watches.
-    epoch: usize,
+    /// Watches stay open and send nothing.
+    watches_silent: bool,
+    /// Connections are accepted and requests never answered.
+    unresponsive: bool,
+    /// Incremented to end all watches.
+    watch_generation: usize,
+    /// The target of every request received.
     calls: Vec<String>,
-    watches: usize,
+    watches_started: usize,
 }
 
-/// Discovery: the whole list at first, then the news.
+/// Scripted discovery: a watch gets the whole list first, then each update.
 #[derive(Clone)]
 pub struct Registry {
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<RegistryState>>,
 }
 
 impl Registry {
+    /// Starts discovery with this list at version 1.
     pub fn new(hosts: &[Value]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let told = Arc::new(Mutex::new(Told { whole: list_line(1, true, hosts), ..Told::default() }));
-        let registry = Self { address: listener.local_addr().expect("bound"), told };
+        let state = RegistryState { whole_list: list_line(1, true, hosts), ..RegistryState::default() };
+        let address = listener.local_addr().expect("bound");
+        let registry = Self { address, state: Arc::new(Mutex::new(state)) };
         let this = registry.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -260,18 +276,19 @@
         registry
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Told) -> T) -> T {
-        f(&mut self.told.lock().expect("no panic"))
+    fn with_state<T>(&self, f: impl FnOnce(&mut RegistryState) -> T) -> T {
+        f(&mut self.state.lock().expect("no panic"))
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
         let mut out = stream.try_clone().ok()?;
         let request = read_message(&mut BufReader::new(stream), 0)?;
-        let (whole, down, epoch, mut place, mute) = self.with(|t| {
-            t.calls.push(request.path().to_string());
-            (t.whole.clone(), t.down, t.epoch, t.news.len(), t.mute)
+        let (whole_list, down, generation, mut sent, unresponsive) = self.with_state(|state| {
+            state.calls.push(request.path().to_string());
+            let (list, updates) = (state.whole_list.clone(), state.updates.len());
+            (list, state.down, state.watch_generation, updates, state.unresponsive)
         });
-        if mute {
+        if unresponsive {
             std::thread::sleep(WAIT_TIMEOUT);
             return None;
         }
@@ -279,83 +296,87 @@
             return None;
         }
         if !request.path().contains("watch") {
-            return out.write_all(&http_response(200, "", &whole)).ok();
+            return out.write_all(&http_response(200, "", &whole_list)).ok();
         }
         out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-        let mut say = |line: &str| write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1);
-        say(&whole).ok()?;
-        self.with(|t| t.watches += 1);
-        let mut quiet = Instant::now();
+        let mut send_line = |line: &str| write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1);
+        send_line(&whole_list).ok()?;
+        self.with_state(|state| state.watches_started += 1);
+        let mut last_keep_alive = Instant::now();
         loop {
-            if self.with(|t| t.silent) {
+            if self.with_state(|state| state.watches_silent) {
                 std::thread::sleep(Duration::from_millis(5));
                 continue;
             }
-            let (now_epoch, news) = self.with(|t| (t.epoch, t.news[place..].to_vec()));
-            if now_epoch != epoch {
+            let (current, updates) =
+                self.with_state(|state| (state.watch_generation, state.updates[sent..].to_vec()));
+            if current != generation {
                 return None;
             }
-            place += news.len();
-            for line in &news {
-                say(line).ok()?;
+            sent += updates.len();
+            for line in &updates {
+                send_line(line).ok()?;
             }
-            if quiet.elapsed() > Duration::from_millis(500) {
-                say("").ok()?;
-                quiet = Instant::now();
+            if last_keep_alive.elapsed() > Duration::from_millis(500) {
+                send_line("").ok()?;
+                last_keep_alive = Instant::now();
             }
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Tells all watches, and has the list as `hosts` from now on.
+    /// Makes `hosts` the whole list and sends `changes` to all watches, both as version `seq`.
     pub fn publish(&self, seq: u64, hosts: &[Value], changes: &[Value]) {
-        self.with(|t| {
-            t.whole = list_line(seq, true, hosts);
-            t.news.push(list_line(seq, false, changes));
+        self.with_state(|state| {
+            state.whole_list = list_line(seq, true, hosts);
+            state.updates.push(list_line(seq, false, changes));
         });
     }
 
-    /// Says something else to all watches.
-    pub fn send_raw(&self, words: &str) {
-        self.with(|t| t.news.push(words.to_string()));
+    /// Sends any text as a line to all watches.
+    pub fn send_raw(&self, line: &str) {
+        self.with_state(|state| state.updates.push(line.to_string()));
     }
 
-    /// Goes down, or comes back; watches end.
+    /// Takes discovery down or brings it back; either ends all watches.
     pub fn set_down(&self, down: bool) {
-        self.with(|t| {
-            (t.down, t.epoch) = (down, t.epoch + 1);
+        self.with_state(|state| {
+            state.down = down;
+            state.watch_generation += 1;
         });
     }
 
-    /// Takes calls and never answers those, or answers again; watches end.
-    pub fn set_unresponsive(&self, mute: bool) {
-        self.with(|t| {
-            (t.mute, t.epoch) = (mute, t.epoch + 1);
+    /// Leaves every request without a response, or answers again; either ends all watches.
+    pub fn set_unresponsive(&self, unresponsive: bool) {
+        self.with_state(|state| {
+            state.unresponsive = unresponsive;
+            state.watch_generation += 1;
         });
     }
 
-    /// The link goes dead without a word.
+    /// Keeps all watches open without sending anything, as a dead link does.
     pub fn silence_watches(&self) {
-        self.with(|t| t.silent = true);
+        self.with_state(|state| state.watches_silent = true);
     }
 
+    /// The target of every request received.
     pub fn calls(&self) -> Vec<String> {
-        self.with(|t| t.calls.clone())
+        self.with_state(|state| state.calls.clone())
     }
 
-    /// How many watches were ever begun.
+    /// Number of watches started so far, open or not.
     pub fn watches_started(&self) -> usize {
-        self.with(|t| t.watches)
+        self.with_state(|state| state.watches_started)
     }
 }
 
-/// Discovery whose calls the test answers itself, one by one and byte by byte.
+/// Discovery whose requests the test answers itself, one by one and byte by byte.
 pub struct ManualRegistry {
     pub address: SocketAddr,
     calls: Receiver<Call>,
 }
 
-/// A call that came; it stays open until it is dropped.
+/// A received request; its connection stays open until this is dropped.
 pub struct Call {
     pub path: String,
     out: TcpStream,
@@ -368,53 +389,54 @@
 
     pub fn on(listener: TcpListener) -> Self {
         let address = listener.local_addr().expect("bound");
-        let (tell, calls) = channel();
+        let (sender, calls) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let tell = tell.clone();
+                let sender = sender.clone();
                 std::thread::spawn(move || {
                     stream.set_nodelay(true).ok()?;
                     let out = stream.try_clone().ok()?;
                     let path = read_message(&mut BufReader::new(stream), 0)?.path().to_string();
-                    tell.send(Call { path, out }).ok()
+                    sender.send(Call { path, out }).ok()
                 });
             }
         });
         Self { address, calls }
     }
 
-    /// The next call, waited for.
+    /// Waits for the next request.
     pub fn next_call(&self) -> Call {
-        self.next_call_within(WAIT_TIMEOUT).expect("a call")
+        self.next_call_within(WAIT_TIMEOUT).expect("a request to discovery")
     }
 
-    /// The next call, if one comes in time.
-    pub fn next_call_within(&self, span: Duration) -> Option<Call> {
-        self.calls.recv_timeout(span).ok()
+    /// The next request, if one arrives within `timeout`.
+    pub fn next_call_within(&self, timeout: Duration) -> Option<Call> {
+        self.calls.recv_timeout(timeout).ok()
     }
 }
 
 impl Call {
-    /// Begins an answer in chunks.
+    /// Sends the head of a chunked response.
     pub fn send_head(&mut self) {
         assert!(self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
 
-    /// Says some words of it; false where the node has gone.
-    pub fn send_chunk(&mut self, words: &str) -> bool {
-        self.write(format!("{:x}\r\n{words}\r\n", words.len()).as_bytes())
+    /// Sends one chunk; false if the node has closed the connection.
+    pub fn send_chunk(&mut self, text: &str) -> bool {
+        self.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
     }
 
+    /// Writes bytes as they are; false if the node has closed the connection.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         self.out.write_all(bytes).is_ok()
     }
 
-    /// Ends as it should.
+    /// Ends the chunked response in order.
     pub fn finish(mut self) {
         self.write(b"0\r\n\r\n");
     }
 
-    /// Ends in a reset.
+    /// Resets the connection.
     pub fn reset(self) {
         SockRef::from(&self.out).set_linger(Some(Duration::ZERO)).expect("a socket");
     }
@@ -441,7 +463,7 @@
             "Me": 0, "PeersTotal": 1, "Tick": 5.0, "Weights": "nominal", "MyZone": "a", "Zones": ["a"]}})
 }
 
-/// A configuration with a second address.
+/// The same configuration with an admin address and a warm-up of 1 s.
 pub fn config_with_admin(registry: &Registry) -> Value {
     let mut config = config(registry.address);
     config["admin_addr"] = json!("127.0.0.1:0");
@@ -449,40 +471,42 @@
     config
 }
 
-/// A folder of its own for what outlives a process.
+/// An empty directory of this test's own, for files that outlive a node's process.
 pub fn temp_dir(test: &str) -> String {
-    let folder = format!("{}/{test}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+    let dir = format!("{}/{test}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    let _ = std::fs::remove_dir_all(&dir);
+    std::fs::create_dir_all(&dir).expect("a directory");
+    dir
 }
 
+/// A running node's process; killed when dropped.
 pub struct Node {
     child: Child,
-    /// Its configuration file.
-    pub file: String,
+    /// Path of its configuration file.
+    pub config_path: String,
     pub address: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
 }
 
-/// The node's program: this package's own, or for tests of another package the one that the workspace has built.
+/// Path of the node's program: this package's own, or in tests of other packages the one built with the workspace.
 fn program() -> String {
     option_env!("CARGO_BIN_EXE_glenwood").map_or_else(
         || {
             let test = std::env::current_exe().expect("it runs");
-            let beside = test.ancestors().nth(2).expect("it is in a folder of the build's").join("glenwood");
-            assert!(beside.is_file(), "the node is built with the workspace: cargo test --workspace");
-            beside.display().to_string()
+            let built = test.ancestors().nth(2).expect("it is in a directory of the build").join("glenwood");
+            assert!(built.is_file(), "the node is built with the workspace: cargo test --workspace");
+            built.display().to_string()
         },
         str::to_owned,
     )
 }
 
+/// The command that starts a node, with its configuration file; `descriptors` limits the open files.
 fn command(config: &Value, descriptors: Option<usize>) -> (Command, String) {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::SeqCst);
-    let file = format!("{}/config-{}-{count}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-    std::fs::write(&file, config.to_string()).expect("a file");
+    let config_path = format!("{}/config-{}-{count}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    std::fs::write(&config_path, config.to_string()).expect("a file");
     let program = program();
     let mut command = match descriptors {
         None => Command::new(&program),
@@ -495,30 +519,34 @@
     for name in ["NAME", "LISTEN", "DISCOVERY", "ADMIN_ADDR", "INHERITED_FD"] {
         command.env_remove(format!("BALANCER_{name}"));
     }
-    command.env("BALANCER_CONFIG", &file).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-    (command, file)
+    command
+        .env("BALANCER_CONFIG", &config_path)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
+    (command, config_path)
 }
 
-/// Runs a node that should not come up: its exit code and what it says.
+/// Runs a node that is expected not to start; returns its exit code and its standard error.
 pub fn run_to_exit(config: &Value, env: &[(&str, &str)]) -> (Option<i32>, String) {
     let mut child = command(config, None).0.envs(env.iter().copied()).spawn().expect("it runs");
     let start = Instant::now();
     while child.try_wait().expect("a child").is_none() && start.elapsed() < WAIT_TIMEOUT {
         std::thread::sleep(Duration::from_millis(5));
     }
-    // One that came up all the same has no exit code.
+    // A node that started nevertheless is killed and so has no exit code.
     let _ = child.kill();
     let output = child.wait_with_output().expect("it ended");
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 impl Node {
-    /// Starts a node and waits until it listens.
+    /// Starts a node and waits until it listens for clients.
     pub fn start_listening(config: &Value, descriptors: Option<usize>) -> Self {
         Self::spawn(config, descriptors, &[])
     }
 
-    /// Starts a node that inherits a listener, with more in its environment.
+    /// Starts a node that inherits a listener, with further environment variables.
     pub fn start_inheriting(config: &Value, listener: &TcpListener, env: &[(&str, &str)]) -> Self {
         SockRef::from(listener).set_cloexec(false).expect("a socket");
         let fd = listener.as_raw_fd().to_string();
@@ -526,9 +554,9 @@
     }
 
     fn spawn(config: &Value, descriptors: Option<usize>, env: &[(&str, &str)]) -> Self {
-        let (mut command, file) = command(config, descriptors);
+        let (mut command, config_path) = command(config, descriptors);
         command.envs(env.iter().copied());
-        // As in service, where the environment says the same as the file.
+        // As in production, where the environment repeats what the file has.
         let discovery = config["discovery"].as_str().expect("an address");
         let mut child = command.env("BALANCER_DISCOVERY", discovery).spawn().expect("it starts");
         let log = Arc::new(Mutex::new(Vec::new()));
@@ -546,142 +574,151 @@
             address = lines.iter().find_map(find);
             address.is_some()
         });
-        Self { child, file, address: address.expect("found"), log }
+        Self { child, config_path, address: address.expect("found"), log }
     }
 
-    /// Starts a node that inherits a listener and whose standard error is a socket that nobody reads, full already.
+    /// Starts a node that inherits a listener and whose standard error is a socket with a full buffer that nobody
+    /// reads; returns the socket's reading end, too.
     pub fn start_with_full_log(config: &Value, listener: &TcpListener) -> (Self, UnixStream) {
         let (ours, theirs) = UnixStream::pair().expect("two sockets");
         theirs.set_nonblocking(true).expect("a socket");
         while (&theirs).write(&[b'x'; 1024]).is_ok() {}
         theirs.set_nonblocking(false).expect("a socket");
         SockRef::from(listener).set_cloexec(false).expect("a socket");
-        let (mut command, file) = command(config, None);
+        let (mut command, config_path) = command(config, None);
         let child = command
             .env("BALANCER_INHERITED_FD", listener.as_raw_fd().to_string())
             .stderr(OwnedFd::from(theirs))
             .spawn()
             .expect("it starts");
         let address = listener.local_addr().expect("bound");
-        let node = Self { child, file, address, log: Arc::default() };
+        let node = Self { child, config_path, address, log: Arc::default() };
         node.wait_ready();
         (node, ours)
     }
 
-    /// Starts a node and waits until it is ready.
+    /// Starts a node and waits until `/ready` says yes.
     pub fn start_ready(config: &Value) -> Self {
         let node = Self::start_listening(config, None);
         node.wait_ready();
         node
     }
 
+    /// Waits until `/ready` says yes.
     pub fn wait_ready(&self) {
         wait_until("the node is ready", || {
             Client::connect(self).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
         });
     }
 
-    /// Its second address.
+    /// The admin address, found in the log.
     pub fn admin_addr(&self) -> SocketAddr {
         let lines = self.log.lock().expect("no panic");
         let find = |l: &String| l.split_once(" operators' calls at ").and_then(|(_, a)| a.parse().ok());
         lines.iter().find_map(find).expect("logged before the first address")
     }
 
-    /// One call at the second address: the status, and the words of the answer.
+    /// One request to the admin address: the status and the body of the response.
     pub fn admin_call(&self, call: &str) -> (u16, String) {
-        let heard = self.admin_client().exchange(&format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n"));
-        (heard.status(), String::from_utf8(heard.body).expect("text"))
+        let response = self.admin_client().exchange(&format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n"));
+        (response.status(), String::from_utf8(response.body).expect("text"))
     }
 
-    /// A connection to the second address.
+    /// A connection to the admin address.
     pub fn admin_client(&self) -> Client {
         Client::connect_to(self.admin_addr())
     }
 
-    pub fn has_logged(&self, words: &str) -> bool {
-        self.log.lock().expect("no panic").iter().any(|l| l.contains(words))
+    /// Has it logged a line that contains this text?
+    pub fn has_logged(&self, text: &str) -> bool {
+        self.log.lock().expect("no panic").iter().any(|l| l.contains(text))
     }
 
-    /// The last of the lines on its state, which come every half second; empty before the first.
+    /// The last of the state lines, which are logged every half second; empty before the first.
     pub fn last_state_line(&self) -> String {
         let lines = self.log.lock().expect("no panic");
         lines.iter().rfind(|l| l.contains(" clients, ")).cloned().unwrap_or_default()
     }
 
-    /// All that it has logged.
+    /// All lines logged so far.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.lock().expect("no panic").clone()
     }
 
-    /// The epochs that it has judged by, in their order.
+    /// The policy epochs it has applied, in order.
     pub fn policy_epochs(&self) -> Vec<u64> {
         let lines = self.log.lock().expect("no panic");
         let epoch = |l: &String| l.split_once("judges by epoch ")?.1.parse().ok();
         lines.iter().filter_map(epoch).collect()
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration file and says so.
-    pub fn reload(&self, words: &str) {
-        std::fs::write(&self.file, words).expect("a file");
+    /// Replaces the content of the configuration file and sends SIGHUP.
+    pub fn reload(&self, content: &str) {
+        std::fs::write(&self.config_path, content).expect("a file");
         self.signal("-HUP");
     }
 
+    /// Sends a signal, named as an option of `kill`.
     pub fn signal(&self, name: &str) {
         let killed = Command::new("kill").arg(name).arg(self.child.id().to_string()).status();
         assert!(killed.expect("kill runs").success());
     }
 
-    /// How many file descriptors the node holds.
+    /// Number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         descriptors(&self.child).len()
     }
 
-    /// How many of them it has opened itself.
+    /// Number of open file descriptors that it did not inherit from this process.
     pub fn opened_descriptors(&self) -> usize {
-        // Whatever stands open in the process that runs the tests, and is passed on to its children.
+        // Whatever a child of the test process inherits is not counted.
         let mut child = Command::new("sleep").arg("60").stdin(Stdio::null()).spawn().expect("it runs");
-        let passed_on = descriptors(&child);
+        let inherited = descriptors(&child);
         child.kill().and_then(|()| child.wait()).expect("it ran");
-        descriptors(&self.child).iter().filter(|to| !passed_on.contains(to)).count()
+        descriptors(&self.child).iter().filter(|to| !inherited.contains(to)).count()
     }
 
-    /// How many threads the node has.
+    /// Number of threads.
     pub fn threads(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs").count()
     }
 
-    /// How long the node's main thread and this one have been ready to run without a core, so far.
+    /// Total time that the node's main thread and the calling one have been runnable without getting a core.
     pub fn cpu_wait(&self) -> Duration {
-        let of = |path: &str| {
+        let run_queue_wait = |path: &str| {
             let schedule = std::fs::read_to_string(path).expect("the system counts it");
             let waited = schedule.split(' ').nth(1).expect("three numbers");
             Duration::from_nanos(waited.parse().expect("a number"))
         };
-        of(&format!("/proc/{}/schedstat", self.child.id())) + of("/proc/thread-self/schedstat")
+        let node = run_queue_wait(&format!("/proc/{}/schedstat", self.child.id()));
+        node + run_queue_wait("/proc/thread-self/schedstat")
     }
 
-    /// The memory that the node holds, in KiB.
+    /// Peak resident memory, in KiB.
     pub fn peak_memory_kib(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
         let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its peak");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
+    /// Is the process still running?
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_none()
     }
 
+    /// Waits until the process ends; its exit code.
     pub fn wait_exit_code(&mut self) -> Option<i32> {
         wait_until("the node ends", || !self.is_running());
         self.child.wait().expect("it ended").code()
     }
 }
 
+/// What the open file descriptors of a process refer to.
 fn descriptors(process: &Child) -> Vec<std::path::PathBuf> {
     let files = std::fs::read_dir(format!("/proc/{}/fd", process.id())).expect("it runs");
     files.flatten().filter_map(|file| std::fs::read_link(file.path()).ok()).collect()
@@ -694,7 +731,7 @@
     }
 }
 
-/// One of the figures that the node reports.
+/// The value of one metric that the node reports at `/metrics`.
 pub fn metric(node: &Node, name: &str) -> u64 {
     let (status, text) = node.admin_call("GET /metrics");
     assert_eq!(status, 200);
@@ -705,7 +742,7 @@
 
 // ---- Clients ----
 
-/// A request of a class as a client would send it.
+/// A request of class `look`, `pay` or `slip` as a client sends it, with `remaining` milliseconds to its deadline.
 pub fn request(class: &str, txn: &str, remaining: u64) -> String {
     let (method, key) = match class {
         "look" => ("GET", ""),
@@ -718,16 +755,19 @@
     )
 }
 
+/// A client's connection to a node.
 pub struct Client {
     out: TcpStream,
     from: BufReader<TcpStream>,
 }
 
 impl Client {
+    /// Connects to the address for clients.
     pub fn connect(node: &Node) -> Self {
         Self::connect_to(node.address)
     }
 
+    /// Connects to any address.
     pub fn connect_to(address: SocketAddr) -> Self {
         let out = TcpStream::connect(address).expect("the node listens");
         out.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
@@ -735,40 +775,43 @@
         Self { out, from }
     }
 
-    pub fn send(&mut self, words: &str) {
-        self.out.write_all(words.as_bytes()).expect("the node reads");
+    /// Writes text as it is.
+    pub fn send(&mut self, text: &str) {
+        self.out.write_all(text.as_bytes()).expect("the node reads");
     }
 
+    /// Writes bytes as they are.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.out.write_all(bytes).expect("the node reads");
     }
 
-    /// Some bytes of what comes next, at most so many; none where the connection has ended or broken.
-    pub fn read(&mut self, most: usize) -> Vec<u8> {
-        let mut bytes = vec![0; most];
-        let came = self.from.read(&mut bytes).unwrap_or(0);
-        bytes.truncate(came);
+    /// The next bytes, at most `limit`; none if the connection has ended or failed.
+    pub fn read(&mut self, limit: usize) -> Vec<u8> {
+        let mut bytes = vec![0; limit];
+        let length = self.from.read(&mut bytes).unwrap_or(0);
+        bytes.truncate(length);
         bytes
     }
 
-    /// All that comes until the connection ends, and whether it ended in order.
+    /// All bytes until the connection ends, and whether it ended in order, without a reset.
     pub fn read_to_end(&mut self) -> (Vec<u8>, bool) {
         let mut bytes = Vec::new();
-        let ended = self.from.read_to_end(&mut bytes).is_ok();
-        (bytes, ended)
+        let in_order = self.from.read_to_end(&mut bytes).is_ok();
+        (bytes, in_order)
     }
 
-    /// The next answer; `None` where the connection ends first.
+    /// The next response; `None` if the connection ends first.
     pub fn receive(&mut self) -> Option<Message> {
         read_message(&mut self.from, 0)
     }
 
-    pub fn exchange(&mut self, words: &str) -> Message {
-        self.send(words);
-        self.receive().expect("an answer")
+    /// Sends a request and waits for its response.
+    pub fn exchange(&mut self, request: &str) -> Message {
+        self.send(request);
+        self.receive().expect("a response")
     }
 
-    /// Has the node closed or reset the connection? Waits for it.
+    /// Waits for the node to end the connection; was it closed or reset, without sending more?
     pub fn closed_or_reset(&mut self) -> bool {
         let reset = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
         match self.from.read(&mut [0; 64]) {
@@ -777,12 +820,12 @@
         }
     }
 
-    /// Has the node closed the connection? Waits for it.
+    /// Waits for the node to end the connection; was it closed in order, without sending more?
     pub fn closed(&mut self) -> bool {
         matches!(self.from.read(&mut [0; 64]), Ok(0))
     }
 
-    /// Leaves; one that only ends its sending still reads what comes.
+    /// Ends the connection; a client that only half-closes is returned, to read on.
     pub fn disconnect(self, how: Disconnect) -> Option<Self> {
         match how {
             Disconnect::Close => None,
@@ -798,7 +841,7 @@
     }
 }
 
-/// How a client leaves.
+/// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
 pub enum Disconnect {
     Close,
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -257,9 +257,9 @@
         fleet.node.reload(file);
         wait_until(words, || fleet.node.has_logged(&format!("SIGHUP: nothing changed: {words}")));
     }
-    std::fs::remove_file(&fleet.node.file).expect("a file");
+    std::fs::remove_file(&fleet.node.config_path).expect("a file");
     fleet.node.signal("-HUP");
-    let unread = format!("SIGHUP: nothing changed: BALANCER_CONFIG: {}: ", fleet.node.file);
+    let unread = format!("SIGHUP: nothing changed: BALANCER_CONFIG: {}: ", fleet.node.config_path);
     wait_until("the file is missed", || fleet.node.has_logged(&unread));
     watch.send_chunk(&(fleet.without_a(2) + "\n"));
     fleet.until_a_is_left();
