--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Long and slow bodies through the real program.
+//! Long and slow request and response bodies through the node's program.
 
 mod peers;
 
@@ -9,7 +9,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A keyed request with so long a body, without the body.
+/// The head of a keyed request whose body has this framing.
 fn head(txn: &str, remaining: u64, framing: &str) -> String {
     format!(
         "POST /pay/7 HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Remaining-Ms: {remaining}\r\n\
@@ -17,104 +17,108 @@
     )
 }
 
-/// Sends the pieces, so long one after another: one that goes out late makes the next no later.
-fn paced<'a>(client: &mut Client, pieces: impl Iterator<Item = &'a [u8]>, every: Duration) {
-    let began = Instant::now();
+/// Sends one piece per interval; a piece that is sent late does not delay the next.
+fn send_paced<'a>(client: &mut Client, pieces: impl Iterator<Item = &'a [u8]>, interval: Duration) {
+    let started = Instant::now();
     for (piece, n) in pieces.zip(1..) {
-        std::thread::sleep((every * n).saturating_sub(began.elapsed()));
+        std::thread::sleep((interval * n).saturating_sub(started.elapsed()));
         client.send_bytes(piece);
     }
 }
 
-/// However long a request takes to come, its time counts from its last byte.
+/// However long a request takes to arrive, `X-Remaining-Ms` counts from its last byte.
 #[test]
-fn a_request_has_its_time_from_its_last_byte() {
+fn a_requests_remaining_time_counts_from_its_last_byte() {
     let server = TestServer::ok("s0");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::start_ready(&config(registry.address));
     let mut client = Client::connect(&node);
-    let words = request("look", "t1", 900);
-    paced(&mut client, words.as_bytes().chunks(words.len().div_ceil(12)), 100 * MS);
-    assert_eq!(client.receive().expect("an answer").status(), 200);
-    // A body at less than a slow client's pace, longer than a stalled one is waited for.
+    let whole = request("look", "t1", 900);
+    send_paced(&mut client, whole.as_bytes().chunks(whole.len().div_ceil(12)), 100 * MS);
+    assert_eq!(client.receive().expect("a response").status(), 200);
+    // A body slower than the least rate that the node expects, for longer than it waits for a stalled one.
     client.send(&head("t2", 2500, "Content-Length: 61440"));
-    let began = Instant::now();
-    paced(&mut client, [b'x'; 61_440].chunks(2048), 90 * MS);
-    assert!(began.elapsed() > 2500 * MS);
-    assert_eq!(client.receive().expect("an answer").status(), 200);
+    let started = Instant::now();
+    send_paced(&mut client, [b'x'; 61_440].chunks(2048), 90 * MS);
+    assert!(started.elapsed() > 2500 * MS);
+    assert_eq!(client.receive().expect("a response").status(), 200);
     assert_eq!(server.requests()[1].body.len(), 61440);
 }
 
-fn one(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (TestServer, Registry) {
+/// A server with this script, and discovery that lists it alone.
+fn single_server(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (TestServer, Registry) {
     let server = TestServer::new(script);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     (server, registry)
 }
 
-/// So many bytes that differ from place to place.
-fn long(length: usize) -> Vec<u8> {
+/// A body of this length whose bytes vary with their position.
+fn body_of(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n / 7 % 251) as u8).collect()
 }
 
-fn of_length(body: &[u8]) -> Vec<u8> {
+/// A response with a `Content-Length`.
+fn response_with_length(body: &[u8]) -> Vec<u8> {
     [format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes(), body].concat()
 }
 
-/// A head and then chunks, with the last one or without.
-fn chunked(head: &str, body: &[u8], whole: bool) -> Vec<u8> {
+/// A head and a chunked body, with or without the last chunk.
+fn chunked(head: &str, body: &[u8], complete: bool) -> Vec<u8> {
     let mut bytes = head.as_bytes().to_vec();
     for chunk in body.chunks(10_000) {
         bytes.extend([format!("{:x}\r\n", chunk.len()).as_bytes(), chunk, b"\r\n"].concat());
     }
-    bytes.extend_from_slice(if whole { b"0\r\n\r\n" } else { b"" });
+    bytes.extend_from_slice(if complete { b"0\r\n\r\n" } else { b"" });
     bytes
 }
 
 const OK_CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const OK_TO_THE_END: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
+/// Head of a response whose body ends with the connection.
+const OK_UNTIL_CLOSE: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
-/// In every framing, to every kind of client, a long answer comes through unchanged.
+/// Covers every framing, and HTTP/1.1 and HTTP/1.0 clients.
 #[test]
-fn long_answers_pass_unchanged() {
-    let body = long(3_000_000);
+fn long_responses_pass_unchanged() {
+    let body = body_of(3_000_000);
     let sent = body.clone();
-    let (server, registry) = one(move |m| match m.header("x-txn") {
-        Some("length") => Reply::Send(of_length(&sent)),
+    let (server, registry) = single_server(move |m| match m.header("x-txn") {
+        Some("length") => Reply::Send(response_with_length(&sent)),
         Some("chunks") => Reply::Send(chunked(OK_CHUNKED, &sent, true)),
-        _ => Reply::SendAndClose([OK_TO_THE_END.as_bytes(), &sent].concat()),
+        _ => Reply::SendAndClose([OK_UNTIL_CLOSE.as_bytes(), &sent].concat()),
     });
     let node = Node::start_ready(&config(registry.address));
     let mut client = Client::connect(&node);
     for (n, txn) in ["length", "chunks", "end", "length", "chunks"].iter().enumerate() {
-        let heard = client.exchange(&request("look", txn, 15_000));
-        assert_eq!((heard.status(), heard.body == body), (200, true), "{txn}");
-        let known = heard.header("content-length").is_some();
-        assert_eq!(known, *txn == "length", "{n}");
+        let response = client.exchange(&request("look", txn, 15_000));
+        assert_eq!((response.status(), response.body == body), (200, true), "{txn}");
+        let has_length = response.header("content-length").is_some();
+        assert_eq!(has_length, *txn == "length", "{n}");
         std::thread::sleep(REUSE_DELAY);
     }
     assert_eq!(
         server.requests()[4].connection,
         2,
-        "a connection is kept behind a long answer that has ended"
+        "the connection is reused after a long response that has ended"
     );
     for txn in ["length", "chunks", "end"] {
-        let old = request("look", txn, 15_000).replace("HTTP/1.1", "HTTP/1.0");
+        let http_1_0 = request("look", txn, 15_000).replace("HTTP/1.1", "HTTP/1.0");
         let mut client = Client::connect(&node);
-        client.send(&old);
+        client.send(&http_1_0);
         let (bytes, in_order) = client.read_to_end();
         assert!(bytes.starts_with(b"HTTP/1.") && bytes.ends_with(&body) && in_order, "{txn}");
     }
 }
 
-/// The first bytes of a long answer do not wait for the others, nor for its deadline.
+/// The first bytes of a long response wait neither for the others nor for the deadline, and the others may come after
+/// it.
 #[test]
-fn a_long_answer_is_passed_on_as_it_comes() {
-    let body = long(200_000);
+fn a_long_response_is_streamed_past_its_deadline() {
+    let body = body_of(200_000);
     let (first, rest) = (body[..500].to_vec(), body[500..].to_vec());
-    let (_server, registry) = one(move |m| {
+    let (_server, registry) = single_server(move |m| {
         let head = match m.header("x-txn") {
             Some("length") => "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n",
-            _ => OK_TO_THE_END,
+            _ => OK_UNTIL_CLOSE,
         };
         let start = [head.as_bytes(), &first].concat();
         Reply::SendPieces(vec![(Duration::ZERO, start), (2500 * MS, rest.clone())], true)
@@ -122,31 +126,31 @@
     let node = Node::start_ready(&config(registry.address));
     for txn in ["length", "end"] {
         let mut client = Client::connect(&node);
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         client.send(&request("look", txn, 1000));
         let start = client.read(64);
         assert!(
-            start.starts_with(b"HTTP/1.1 200 OK") && asked.elapsed() < 2000 * MS,
+            start.starts_with(b"HTTP/1.1 200 OK") && sent_at.elapsed() < 2000 * MS,
             "{:?}",
-            asked.elapsed()
+            sent_at.elapsed()
         );
-        let mut whole = start;
-        while !whole.windows(8).any(|w| w == &body[199_992..]) {
+        let mut received = start;
+        while !received.windows(8).any(|w| w == &body[199_992..]) {
             let more = client.read(64 * 1024);
-            assert!(!more.is_empty(), "cut off after {} bytes", whole.len());
-            whole.extend(more);
+            assert!(!more.is_empty(), "cut off after {} bytes", received.len());
+            received.extend(more);
         }
-        assert!(asked.elapsed() > 2400 * MS, "past its deadline");
+        assert!(sent_at.elapsed() > 2400 * MS, "it ended past its deadline");
     }
 }
 
-/// What breaks in the middle never looks whole, in any framing; a short one is asked for again.
+/// A response that breaks off in the middle does not look complete in any framing, and is not retried.
 #[test]
-fn a_break_in_the_middle_is_seen_by_the_client() {
-    let body = long(300_000);
+fn a_truncated_response_never_looks_complete() {
+    let body = body_of(300_000);
     let sent = body.clone();
-    let (server, registry) = one(move |m| match m.header("x-txn") {
-        Some("length") => Reply::SendAndClose(of_length(&sent)[..200_000].to_vec()),
+    let (server, registry) = single_server(move |m| match m.header("x-txn") {
+        Some("length") => Reply::SendAndClose(response_with_length(&sent)[..200_000].to_vec()),
         _ => Reply::SendAndClose(chunked(OK_CHUNKED, &sent[..200_000], false)),
     });
     let node = Node::start_ready(&config(registry.address));
@@ -155,27 +159,31 @@
             let mut client = Client::connect(&node);
             client.send(&request("look", txn, 15_000).replace("HTTP/1.1", version));
             let (bytes, in_order) = client.read_to_end();
-            let cut = bytes.len() < body.len();
-            let told = bytes.windows(15).any(|w| w.eq_ignore_ascii_case(b"content-length:"));
-            let chunks = bytes.windows(8).any(|w| w.eq_ignore_ascii_case(b"chunked\r"));
-            assert!(cut && (told || chunks || !in_order), "{txn} {version}: {} bytes", bytes.len());
+            let cut_off = bytes.len() < body.len();
+            let has_length = bytes.windows(15).any(|w| w.eq_ignore_ascii_case(b"content-length:"));
+            let is_chunked = bytes.windows(8).any(|w| w.eq_ignore_ascii_case(b"chunked\r"));
+            assert!(
+                cut_off && (has_length || is_chunked || !in_order),
+                "{txn} {version}: {} bytes",
+                bytes.len()
+            );
             assert!(!bytes.ends_with(b"0\r\n\r\n"));
         }
     }
-    assert_eq!(server.requests().len(), 4, "none was asked for again");
+    assert_eq!(server.requests().len(), 4, "none was retried");
 }
 
-/// A long answer counts once, when it has ended: as served where all of it went out, else as failed. Until then its
-/// request is in progress.
+/// A long response is counted once, when it has ended: as a success if all of it was sent, else as an error. Until then
+/// its request is in progress.
 #[test]
-fn a_long_answer_counts_by_its_end() {
-    let body = long(300_000);
-    let (_server, registry) = one(move |m| match m.header("x-txn") {
-        Some("breaks") => Reply::SendAndClose(of_length(&body)[..200_000].to_vec()),
+fn a_long_response_is_counted_when_it_ends() {
+    let body = body_of(300_000);
+    let (_server, registry) = single_server(move |m| match m.header("x-txn") {
+        Some("breaks") => Reply::SendAndClose(response_with_length(&body)[..200_000].to_vec()),
         Some("waits") => {
-            Reply::SendPieces(vec![(Duration::ZERO, of_length(&body)[..200_000].to_vec())], false)
+            Reply::SendPieces(vec![(Duration::ZERO, response_with_length(&body)[..200_000].to_vec())], false)
         }
-        _ => Reply::Send(of_length(&body)),
+        _ => Reply::Send(response_with_length(&body)),
     });
     let node = Node::start_ready(&config_with_admin(&registry));
     assert_eq!(Client::connect(&node).exchange(&request("look", "whole", 5000)).status(), 200);
@@ -189,16 +197,16 @@
     assert!(client.read(15).starts_with(b"HTTP/1.1 200"));
     assert_eq!((metric(&node, "concurrent"), metric(&node, "dispatches")), (1, 3));
     drop(client);
-    wait_until("it was left", || metric(&node, "concurrent") == 0);
+    wait_until("the request has ended", || metric(&node, "concurrent") == 0);
     assert_eq!(metric(&node, "replies.look.success"), 1);
     assert_eq!(metric(&node, "replies.look.error"), 2);
 }
 
-/// In every framing a long request comes through unchanged, and is sent once.
+/// Covers both framings of a request body.
 #[test]
-fn long_requests_pass_unchanged() {
-    let body = long(1_000_000);
-    let (server, registry) = one(|m| match m.header("x-txn") {
+fn long_requests_pass_unchanged_and_are_sent_once() {
+    let body = body_of(1_000_000);
+    let (server, registry) = single_server(|m| match m.header("x-txn") {
         Some("fails") => Reply::Send(http_response(500, "", "")),
         _ => Reply::Send(http_response(200, "", "got it")),
     });
@@ -211,51 +219,51 @@
             client.send(&head(txn, 5000, "Content-Length: 1000000"));
             client.send_bytes(&body);
         }
-        let heard = client.receive().expect("an answer");
-        assert_eq!(heard.status(), if txn == "fails" { 502 } else { 200 }, "{txn}");
+        let response = client.receive().expect("a response");
+        assert_eq!(response.status(), if txn == "fails" { 502 } else { 200 }, "{txn}");
     }
-    let seen = server.requests();
-    assert!(seen.iter().all(|m| m.body == body));
-    assert_eq!(seen.len(), 3, "one that may have run, and is not kept, is not sent again");
-    // In small pieces, slower than its time, and with a pause in which the server takes nothing.
+    let requests = server.requests();
+    assert!(requests.iter().all(|m| m.body == body));
+    assert_eq!(requests.len(), 3, "one that may have run, and whose body is not held, is not retried");
+    // In small pieces, over more than its remaining time.
     client.send(&head("slow", 2000, "Content-Length: 100000"));
-    paced(&mut client, body[..100_000].chunks(5000), 120 * MS);
-    assert_eq!(client.receive().expect("an answer").status(), 200);
+    send_paced(&mut client, body[..100_000].chunks(5000), 120 * MS);
+    assert_eq!(client.receive().expect("a response").status(), 200);
     assert_eq!(server.requests()[3].body, body[..100_000]);
 }
 
-/// A client that stops in the middle of a long request is told, or let go, and its server is not blamed.
+/// A client that stops in the middle of a long request gets an error or a close, and its server is not ejected.
 #[test]
-fn a_long_request_that_stalls_is_given_up() {
-    let (server, registry) = one(|_| Reply::Send(http_response(200, "", "got it")));
+fn a_long_request_that_stalls_is_given_up_without_blaming_its_server() {
+    let (server, registry) = single_server(|_| Reply::Send(http_response(200, "", "got it")));
     let node = Node::start_ready(&config(registry.address));
-    let mut begun: Vec<Client> = (0..8)
+    let mut stalled: Vec<Client> = (0..8)
         .map(|n| {
             let mut client = Client::connect(&node);
             client.send(&head(&format!("t{n}"), 5000, "Content-Length: 1000000"));
-            client.send_bytes(&long(70_000));
+            client.send_bytes(&body_of(70_000));
             client
         })
         .collect();
-    begun.truncate(4);
-    for mut stalls in begun {
-        let heard = stalls.receive().map(|m| m.status());
-        assert!(matches!(heard, None | Some(400..=599)), "{heard:?}");
+    stalled.truncate(4);
+    for mut client in stalled {
+        let status = client.receive().map(|m| m.status());
+        assert!(matches!(status, None | Some(400..=599)), "{status:?}");
     }
-    assert!(server.requests().is_empty(), "none came whole");
+    assert!(server.requests().is_empty(), "no request arrived whole");
     assert_eq!(
         Client::connect(&node).exchange(&request("look", "t3", 5000)).status(),
         200,
-        "it was not ejected"
+        "the server was not ejected"
     );
     assert!(!node.has_logged("1 ejected"));
 }
 
-/// Answers and requests of more bytes than memory holds, to and from peers that do not read.
+/// The responses together are far larger than the limit, and their clients read nothing.
 #[test]
-fn memory_is_bounded_by_the_limit() {
-    let sent = of_length(&long(8 << 20));
-    let (_server, registry) = one(move |_| Reply::Send(sent.clone()));
+fn memory_stays_within_the_limit_with_clients_that_do_not_read() {
+    let response = response_with_length(&body_of(8 << 20));
+    let (_server, registry) = single_server(move |_| Reply::Send(response.clone()));
     let mut config = config_with_admin(&registry);
     config["limits"]["memory_mb"] = json!(32);
     config["limits"]["sockets"] = json!(1024);
@@ -268,19 +276,19 @@
             client
         })
         .collect();
-    wait_until("as many answers as there is room for have begun", || metric(&node, "dispatches") >= 100);
+    wait_until("responses have begun, as many as there is room for", || metric(&node, "dispatches") >= 100);
     std::thread::sleep(1000 * MS);
     assert!(node.peak_memory_kib() < 32 << 10, "{} KiB", node.peak_memory_kib());
-    // Once those that read nothing have left, others are served.
+    // Once the clients that read nothing have disconnected, others are served.
     drop(clients);
-    let heard = Client::connect(&node).exchange(&request("look", "last", 100_000));
-    assert_eq!((heard.status(), heard.body.len()), (200, 8 << 20));
+    let response = Client::connect(&node).exchange(&request("look", "last", 100_000));
+    assert_eq!((response.status(), response.body.len()), (200, 8 << 20));
 }
 
-/// Where a request's end can be read in two ways it is refused, and nothing of it reaches a server.
+/// A request whose end can be read in two ways is rejected, against request smuggling; nothing of it reaches a server.
 #[test]
-fn ambiguous_framing_is_refused() {
-    let (server, registry) = one(|_| Reply::Send(http_response(200, "", "got it")));
+fn requests_with_ambiguous_framing_are_rejected() {
+    let (server, registry) = single_server(|_| Reply::Send(http_response(200, "", "got it")));
     let node = Node::start_ready(&config(registry.address));
     let smuggled = "0\r\n\r\nGET /look/1 HTTP/1.1\r\nX-Txn: s\r\nX-Remaining-Ms: 900\r\nHost: x\r\n\r\n";
     for framing in [
@@ -300,7 +308,7 @@
         let mut client = Client::connect(&node);
         client.send(&(head("t1", 5000, framing) + smuggled));
         assert_eq!(client.receive().map(|m| m.status()), Some(400), "{framing}");
-        assert!(client.closed_or_reset(), "{framing}: nothing more is read from there");
+        assert!(client.closed_or_reset(), "{framing}: nothing more is read from that connection");
     }
     assert!(server.requests().is_empty());
     let mut client = Client::connect(&node);
