--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Clients that leave: nothing more is begun for them, and what was out is released.
+//! Clients that close, reset or half-close their connection: no attempt begins or continues for them, and the node
+//! releases what it held.
 
 mod peers;
 
@@ -10,28 +11,30 @@
 use peers::*;
 use serde_json::{json, Value};
 
-const WAYS: [Disconnect; 3] = [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose];
-/// Far off, so that nothing ends by it here.
-const DEADLINE: u64 = 100_000;
-/// How many attempts a server gets at a time at first.
-const AT_A_TIME: usize = 8;
+const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose];
+/// So long that no request ends by it in these tests.
+const DEADLINE_MS: u64 = 100_000;
+/// How many concurrent attempts the node initially allows a server.
+const INITIAL_CONCURRENCY: usize = 8;
 
-fn patient(discovery: SocketAddr) -> Value {
+/// A configuration in which neither connects nor requests time out.
+fn config_without_timeouts(discovery: SocketAddr) -> Value {
     let mut config = config(discovery);
-    config["settings"]["Limits"]["ConnectTimeout"] = json!(DEADLINE as f64);
+    config["settings"]["Limits"]["ConnectTimeout"] = json!(DEADLINE_MS as f64);
     for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
-        class["Slo"] = json!(DEADLINE as f64);
+        class["Slo"] = json!(DEADLINE_MS as f64);
     }
     config
 }
 
-/// A server that never answers `f`, and turns `w` away once it is let; anything else is served.
-fn server(turned_away: &Arc<AtomicBool>) -> TestServer {
-    let let_go = turned_away.clone();
+/// A server that never answers requests whose id begins with `f`, turns request `w` away once `released` is set, and
+/// serves the others.
+fn server(released: &Arc<AtomicBool>) -> TestServer {
+    let released = released.clone();
     TestServer::new(move |m| match m.header("x-txn").unwrap_or_default().as_bytes() {
         [b'f', ..] => Reply::Silence,
         b"w" => {
-            while !let_go.load(Ordering::SeqCst) {
+            while !released.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(1));
             }
             Reply::Send(http_response(503, "X-Turned-Away: 1\r\n", ""))
@@ -40,127 +43,130 @@
     })
 }
 
-fn ask(node: &Node, txn: &str) -> Client {
+/// Sends an unsafe request on a new connection.
+fn send_unsafe(node: &Node, txn: &str) -> Client {
     let mut client = Client::connect(node);
-    client.send(&request("slip", txn, DEADLINE));
+    client.send(&request("slip", txn, DEADLINE_MS));
     client
 }
 
-/// Has all attempts taken that the server may have, by clients that keep waiting.
+/// Uses up the concurrency limit of the server with requests that are never answered; `from` attempts are out already.
 fn fill(node: &Node, server: &TestServer, from: usize) -> Vec<Client> {
-    let crowd = (from..AT_A_TIME).map(|n| ask(node, &format!("f{n}"))).collect();
-    wait_until("all attempts are out", || server.requests().len() == AT_A_TIME);
-    crowd
+    let clients = (from..INITIAL_CONCURRENCY).map(|n| send_unsafe(node, &format!("f{n}"))).collect();
+    wait_until("all attempts are sent", || server.requests().len() == INITIAL_CONCURRENCY);
+    clients
 }
 
-/// The client leaves, and the node soon knows: `txn` is what it waited for.
-fn leaves(node: &Node, client: Client, way: Disconnect, txn: &str) {
-    let left = Instant::now();
-    let rest = client.disconnect(way);
-    wait_until("the node knows", || node.has_logged(&format!("{txn}: left by its client")));
-    assert!(left.elapsed() < Duration::from_secs(5) + node.cpu_wait(), "{:?}", left.elapsed());
-    if let Some(mut rest) = rest {
-        assert_eq!(rest.read_to_end().0, b"", "{txn} {way:?}: there is no answer for who has gone");
+/// Disconnects a client that waits for request `txn`, and waits until the node has noticed.
+fn disconnect(node: &Node, client: Client, how: Disconnect, txn: &str) {
+    let started = Instant::now();
+    let half_closed = client.disconnect(how);
+    wait_until("the node has noticed", || node.has_logged(&format!("{txn}: left by its client")));
+    assert!(started.elapsed() < Duration::from_secs(5) + node.cpu_wait(), "{:?}", started.elapsed());
+    if let Some(mut client) = half_closed {
+        assert_eq!(client.read_to_end().0, b"", "{txn} {how:?}: a client that has left gets no response");
     }
 }
 
-/// How often the server has seen `w` and its like.
-fn seen(server: &TestServer) -> usize {
+/// How many attempts the server got at requests whose id begins with `w`.
+fn attempts(server: &TestServer) -> usize {
     server.requests().iter().filter(|m| m.header("x-txn").is_some_and(|t| t.starts_with('w'))).count()
 }
 
-/// Others are served, and of `w` and its like the server has seen no more than that.
-fn assert_seen(node: &Node, server: &TestServer, what: &str, most: usize) {
+/// Asserts that other clients are served, that the server got at most `limit` attempts at requests whose id begins with
+/// `w`, and that the node holds no request any more.
+fn assert_released(node: &Node, server: &TestServer, case: &str, limit: usize) {
     for n in 0..4 {
-        let heard = ask(node, &format!("after{n}")).receive().expect("an answer");
-        assert_eq!(heard.status(), 200, "{what}");
+        let response = send_unsafe(node, &format!("after{n}")).receive().expect("a response");
+        assert_eq!(response.status(), 200, "{case}");
     }
-    assert!(seen(server) <= most, "{what}: sent on for a client that had gone");
-    wait_until("all is released", || node.last_state_line().contains(" 0 requests"));
+    assert!(attempts(server) <= limit, "{case}: sent for a client that had left");
+    wait_until("all requests are released", || node.last_state_line().contains(" 0 requests"));
 }
 
-/// A request whose body has come by half.
+/// A request with half of its body.
 fn half_sent(txn: &str, length: usize) -> String {
-    let head = request("slip", txn, DEADLINE);
+    let head = request("slip", txn, DEADLINE_MS);
     head.replace("Content-Length: 4\r\n\r\nwork", &format!("Content-Length: {length}\r\n\r\n"))
         + &"x".repeat(length / 2)
 }
 
-/// No attempt, first or further, is begun for a client that has closed, reset or half-closed its connection while its
-/// request waited for a server, and none that was out goes on; of a half-sent request, no server has all.
+/// Once a client has closed, reset or half-closed its connection, no attempt at its request begins, first or further,
+/// and one that is out is cancelled. No server gets the whole of a request that was sent by half.
 #[test]
-fn nothing_is_begun_for_a_client_that_has_left() {
-    type Act = fn(&Node, &TestServer, &AtomicBool, Disconnect) -> usize;
-    let cases: [(&str, Act); 5] = [
-        ("while it waits", |node, server, _, way| {
-            let crowd = fill(node, server, 0);
-            let client = ask(node, "w");
-            wait_until("it waits", || node.last_state_line().contains(" 1 held"));
-            leaves(node, client, way, "w");
-            drop(crowd);
+fn no_attempt_begins_or_continues_for_a_client_that_has_left() {
+    // Plays the case; returns how many attempts at its request the server may have got.
+    type Case = fn(&Node, &TestServer, &AtomicBool, Disconnect) -> usize;
+    let cases: [(&str, Case); 5] = [
+        ("while it waits", |node, server, _, how| {
+            let others = fill(node, server, 0);
+            let client = send_unsafe(node, "w");
+            wait_until("the request waits for a server", || node.last_state_line().contains(" 1 held"));
+            disconnect(node, client, how, "w");
+            drop(others);
             0
         }),
-        ("while it waits, with a long body half sent", |node, server, _, way| {
-            let crowd = fill(node, server, 0);
+        ("while it waits, with a long body half sent", |node, server, _, how| {
+            let others = fill(node, server, 0);
             let mut client = Client::connect(node);
             client.send(&half_sent("w", 200_000));
-            wait_until("it waits", || node.last_state_line().contains(" 1 held"));
-            leaves(node, client, way, "w");
-            drop(crowd);
+            wait_until("the request waits for a server", || node.last_state_line().contains(" 1 held"));
+            disconnect(node, client, how, "w");
+            drop(others);
             0
         }),
-        ("between two attempts", |node, server, let_go, way| {
-            let client = ask(node, "w");
-            wait_until("it is out", || server.requests().len() == 1);
-            let crowd = fill(node, server, 1);
-            let next = ask(node, "f8");
-            wait_until("that one waits", || node.last_state_line().contains(" 1 held"));
-            let_go.store(true, Ordering::SeqCst);
-            wait_until("both wait", || node.last_state_line().contains(" 2 held"));
-            let most = seen(server);
-            leaves(node, client, way, "w");
-            drop((crowd, next));
-            most
+        ("between two attempts", |node, server, released, how| {
+            let client = send_unsafe(node, "w");
+            wait_until("its first attempt is sent", || server.requests().len() == 1);
+            let others = fill(node, server, 1);
+            let next = send_unsafe(node, "f8");
+            wait_until("the next request waits", || node.last_state_line().contains(" 1 held"));
+            released.store(true, Ordering::SeqCst);
+            wait_until("both requests wait", || node.last_state_line().contains(" 2 held"));
+            let limit = attempts(server);
+            disconnect(node, client, how, "w");
+            drop((others, next));
+            limit
         }),
-        ("with a long body half sent on", |node, server, _, way| {
+        ("with a long body half sent on", |node, server, _, how| {
             let mut client = Client::connect(node);
             let before = server.open_connections();
             client.send(&half_sent("w", 200_000));
-            wait_until("its attempt is out", || server.open_connections() > before);
-            leaves(node, client, way, "w");
-            wait_until("the attempt is given up", || server.open_connections() == before);
+            wait_until("its attempt has begun", || server.open_connections() > before);
+            disconnect(node, client, how, "w");
+            wait_until("the attempt is cancelled", || server.open_connections() == before);
             0
         }),
-        ("with a short body half sent", |node, _, _, way| {
+        ("with a short body half sent", |node, _, _, how| {
             let mut client = Client::connect(node);
             client.send(&half_sent("w", 10));
-            if let Some(mut rest) = client.disconnect(way) {
-                assert!(!rest.read_to_end().0.starts_with(b"HTTP/1.1 2"));
+            if let Some(mut client) = client.disconnect(how) {
+                assert!(!client.read_to_end().0.starts_with(b"HTTP/1.1 2"));
             }
             0
         }),
     ];
-    std::thread::scope(|tests| {
-        for way in WAYS {
-            tests.spawn(move || {
-                for (case, act) in cases {
-                    let let_go = Arc::new(AtomicBool::new(false));
-                    let server = server(&let_go);
+    std::thread::scope(|scope| {
+        for how in DISCONNECTS {
+            scope.spawn(move || {
+                for (name, play) in cases {
+                    let released = Arc::new(AtomicBool::new(false));
+                    let server = server(&released);
                     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-                    let node = Node::start_ready(&patient(registry.address));
-                    let most = act(&node, &server, &let_go, way);
-                    assert_seen(&node, &server, &format!("{way:?} {case}"), most);
+                    let node = Node::start_ready(&config_without_timeouts(registry.address));
+                    let limit = play(&node, &server, &released, how);
+                    assert_released(&node, &server, &format!("{how:?} {name}"), limit);
                 }
             });
         }
     });
 }
 
-/// Whoever leaves while its attempt is still being connected has that end: nothing is written once it comes up.
+/// If the client leaves while its attempt is still connecting, nothing is written once the connection is established.
 #[test]
-fn a_connection_that_comes_up_late_is_not_used_for_who_has_left() {
-    for way in WAYS {
-        // A listener whose backlog is full lets nobody in until it accepts.
+fn a_connection_established_after_its_client_left_carries_no_request() {
+    for how in DISCONNECTS {
+        // A listener with a full backlog completes no further connection until it accepts one.
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -170,34 +176,34 @@
         let connect = |_| std::net::TcpStream::connect_timeout(&at, Duration::from_millis(300)).ok();
         let fillers: Vec<_> = (0..3).filter_map(connect).collect();
         let registry = Registry::new(&[host("s0", at, "active", 1)]);
-        let node = Node::start_ready(&patient(registry.address));
-        wait_until("the node is at rest", || node.last_state_line().starts_with("0 clients, 0 requests"));
+        let node = Node::start_ready(&config_without_timeouts(registry.address));
+        wait_until("the node is idle", || node.last_state_line().starts_with("0 clients, 0 requests"));
         let before = node.descriptors();
-        let client = ask(&node, "w");
-        wait_until("its attempt is being connected", || node.descriptors() == before + 2);
-        leaves(&node, client, way, "w");
-        wait_until("what was out is released", || node.descriptors() == before);
+        let client = send_unsafe(&node, "w");
+        wait_until("its attempt is connecting", || node.descriptors() == before + 2);
+        disconnect(&node, client, how, "w");
+        wait_until("the attempt is released", || node.descriptors() == before);
         drop(fillers);
         let server = TestServer::on(full, |_| Reply::Send(http_response(200, "", "served")));
-        assert_seen(&node, &server, &format!("{way:?}"), 0);
+        assert_released(&node, &server, &format!("{how:?}"), 0);
     }
 }
 
-/// Commands sent behind one that is being served hide the end behind them from whoever only reads on: none of them is
-/// sent on for a client that has gone.
+/// Pipelined requests hide the end of the connection from a node that looks for it only by reading the next bytes. None
+/// of them is sent for a client that has left.
 #[test]
-fn many_commands_at_once_are_not_sent_on_for_who_has_left() {
-    // All of them in the node's hands, and most of them unread in the kernel's.
-    for (commands, way) in [3, 300].into_iter().flat_map(|n| WAYS.map(|way| (n, way))) {
+fn pipelined_requests_of_a_client_that_has_left_are_not_sent() {
+    // With 3 requests the node has read all of them, with 300 most are unread in the kernel's buffer.
+    for (count, how) in [3, 300].into_iter().flat_map(|n| DISCONNECTS.map(|how| (n, how))) {
         let server = server(&Arc::default());
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
-        let node = Node::start_ready(&patient(registry.address));
+        let node = Node::start_ready(&config_without_timeouts(registry.address));
         let mut client = Client::connect(&node);
-        let words: String = (1..commands).map(|n| request("slip", &format!("w{n}"), DEADLINE)).collect();
-        client.send(&(request("slip", "f", DEADLINE) + &words));
-        wait_until("the first is out", || server.requests().len() == 1);
-        leaves(&node, client, way, "f");
-        wait_until("its attempt is given up", || server.open_connections() == 0);
-        assert_seen(&node, &server, &format!("{commands} commands, {way:?}"), 0);
+        let pipelined: String = (1..count).map(|n| request("slip", &format!("w{n}"), DEADLINE_MS)).collect();
+        client.send(&(request("slip", "f", DEADLINE_MS) + &pipelined));
+        wait_until("the first request is sent", || server.requests().len() == 1);
+        disconnect(&node, client, how, "f");
+        wait_until("its attempt is cancelled", || server.open_connections() == 0);
+        assert_released(&node, &server, &format!("{count} requests, {how:?}"), 0);
     }
 }
