--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! What the settings name (classes, tenants, limits) holds for whatever they name, and is kept apart; settings that
-//! can't be used end the start.
+//! Classes, tenants and limits of the settings: any name is accepted, each has a share and a retry budget of its own,
+//! and unusable settings end the start.
 
 mod peers;
 
@@ -10,7 +10,7 @@
 use peers::*;
 use serde_json::{json, Value};
 
-/// A configuration with a second address, whose classes are all safe to repeat.
+/// A configuration with an admin address and classes of these names, all safe to repeat.
 fn with_classes(registry: &Registry, names: &[&str]) -> Value {
     let mut config = config_with_admin(registry);
     let class = config["settings"]["Classes"][0].clone();
@@ -23,18 +23,20 @@
     config
 }
 
-/// A request for that path, with more headers.
+/// A request for this path, with further headers.
 fn get(path: &str, txn: &str, headers: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: x\r\nX-Txn: {txn}\r\nX-Remaining-Ms: 60000\r\n{headers}\r\n")
 }
 
+/// Number of requests of a class that were served.
 fn served(node: &Node, class: &str) -> u64 {
     metric(node, &format!("replies.{class}.success"))
 }
 
-/// A name with a space or a letter beyond ASCII was answered 404: what a path can't hold comes percent-encoded.
+/// Requests of a class with a space or a letter beyond ASCII in its name used to get a 404, as clients percent-encode
+/// such names.
 #[test]
-fn a_class_has_whatever_name_the_settings_give_it() {
+fn class_names_are_matched_percent_decoded() {
     let server = TestServer::ok("served");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let names = ["tide table", "señal", "look", "lookout", "50%/2", "50", "5%30", "a.b+c", "ready"];
@@ -50,21 +52,21 @@
         ("lookout", "/lookout/7"),
         ("50%/2", "/50%25%2F2/7"),
         ("a.b+c", "/a.b+c"),
-        // As it is, before what it would be decoded.
+        // The name as written takes precedence over the decoded one.
         ("5%30", "/5%30/7"),
-        // The node's own path, but for requests, which bring an id.
+        // The path of the node's own readiness check, which has no `X-Txn`.
         ("ready", "/ready"),
         ("ready", "/ready/7"),
     ];
     let mut client = Client::connect(&node);
     for (n, (class, path)) in paths.iter().enumerate() {
         let before = served(&node, class);
-        let heard = client.exchange(&get(path, &format!("t{n}"), ""));
-        assert_eq!((heard.status(), heard.body), (200, b"served".to_vec()), "{path}");
+        let response = client.exchange(&get(path, &format!("t{n}"), ""));
+        assert_eq!((response.status(), response.body), (200, b"served".to_vec()), "{path}");
         assert_eq!(served(&node, class), before + 1, "{path}");
     }
     let seen: Vec<String> = server.requests().iter().map(|m| m.path().to_string()).collect();
-    assert_eq!(seen, paths.map(|(_, path)| path.to_string()), "they pass on unchanged");
+    assert_eq!(seen, paths.map(|(_, path)| path.to_string()), "paths are passed on unchanged");
     for path in
         ["/tide+table", "/tide%2520table", "/loo", "/lookou", "/look%00", "/%FF", "/se%F1al", "/", "/Look"]
     {
@@ -74,83 +76,86 @@
     assert_eq!(server.requests().len(), paths.len());
 }
 
-/// What a tenant sends beyond its share goes after all else. One whose name has letters beyond ASCII had no share.
+/// Requests beyond a tenant's share are sent after all others. A tenant with letters beyond ASCII in its name used to
+/// have no share.
 #[test]
-fn a_tenant_that_used_up_its_share_costs_no_other_its_own() {
+fn requests_beyond_a_tenants_share_are_sent_after_those_within_one() {
     let permits = Arc::new(AtomicUsize::new(0));
-    let given = permits.clone();
-    // Errors of a class that is unsafe to repeat free their places and teach the node nothing of its server's pace.
+    let issued = permits.clone();
+    // An error in a class that is unsafe to repeat ends the attempt and tells nothing about the server's speed.
     let server = TestServer::new(move |_| {
         let take = |n: usize| n.checked_sub(1);
-        wait_until("a permit", || given.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take).is_ok());
+        wait_until("a permit is issued", || {
+            issued.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take).is_ok()
+        });
         Reply::Send(http_response(500, "", ""))
     });
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config_with_admin(&registry);
     let settings = &mut config["settings"];
     (settings["Classes"][2]["Slo"], settings["Classes"][2]["Deadline"]) = (json!(600_000), json!(600_000));
-    // One request each, and then none for a quarter of an hour.
+    // One request is within each tenant's share, and none more for a quarter of an hour.
     settings["Customers"] =
         ["école", "east", "east side"].iter().map(|t| json!({"Name": t, "QuotaPerS": 0.001})).collect();
     (settings["OverShareWorth"], settings["Ejection"]) = (json!(0.1), json!({"Failures": 100}));
     let node = Node::start_ready(&config);
-    let ask = |txn: &str, tenant: &str| {
+    let send_request = |txn: &str, tenant: &str| {
         let (mut client, before) = (Client::connect(&node), metric(&node, "concurrent"));
         let org = format!("Host: x\r\nX-Org: {tenant}");
         client.send(&request("slip", txn, 600_000).replace("Host: service.internal", &org));
-        wait_until("it has come", || metric(&node, "concurrent") == before + 1);
+        wait_until("the request is accepted", || metric(&node, "concurrent") == before + 1);
         client
     };
-    // Who belongs to no tenant fills the server, up to the limit that the node gives it at first.
-    let full: Vec<Client> = (0..8).map(|n| ask(&format!("full{n}"), "nobody")).collect();
-    wait_until("the server is full", || server.requests().len() == full.len());
+    // Requests of no tenant fill the server up to its initial concurrency limit.
+    let fillers: Vec<Client> = (0..8).map(|n| send_request(&format!("full{n}"), "nobody")).collect();
+    wait_until("the server is full", || server.requests().len() == fillers.len());
     let held = [("east1", "east"), ("a1", "école"), ("a2", "école"), ("a3", "école"), ("side1", "east side")];
-    let held = held.map(|(txn, tenant)| ask(txn, tenant));
+    let held = held.map(|(txn, tenant)| send_request(txn, tenant));
     for sent in 1..=held.len() {
         permits.fetch_add(1, Ordering::SeqCst);
-        wait_until("the place is taken", || server.requests().len() == full.len() + sent);
+        wait_until("a held request is sent", || server.requests().len() == fillers.len() + sent);
     }
-    // Of those worth as much, the newest goes first.
+    // Among requests of equal worth the newest is sent first.
     let order: Vec<_> = server
         .requests()
         .iter()
-        .skip(full.len())
+        .skip(fillers.len())
         .filter_map(|m| Some(m.header("x-txn")?.to_string()))
         .collect();
     assert_eq!(order, ["side1", "a1", "east1", "a3", "a2"]);
 }
 
-/// SIGHUP moves discovery and nothing else: classes, limits and names are those of the start.
+/// After SIGHUP classes, limits and names are still those of the start.
 #[test]
-fn a_new_file_moves_discovery_alone() {
+fn sighup_changes_the_discovery_address_and_nothing_else() {
     let (a, b) = (TestServer::ok("a"), TestServer::ok("b"));
     let old = Registry::new(&[host("s0", a.address, "active", 1)]);
     let new = Registry::new(&[host("s1", b.address, "active", 1)]);
     let node = Node::start_ready(&with_classes(&old, &["look", "two words"]));
     let mut client = Client::connect(&node);
-    let mut ask = |path: &str| client.exchange(&get(path, "t", ""));
-    assert_eq!(ask("/look").body, b"a");
-    let mut other = with_classes(&new, &["pay", "look"]);
-    other["name"] = json!("other");
-    other["settings"]["Classes"][1]["Idempotency"] = json!("side_effect");
-    other["settings"]["Limits"]["OpenCap"] = json!(0);
-    node.reload(&other.to_string());
-    wait_until("discovery is there", || ask("/two%20words").body == b"b");
-    assert_eq!((ask("/look").status(), ask("/pay").status()), (200, 404));
+    let mut send_request = |path: &str| client.exchange(&get(path, "t", ""));
+    assert_eq!(send_request("/look").body, b"a");
+    let mut changed = with_classes(&new, &["pay", "look"]);
+    changed["name"] = json!("other");
+    changed["settings"]["Classes"][1]["Idempotency"] = json!("side_effect");
+    changed["settings"]["Limits"]["OpenCap"] = json!(0);
+    node.reload(&changed.to_string());
+    wait_until("discovery has moved", || send_request("/two%20words").body == b"b");
+    assert_eq!((send_request("/look").status(), send_request("/pay").status()), (200, 404));
     assert!(served(&node, "two words") >= 1 && served(&node, "look") == 2);
     assert!(!node.admin_call("GET /metrics").1.contains("replies.pay"));
 }
 
-/// Each field of the settings that can't be used ends the start: one line that names it as the file does, and what to do.
+/// The program ends with one line that names the field as the file does and says what to do.
 #[test]
-fn settings_that_can_not_be_used_are_named_as_in_the_file() {
-    // A configuration that is taken nevertheless ends the start too, by the address, and not this test's patience.
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut good = config("127.0.0.1:1".parse().expect("an address"));
-    good["listen"] = json!(taken.local_addr().expect("bound").to_string());
-    good["settings"]["Customers"] =
+fn unusable_settings_end_the_start_and_are_named_as_in_the_file() {
+    // The address is in use, so that a configuration that is accepted in error ends the start, too, without a timeout.
+    let in_use = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let mut valid = config("127.0.0.1:1".parse().expect("an address"));
+    valid["listen"] = json!(in_use.local_addr().expect("bound").to_string());
+    valid["settings"]["Customers"] =
         json!([{"Name": "east", "QuotaPerS": 0}, {"Name": "west", "QuotaPerS": 5.5}]);
-    good["settings"]["Goal"] = json!({});
+    valid["settings"]["Goal"] = json!({});
     let number = || json!(["NaN", "1", true, [1], {}, -1, -1e300]);
     let (positive, share) = (json!([0, -0.0, 1e300]), json!([1.01, 1e300]));
     let (whole, text) = (json!([0, 0.5, "0"]), json!(["", 7, true, "all "]));
@@ -194,46 +199,46 @@
         ("ServerBans", "", vec![json!(["s1", {}])]),
     ];
     let run_with = |settings: Value| {
-        let mut config = good.clone();
+        let mut config = valid.clone();
         config["settings"] = settings;
         run_to_exit(&config, &[])
     };
-    let (code, words) = run_with(good["settings"].clone());
-    assert!(code == Some(1) && words.contains("listen: "), "good settings: {words}");
-    let mut walked = 0;
-    for (part, rest, spoilt) in cases {
+    let (code, errors) = run_with(valid["settings"].clone());
+    assert!(code == Some(1) && errors.contains("listen: "), "valid settings: {errors}");
+    let mut checked = 0;
+    for (part, rest, bad_values) in cases {
         let mut field = String::new();
         for step in [part].into_iter().chain(rest.split('/')).filter(|step| !step.is_empty()) {
             let index = step.parse::<usize>().is_ok();
             let dot = if index || field.is_empty() { "" } else { "." };
             field += &if index { format!("[{step}]") } else { format!("{dot}{step}") };
         }
-        for bad in spoilt.iter().filter_map(Value::as_array).flatten() {
-            let mut settings = good["settings"].clone();
-            let mut at = &mut settings;
+        for bad in bad_values.iter().filter_map(Value::as_array).flatten() {
+            let mut settings = valid["settings"].clone();
+            let mut value = &mut settings;
             for step in [part].into_iter().chain(rest.split('/')).filter(|step| !step.is_empty()) {
-                at = match step.parse::<usize>() {
-                    Ok(index) => &mut at[index],
-                    Err(_) => &mut at[step],
+                value = match step.parse::<usize>() {
+                    Ok(index) => &mut value[index],
+                    Err(_) => &mut value[step],
                 };
             }
-            *at = bad.clone();
-            let (code, words) = run_with(settings);
-            let named = words.starts_with(&format!("glenwood: settings: {field}"));
+            *value = bad.clone();
+            let (code, errors) = run_with(settings);
+            let named = errors.starts_with(&format!("glenwood: settings: {field}"));
             assert!(
-                code == Some(1) && named && words.contains("; mend it under"),
-                "{field} {bad}: {code:?} {words}"
+                code == Some(1) && named && errors.contains("; mend it under"),
+                "{field} {bad}: {code:?} {errors}"
             );
-            assert_eq!(words.trim().lines().count(), 1, "{words}");
-            walked += 1;
+            assert_eq!(errors.trim().lines().count(), 1, "{errors}");
+            checked += 1;
         }
     }
-    assert!(walked > 100, "{walked}");
+    assert!(checked > 100, "{checked}");
 }
 
-/// A class that has used up its retry budget leaves another's alone.
+/// A class that has used up its retry budget leaves the budget of another as it is.
 #[test]
-fn a_class_out_of_its_retry_budget_costs_no_other_its_own() {
+fn retry_budgets_are_separate_for_each_class() {
     let server = || TestServer::new(|_| Reply::Send(http_response(500, "", "")));
     let servers = [server(), server()];
     let registry = Registry::new(&[0, 1].map(|n| host(&format!("s{n}"), servers[n].address, "active", 1)));
