--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of the real program at servers, and all that can cross them on the way.
+//! Attempts of the node's program at servers: late connections, broken responses and keep-alive connections.
 
 mod peers;
 
@@ -14,8 +14,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A node of one server at whose failures it neither spares further attempts nor ejects.
-fn patient(server: SocketAddr) -> (Registry, Value) {
+/// A configuration with one server whose failures neither use up the retry budget nor eject it.
+fn tolerant_config(server: SocketAddr) -> (Registry, Value) {
     let registry = Registry::new(&[host("s0", server, "active", 1)]);
     let mut config = config_with_admin(&registry);
     config["settings"]["Retry"] = json!({"BudgetShare": 1.0, "BudgetMax": 1000.0});
@@ -23,17 +23,17 @@
     (registry, config)
 }
 
-/// How many attempts at that request came whole.
+/// How many attempts at this request the server received whole.
 fn attempts(server: &TestServer, txn: &str) -> usize {
     server.requests().iter().filter(|m| m.header("x-txn") == Some(txn)).count()
 }
 
-/// A server that does `first` with the first attempt at each request, and serves further ones.
-fn spoiling(first: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> TestServer {
-    let tried = Mutex::new(BTreeSet::new());
+/// A server that treats the first attempt at each request as `first` says and answers further ones with 200.
+fn failing_first_attempts(first: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> TestServer {
+    let attempted = Mutex::new(BTreeSet::new());
     TestServer::new(move |m| {
         let txn = m.header("x-txn").unwrap_or_default().to_string();
-        if m.path() != "/health" && tried.lock().expect("no panic").insert(txn) {
+        if m.path() != "/health" && attempted.lock().expect("no panic").insert(txn) {
             first(m)
         } else {
             Reply::Send(http_response(200, "", "served"))
@@ -41,16 +41,16 @@
     })
 }
 
-// ---- Connections that come up late ----
+// ---- Connections that are established late ----
 
-/// A listener that lets nobody in until it is opened: its backlog is full.
-struct Shut {
+/// A listener with a full backlog, which completes no further connection until it is opened.
+struct FullListener {
     listener: TcpListener,
     fillers: Vec<TcpStream>,
     address: SocketAddr,
 }
 
-impl Shut {
+impl FullListener {
     fn new() -> Self {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -65,16 +65,17 @@
         Self { listener, fillers, address }
     }
 
+    /// Accepts connections from now on, as a server with this script.
     fn open(self, script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> TestServer {
         drop(self.fillers);
         TestServer::on(self.listener, script)
     }
 }
 
-/// How many connections to that address are in a state, by the kernel's number for it.
-fn connections(to: SocketAddr, state: &str) -> usize {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the system tells");
-    let port = format!(":{:04X}", to.port());
+/// How many connections to this address are in a state, given as the hexadecimal code of `/proc/net/tcp`.
+fn connections(address: SocketAddr, state: &str) -> usize {
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table");
+    let port = format!(":{:04X}", address.port());
     let fields = |line: &str| line.split_whitespace().map(str::to_owned).collect::<Vec<_>>();
     table.lines().map(fields).filter(|f| f[2].ends_with(&port) && f[3] == state).count()
 }
@@ -82,50 +83,54 @@
 const SYN_SENT: &str = "02";
 const ESTABLISHED: &str = "01";
 
-/// A node, its client, and an unsafe request whose attempt waits for a connection.
-fn connecting(shut: &Shut, remaining: u64, set: impl Fn(&mut Value)) -> (Registry, Node, Client, Instant) {
-    let (registry, mut config) = patient(shut.address);
+/// Starts a node and sends it an unsafe request whose attempt waits for its connection.
+fn start_connecting(
+    listener: &FullListener,
+    remaining: u64,
+    adjust: impl Fn(&mut Value),
+) -> (Registry, Node, Client, Instant) {
+    let (registry, mut config) = tolerant_config(listener.address);
     config["settings"]["Limits"]["ConnectTimeout"] = json!(50_000.0);
     config["settings"]["Classes"][2]["Slo"] = json!(60_000.0);
-    set(&mut config);
+    adjust(&mut config);
     let node = Node::start_ready(&config);
     let mut client = Client::connect(&node);
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     client.send(&request("slip", "t1", remaining));
-    wait_until("the attempt connects", || connections(shut.address, SYN_SENT) == 1);
-    (registry, node, client, sent)
+    wait_until("the attempt is connecting", || connections(listener.address, SYN_SENT) == 1);
+    (registry, node, client, sent_at)
 }
 
-/// A server is told what is left when its connection is there, not what was left when the attempt began.
+/// `X-Remaining-Ms` says what is left when the connection is established, not when the attempt began.
 #[test]
-fn a_late_connection_tells_what_is_left_by_then() {
-    let shut = Shut::new();
-    let (_registry, _node, mut client, sent) = connecting(&shut, 20_000, |_| ());
-    std::thread::sleep((300 * MS).saturating_sub(sent.elapsed()));
-    let late = sent.elapsed();
-    let server = shut.open(|_| Reply::Send(http_response(200, "", "late")));
-    assert_eq!(client.receive().expect("an answer").body, b"late");
-    let told: u64 =
+fn remaining_time_is_sent_as_of_when_the_connection_is_established() {
+    let listener = FullListener::new();
+    let (_registry, _node, mut client, sent_at) = start_connecting(&listener, 20_000, |_| ());
+    std::thread::sleep((300 * MS).saturating_sub(sent_at.elapsed()));
+    let delay = sent_at.elapsed();
+    let server = listener.open(|_| Reply::Send(http_response(200, "", "late")));
+    assert_eq!(client.receive().expect("a response").body, b"late");
+    let remaining: u64 =
         server.requests()[0].header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time");
-    assert!(Duration::from_millis(told) + late <= 20_000 * MS, "{told} ms told {late:?} later");
+    assert!(Duration::from_millis(remaining) + delay <= 20_000 * MS, "{remaining} ms sent after {delay:?}");
 }
 
-/// The client of an attempt that still connects leaves: the connection is called off or, where attempts may not be,
-/// brings the server nothing.
+/// If the client leaves while its attempt is connecting, the connect is cancelled or, where attempts may not be
+/// cancelled, the connection brings the server nothing.
 #[test]
-fn a_late_connection_serves_nobody_who_has_left() {
+fn a_late_connection_carries_no_request_of_a_client_that_has_left() {
     for cancel in [true, false] {
-        let shut = Shut::new();
-        let address = shut.address;
-        let set = |config: &mut Value| config["settings"]["Limits"]["Cancel"] = json!(cancel);
-        let (_registry, node, client, _) = connecting(&shut, 20_000, set);
+        let listener = FullListener::new();
+        let address = listener.address;
+        let adjust = |config: &mut Value| config["settings"]["Limits"]["Cancel"] = json!(cancel);
+        let (_registry, node, client, _) = start_connecting(&listener, 20_000, adjust);
         drop(client);
         wait_until("the client has left", || metric(&node, "concurrent") == 0);
         if cancel {
-            wait_until("the attempt is called off", || connections(address, SYN_SENT) == 0);
+            wait_until("the attempt is cancelled", || connections(address, SYN_SENT) == 0);
         }
-        let server = shut.open(|_| Reply::Send(http_response(200, "", "late")));
-        wait_until("nothing is left of the attempt", || {
+        let server = listener.open(|_| Reply::Send(http_response(200, "", "late")));
+        wait_until("the attempt has ended", || {
             let open = connections(address, SYN_SENT) + connections(address, ESTABLISHED);
             open == 0 || !server.requests().is_empty()
         });
@@ -133,11 +138,11 @@
     }
 }
 
-/// A connection that never comes up has cost the request nothing but time.
+/// A request whose connection was never established never ran, so even an unsafe one is sent elsewhere.
 #[test]
-fn a_connection_that_never_comes_up_leaves_the_request_to_another_server() {
-    let (shut, good) = (Shut::new(), TestServer::ok("good"));
-    let hosts = [host("s0", shut.address, "active", 1), host("s1", good.address, "active", 2)];
+fn a_request_whose_connect_times_out_goes_to_another_server() {
+    let (listener, good) = (FullListener::new(), TestServer::ok("good"));
+    let hosts = [host("s0", listener.address, "active", 1), host("s1", good.address, "active", 2)];
     let registry = Registry::new(&hosts);
     let mut config = config(registry.address);
     config["settings"]["Limits"]["ConnectTimeout"] = json!(300.0);
@@ -149,23 +154,23 @@
     assert_eq!(good.requests().len(), 3);
 }
 
-// ---- Answers that break ----
+// ---- Broken responses ----
 
-/// What is not surely whole is passed on to nobody as an answer, and repeated only where that does no harm: an unsafe
-/// request is sent once.
+/// A response that is not certainly complete is not passed on; its request is retried only where a repeat does no harm,
+/// so an unsafe one is sent once.
 #[test]
-fn spoilt_answers_are_passed_on_to_nobody() {
-    type Spoil = fn() -> Reply;
-    let cases: [(&str, Spoil); 19] = [
+fn broken_responses_are_not_passed_on_and_retried_only_where_harmless() {
+    type Break = fn() -> Reply;
+    let cases: [(&str, Break); 19] = [
         ("before the head", || Reply::reset(b"")),
         ("in the head", || Reply::reset(b"HTTP/1.1 200 OK\r\nConte")),
-        ("behind interim answers", || Reply::reset(&b"HTTP/1.1 103 Early Hints\r\n\r\n".repeat(50))),
+        ("after interim responses", || Reply::reset(&b"HTTP/1.1 103 Early Hints\r\n\r\n".repeat(50))),
         ("no length", || Reply::reset(b"HTTP/1.1 200 OK\r\n\r\npart")),
-        ("no length, to close", || Reply::reset(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")),
+        ("no length, until close", || Reply::reset(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")),
         ("no length, empty", || Reply::reset(b"HTTP/1.1 200 OK\r\n\r\n")),
         ("length", || Reply::reset(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\npart")),
         ("chunks", || Reply::reset(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")),
-        ("old", || Reply::reset(b"HTTP/1.0 200 OK\r\n\r\npart")),
+        ("HTTP/1.0", || Reply::reset(b"HTTP/1.0 200 OK\r\n\r\npart")),
         ("a length too long", || {
             Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nserved".to_vec())
         }),
@@ -189,38 +194,38 @@
         ("304 and more", || Reply::Send(http_response(304, "", "served"))),
         ("101", || Reply::Send(b"HTTP/1.1 101 Over\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n".to_vec())),
     ];
-    let spoils: Vec<Spoil> = cases.iter().map(|(_, spoil)| *spoil).collect();
-    let server = spoiling(move |m| {
+    let replies: Vec<Break> = cases.iter().map(|(_, reply)| *reply).collect();
+    let server = failing_first_attempts(move |m| {
         let txn = m.header("x-txn").unwrap_or_default();
-        spoils[txn.split('-').next().and_then(|n| n.parse::<usize>().ok()).expect("its case")]()
+        replies[txn.split('-').next().and_then(|n| n.parse::<usize>().ok()).expect("its case")]()
     });
-    let (_registry, config) = patient(server.address);
+    let (_registry, config) = tolerant_config(server.address);
     let node = Node::start_ready(&config);
     for (n, (case, _)) in cases.iter().enumerate() {
-        for (class, heard, sent) in [("look", 200, 2), ("pay", 200, 2), ("slip", 502, 1)] {
+        for (class, status, sent) in [("look", 200, 2), ("pay", 200, 2), ("slip", 502, 1)] {
             let txn = format!("{n}-{class}");
-            let answer = Client::connect(&node).exchange(&request(class, &txn, 15_000));
-            assert_eq!((answer.status(), attempts(&server, &txn)), (heard, sent), "{case}, {class}");
-            assert!(heard != 200 || answer.body == b"served", "{case}, {class}");
+            let response = Client::connect(&node).exchange(&request(class, &txn, 15_000));
+            assert_eq!((response.status(), attempts(&server, &txn)), (status, sent), "{case}, {class}");
+            assert!(status != 200 || response.body == b"served", "{case}, {class}");
         }
     }
     assert_eq!(metric(&node, "targets_disabled"), 0);
 }
 
-/// Interim answers, however many, are none; the one behind them counts.
+/// Any number of interim responses may come before the response.
 #[test]
-fn interim_answers_are_no_answer() {
+fn interim_responses_are_skipped() {
     let many = [b"HTTP/1.1 100 Continue\r\n\r\n".repeat(20_000), http_response(200, "", "served")].concat();
     let server = TestServer::new(move |_| Reply::Send(many.clone()));
-    let (_registry, config) = patient(server.address);
+    let (_registry, config) = tolerant_config(server.address);
     let node = Node::start_ready(&config);
-    let heard = Client::connect(&node).exchange(&request("slip", "t1", 15_000));
-    assert_eq!((heard.status(), heard.body, server.requests().len()), (200, b"served".to_vec(), 1));
+    let response = Client::connect(&node).exchange(&request("slip", "t1", 15_000));
+    assert_eq!((response.status(), response.body, server.requests().len()), (200, b"served".to_vec(), 1));
 }
 
-/// An answer that was begun, held as long as it may be, and reset long after its head: its client can tell.
+/// The server sends a head and part of the body, and resets the connection once the client has some of it.
 #[test]
-fn a_reset_long_after_the_head_is_no_end() {
+fn a_response_reset_long_after_its_head_never_looks_complete() {
     let heads = [
         ("length", "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\npart"),
         ("chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n"),
@@ -228,17 +233,17 @@
     ];
     for (framing, head) in heads {
         for version in ["HTTP/1.1", "HTTP/1.0"] {
-            let go = Arc::new(AtomicBool::new(false));
-            let begun = go.clone();
+            let received = Arc::new(AtomicBool::new(false));
+            let may_reset = received.clone();
             let server = TestServer::new(move |_| {
-                let begun = begun.clone();
+                let may_reset = may_reset.clone();
                 Reply::Custom(Box::new(move |out| {
                     let _ = out.write_all(head.as_bytes());
-                    wait_until("its client has some of it", || begun.load(Ordering::SeqCst));
+                    wait_until("the client has some of it", || may_reset.load(Ordering::SeqCst));
                     socket2::SockRef::from(&*out).set_linger(Some(Duration::ZERO)).expect("a socket");
                 }))
             });
-            let (_registry, config) = patient(server.address);
+            let (_registry, config) = tolerant_config(server.address);
             let node = Node::start_ready(&config);
             let mut client = Client::connect(&node);
             client.send(&request("slip", "t1", 4000).replace("HTTP/1.1", version));
@@ -248,126 +253,128 @@
                 assert!(!more.is_empty(), "{framing}, {version}: {}", String::from_utf8_lossy(&bytes));
                 bytes.extend(more);
             }
-            go.store(true, Ordering::SeqCst);
+            received.store(true, Ordering::SeqCst);
             let (rest, in_order) = client.read_to_end();
-            let whole = [bytes, rest].concat();
-            let words = String::from_utf8_lossy(&whole).to_ascii_lowercase();
-            assert!(words.starts_with("http/1.1 200") || words.starts_with("http/1.0 200"), "{words}");
-            // Cut off where a length or chunks were said, and reset where not even the close tells.
-            let framed = words.contains("content-length: 100000") || words.contains("chunked");
-            assert!(framed || !in_order, "{framing}, {version}: {words}");
-            assert!(!whole.ends_with(b"0\r\n\r\n"), "{framing}, {version}: {words}");
+            let bytes = [bytes, rest].concat();
+            let text = String::from_utf8_lossy(&bytes).to_ascii_lowercase();
+            assert!(text.starts_with("http/1.1 200") || text.starts_with("http/1.0 200"), "{text}");
+            // Cut off if the head has a length or chunks, and reset if a close would be the end of the body.
+            let framed = text.contains("content-length: 100000") || text.contains("chunked");
+            assert!(framed || !in_order, "{framing}, {version}: {text}");
+            assert!(!bytes.ends_with(b"0\r\n\r\n"), "{framing}, {version}: {text}");
             assert_eq!(server.requests().len(), 1);
         }
     }
 }
 
-/// What turns a request away, or tells of an error, says so in its head, whatever becomes of its body.
+/// A response that turns a request away or reports an error says so in its head; its body may never be complete.
 #[test]
-fn an_answer_that_is_none_is_not_waited_for() {
+fn an_error_response_is_handled_without_waiting_for_its_body() {
     let cases = [
-        ("503 away length", 503, "X-Turned-Away: 1\r\nContent-Length: 10\r\n"),
-        ("503 away long", 503, "X-Turned-Away: 1\r\nContent-Length: 100000\r\n"),
-        ("504 away none", 504, "X-Turned-Away: 1\r\n"),
-        ("500 length", 500, "Content-Length: 10\r\n"),
+        ("503 turned away, short", 503, "X-Turned-Away: 1\r\nContent-Length: 10\r\n"),
+        ("503 turned away, long", 503, "X-Turned-Away: 1\r\nContent-Length: 100000\r\n"),
+        ("504 turned away, no length", 504, "X-Turned-Away: 1\r\n"),
+        ("500, short", 500, "Content-Length: 10\r\n"),
     ];
-    let server = spoiling(move |m| {
+    let server = failing_first_attempts(move |m| {
         let case = m.header("x-txn").and_then(|txn| txn.split('-').next()?.parse::<usize>().ok());
         let (_, status, headers) = cases[case.expect("its case")];
-        let begun = format!("HTTP/1.1 {status} X\r\n{headers}\r\npart");
-        Reply::SendPieces(vec![(Duration::ZERO, begun.into_bytes())], false)
+        let beginning = format!("HTTP/1.1 {status} X\r\n{headers}\r\npart");
+        Reply::SendPieces(vec![(Duration::ZERO, beginning.into_bytes())], false)
     });
-    let (_registry, config) = patient(server.address);
+    let (_registry, config) = tolerant_config(server.address);
     let node = Node::start_ready(&config);
     for (n, (case, status, _)) in cases.iter().enumerate() {
         for class in ["look", "pay", "slip"] {
             let txn = format!("{n}-{class}");
-            let heard = Client::connect(&node).exchange(&request(class, &txn, 3000)).status();
-            let ran = *status == 500 && class == "slip";
-            let right = if ran { (502, 1) } else { (200, 2) };
-            assert_eq!((heard, attempts(&server, &txn)), right, "{case}, {class}");
+            let received = Client::connect(&node).exchange(&request(class, &txn, 3000)).status();
+            let may_have_run = *status == 500 && class == "slip";
+            let expected = if may_have_run { (502, 1) } else { (200, 2) };
+            assert_eq!((received, attempts(&server, &txn)), expected, "{case}, {class}");
         }
     }
 }
 
-// ---- Connections that are kept ----
+// ---- Keep-alive connections ----
 
-/// The server closes a kept connection when it has just read a request: it may have run.
+/// The server closes or resets a keep-alive connection right after it has read a request.
 #[test]
-fn a_kept_connection_closed_under_a_request_counts_as_a_run() {
+fn a_request_on_a_connection_that_its_server_closes_may_have_run() {
     for reset in [false, true] {
-        let tried = Mutex::new(BTreeSet::new());
+        let attempted = Mutex::new(BTreeSet::new());
         let server = TestServer::new(move |m| {
             let txn = m.header("x-txn").unwrap_or_default().to_string();
-            match (txn.starts_with("keep"), tried.lock().expect("no panic").insert(txn)) {
+            match (txn.starts_with("keep"), attempted.lock().expect("no panic").insert(txn)) {
                 (false, true) if reset => Reply::reset(b""),
                 (false, true) => Reply::SendAndClose(Vec::new()),
                 _ => Reply::Send(http_response(200, "", "served")),
             }
         });
-        let (_registry, config) = patient(server.address);
+        let (_registry, config) = tolerant_config(server.address);
         let node = Node::start_ready(&config);
         let mut client = Client::connect(&node);
-        for (class, heard, sent) in [("look", 200, 2), ("pay", 200, 2), ("slip", 502, 1)] {
+        for (class, status, sent) in [("look", 200, 2), ("pay", 200, 2), ("slip", 502, 1)] {
             assert_eq!(client.exchange(&request(class, &format!("keep-{class}"), 15_000)).status(), 200);
             std::thread::sleep(REUSE_DELAY);
-            assert_eq!(client.exchange(&request(class, class, 15_000)).status(), heard, "{class}");
+            assert_eq!(client.exchange(&request(class, class, 15_000)).status(), status, "{class}");
             assert_eq!(attempts(&server, class), sent, "{class}");
-            let seen = server.requests();
-            let on = |txn: &str| seen.iter().find(|m| m.header("x-txn") == Some(txn)).map(|m| m.connection);
-            assert_eq!(on(class), on(&format!("keep-{class}")), "{class}: on the kept one");
+            let requests = server.requests();
+            let connection_of =
+                |txn: &str| requests.iter().find(|m| m.header("x-txn") == Some(txn)).map(|m| m.connection);
+            let reused = connection_of(&format!("keep-{class}"));
+            assert_eq!(connection_of(class), reused, "{class}: on the reused connection");
             std::thread::sleep(REUSE_DELAY);
         }
     }
 }
 
-/// A second answer that comes when the next request is already out is not taken for the answer to that.
+/// A server sends a second response to a request when the next request is already out.
 #[test]
-fn a_late_second_answer_does_not_answer_the_next_request() {
-    let next = Arc::new(Mutex::new(BTreeSet::new()));
-    let come = next.clone();
+fn a_late_second_response_does_not_answer_the_next_request() {
+    let arrived = Arc::new(Mutex::new(BTreeSet::new()));
     let server = TestServer::new(move |m| {
         let txn = m.header("x-txn").unwrap_or("?").to_string();
-        come.lock().expect("no panic").insert(txn.clone());
+        arrived.lock().expect("no panic").insert(txn.clone());
         let Some(n) = txn.strip_prefix("first") else { return Reply::Send(http_response(200, "", &txn)) };
-        let (come, then) = (come.clone(), format!("next{n}"));
-        let mine = http_response(200, "", &txn);
+        let (arrived, next) = (arrived.clone(), format!("next{n}"));
+        let response = http_response(200, "", &txn);
         Reply::Custom(Box::new(move |out| {
-            let _ = out.write_all(&mine);
-            // Also where the next request comes on this very connection, and nobody reads it.
+            let _ = out.write_all(&response);
+            // The next request may also come on this connection, where it is not read.
             let mut byte = [0; 1];
             out.set_nonblocking(true).expect("a socket");
-            wait_until("the next request", || {
-                come.lock().expect("no panic").contains(&then) || matches!(out.peek(&mut byte), Ok(1))
+            wait_until("the next request has arrived", || {
+                arrived.lock().expect("no panic").contains(&next) || matches!(out.peek(&mut byte), Ok(1))
             });
             out.set_nonblocking(false).expect("a socket");
-            let _ = out.write_all(&mine);
+            let _ = out.write_all(&response);
             let _ = out.read(&mut [0; 1000]);
         }))
     });
-    let (_registry, config) = patient(server.address);
+    let (_registry, config) = tolerant_config(server.address);
     let node = Node::start_ready(&config);
     let mut client = Client::connect(&node);
     let mut rounds = 0;
     while rounds < 5 {
-        let withheld = node.cpu_wait();
-        let (first, then) = (format!("first{rounds}"), format!("next{rounds}"));
+        let cpu_wait = node.cpu_wait();
+        let (first, next) = (format!("first{rounds}"), format!("next{rounds}"));
         assert_eq!(client.exchange(&request("slip", &first, 15_000)).body, first.as_bytes());
-        let heard = client.exchange(&request("slip", &then, 15_000));
-        // A connection that has rested for as long as the machine gave no core would be used again.
-        if node.cpu_wait() - withheld < 5 * MS {
-            assert_eq!((heard.status(), heard.body), (200, then.into_bytes()));
+        let response = client.exchange(&request("slip", &next, 15_000));
+        // A round in which the node or this thread waited for a core is not counted: the connection may have been idle
+        // for long enough to be reused.
+        if node.cpu_wait() - cpu_wait < 5 * MS {
+            assert_eq!((response.status(), response.body), (200, next.into_bytes()));
             rounds += 1;
         }
         std::thread::sleep(REUSE_DELAY);
     }
 }
 
-/// A server begins once it has all of a request: an answer before that is to another one, or says that it was not
-/// taken.
+/// A server begins to work once it has all of a request: an earlier response belongs to another request, or says that
+/// this one was not accepted.
 #[test]
-fn an_answer_before_the_end_of_its_request_serves_nobody() {
-    for (words, heard) in [
+fn a_response_before_the_end_of_its_request_is_not_passed_on() {
+    for (response, status) in [
         (http_response(200, "", "another's"), 503),
         (http_response(503, "X-Turned-Away: 1\r\n", ""), 503),
         (http_response(500, "", ""), 502),
@@ -378,35 +385,35 @@
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.expect("a connection");
-                let mut came = Vec::new();
-                while !came.windows(4).any(|w| w == b"\r\n\r\n") {
-                    let mut some = [0; 1000];
-                    let n = stream.read(&mut some).expect("the node writes");
-                    came.extend_from_slice(&some[..n]);
+                let mut received = Vec::new();
+                while !received.windows(4).any(|w| w == b"\r\n\r\n") {
+                    let mut buffer = [0; 1000];
+                    let n = stream.read(&mut buffer).expect("the node writes");
+                    received.extend_from_slice(&buffer[..n]);
                 }
-                stream.write_all(&words).expect("the node reads");
+                stream.write_all(&response).expect("the node reads");
                 let _ = std::io::copy(&mut stream, &mut std::io::sink());
             }
         });
-        let (_registry, config) = patient(address);
+        let (_registry, config) = tolerant_config(address);
         let node = Node::start_ready(&config);
         let mut client = Client::connect(&node);
         client.send(
             "POST /slip/7 HTTP/1.1\r\nHost: x\r\nX-Txn: t1\r\nX-Remaining-Ms: 5000\r\nContent-Length: 200000\r\n\r\n",
         );
         client.send_bytes(&[b'x'; 100_000]);
-        assert_eq!(client.receive().map(|m| m.status()), Some(heard));
+        assert_eq!(client.receive().map(|m| m.status()), Some(status));
     }
 }
 
-/// Long answers for which there is no room here are held against no server, and not asked for again.
+/// Long responses for which the node has no memory left fail without a retry, and eject no server.
 #[test]
-fn want_of_room_is_held_against_no_server() {
+fn lack_of_memory_ejects_no_server_and_causes_no_retry() {
     let servers = [(); 2].map(|()| {
         TestServer::new(|_| {
-            let begun =
+            let beginning =
                 [&b"HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n"[..], &[b'x'; 100_000]].concat();
-            Reply::SendPieces(vec![(Duration::ZERO, begun)], false)
+            Reply::SendPieces(vec![(Duration::ZERO, beginning)], false)
         })
     });
     let hosts = [0, 1].map(|n| host(&format!("s{n}"), servers[n].address, "active", 1));
@@ -427,29 +434,29 @@
     let statuses: Vec<Vec<u8>> = clients.iter_mut().map(|client| client.read(12)).collect();
     let failed = statuses.iter().filter(|s| s.ends_with(b"502")).count();
     assert!(failed >= 10, "{failed}");
-    let seen: usize = servers.iter().map(|s| s.requests().len()).sum();
-    assert_eq!((seen, metric(&node, "targets_disabled")), (100, 0));
+    let sent: usize = servers.iter().map(|s| s.requests().len()).sum();
+    assert_eq!((sent, metric(&node, "targets_disabled")), (100, 0));
 }
 
-/// A request that came right behind another has waited since then: its server is told what is left by now, and nothing
-/// is begun for which nothing is.
+/// A pipelined request has waited since it arrived: its server is told what is left after that, and a request with no
+/// time left is not begun.
 #[test]
-fn the_time_of_what_came_behind_another_request_has_run_meanwhile() {
-    const FIRST: Duration = Duration::from_millis(600);
+fn the_remaining_time_of_a_pipelined_request_runs_while_it_waits() {
+    const FIRST_TAKES: Duration = Duration::from_millis(600);
     let server = TestServer::new(|m| {
         let first = m.header("x-txn") == Some("first");
-        Reply::SendAfter(if first { FIRST } else { Duration::ZERO }, http_response(200, "", "served"))
+        Reply::SendAfter(if first { FIRST_TAKES } else { Duration::ZERO }, http_response(200, "", "served"))
     });
-    let (_registry, config) = patient(server.address);
+    let (_registry, config) = tolerant_config(server.address);
     let node = Node::start_ready(&config);
     let mut client = Client::connect(&node);
     client.send(
         &[("first", 15_000), ("second", 5000), ("third", 400)].map(|(t, n)| request("slip", t, n)).concat(),
     );
-    assert_eq!([(); 2].map(|()| client.receive().expect("an answer").status()), [200, 200]);
-    assert!(client.receive().expect("an answer").status() > 500);
-    let seen = server.requests();
-    assert_eq!(seen.len(), 2);
-    let told: u64 = seen[1].header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time");
-    assert!(Duration::from_millis(told) + FIRST <= 5000 * MS, "{told} ms");
+    assert_eq!([(); 2].map(|()| client.receive().expect("a response").status()), [200, 200]);
+    assert!(client.receive().expect("a response").status() > 500);
+    let requests = server.requests();
+    assert_eq!(requests.len(), 2);
+    let remaining: u64 = requests[1].header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time");
+    assert!(Duration::from_millis(remaining) + FIRST_TAKES <= 5000 * MS, "{remaining} ms");
 }
