--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -246,7 +246,7 @@
     class: usize,
     deadline: f64,
     /// Answered, or left by its client.
-    over: bool,
+    finished: bool,
     /// Server, its cell, start and outcome of each attempt.
     attempts: Vec<(ServerId, u64, f64, Option<Outcome>)>,
 }
@@ -296,20 +296,24 @@
                 self.verdicts.retain(|_, _| !self.votes_off);
             }
             Event::Request { id, class, deadline, .. } => {
-                let request =
-                    RequestState { class: *class, deadline: *deadline, over: false, attempts: Vec::new() };
+                let request = RequestState {
+                    class: *class,
+                    deadline: *deadline,
+                    finished: false,
+                    attempts: Vec::new(),
+                };
                 self.requests.insert(*id, request);
                 self.requested_at.push(now);
             }
             Event::Ended { id, attempt, outcome, finished, .. } => {
                 if let Some(request) = self.requests.get_mut(id) {
                     request.attempts[*attempt].3 = Some(*outcome);
-                    request.over |= *finished;
+                    request.finished |= *finished;
                 }
             }
             Event::ClientGone(id) => {
                 if let Some(request) = self.requests.get_mut(id) {
-                    request.over = true;
+                    request.finished = true;
                 }
             }
             _ => {}
@@ -358,7 +362,7 @@
                     return breach(format!("{id:?} is unknown"));
                 };
                 let Some((entry, gone)) = self.servers.get(server) else { return breach("no server".into()) };
-                if request.over {
+                if request.finished {
                     breach(format!("rule 1: {id:?} sent after its end"));
                 }
                 if gone.is_some_and(|at| now > at + DRAIN_GRACE_MS) {
@@ -412,13 +416,13 @@
         id: RequestId,
         breaches: &mut Vec<String>,
     ) {
-        if request.over {
+        if request.finished {
             breaches.push(format!("rule 1: {id:?} answered twice"));
         }
         if now > request.deadline + 2.0 * settings.tick {
             breaches.push(format!("rule 1: {id:?} answered late"));
         }
-        request.over = true;
+        request.finished = true;
     }
 
     /// Rule 4: checks the sends to a cold server against this node's part of its budget. The measure of a warm server
@@ -442,7 +446,7 @@
     /// Checks that every request was answered; to be called once all deadlines have passed.
     pub fn finish(&mut self) {
         for (id, request) in &self.requests {
-            if !request.over {
+            if !request.finished {
                 self.breaches.push(format!("rule 1: {id:?} has no answer"));
             }
         }
--- a/tests/group/mod.rs
+++ b/tests/group/mod.rs
@@ -73,13 +73,13 @@
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
-        let mut out = stream.try_clone().ok()?;
-        let mut from = BufReader::new(stream);
+        let mut writer = stream.try_clone().ok()?;
+        let mut reader = BufReader::new(stream);
         let start = Instant::now();
         loop {
-            let request = read_message(&mut from, 0)?;
+            let request = read_message(&mut reader, 0)?;
             if request.path().starts_with("/v1/watch") {
-                return self.watch(out);
+                return self.watch(writer);
             }
             let heartbeat: Beat = serde_json::from_slice(&request.body).expect("a heartbeat");
             let response = self.with_state(|state| {
@@ -106,15 +106,15 @@
             });
             match response {
                 Some((status, body)) => {
-                    out.write_all(&http_response(status, "", &body.expect("plain data"))).ok()?
+                    writer.write_all(&http_response(status, "", &body.expect("plain data"))).ok()?
                 }
                 None => std::thread::sleep(WAIT_TIMEOUT),
             }
         }
     }
 
-    fn watch(&self, mut out: TcpStream) -> Option<()> {
-        out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
+    fn watch(&self, mut writer: TcpStream) -> Option<()> {
+        writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
         let mut last_sent = 0;
         loop {
             let agreed = self.with_state(|state| {
@@ -124,7 +124,7 @@
                 last_sent = agreed.version;
                 let news = News { version: last_sent, agreed: Some(agreed), verdicts: None };
                 let line = serde_json::to_string(&news).expect("plain data");
-                write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1).ok()?;
+                write!(writer, "{:x}\r\n{line}\n\r\n", line.len() + 1).ok()?;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -61,33 +61,33 @@
 }
 
 /// Reads one message; `None` if the connection ends first.
-pub fn read_message(from: &mut BufReader<TcpStream>, connection: usize) -> Option<Message> {
+pub fn read_message(reader: &mut BufReader<TcpStream>, connection: usize) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        if from.read_line(&mut head).ok()? == 0 {
+        if reader.read_line(&mut head).ok()? == 0 {
             return None;
         }
     }
     let mut message = Message { head, body: Vec::new(), connection };
     if message.header("transfer-encoding").is_some() {
-        message.body = read_chunks(from)?;
+        message.body = read_chunks(reader)?;
         return Some(message);
     }
     let length = message.header("content-length").map_or(0, |v| v.parse().expect("a length"));
     message.body = vec![0; length];
-    from.read_exact(&mut message.body).ok()?;
+    reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
 /// Reads a chunked body; `None` if the connection ends before the last chunk.
-fn read_chunks(from: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
+fn read_chunks(reader: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let mut size = String::new();
-        from.read_line(&mut size).ok()?;
+        reader.read_line(&mut size).ok()?;
         let size = usize::from_str_radix(size.trim(), 16).ok()?;
         let mut chunk = vec![0; size + 2];
-        from.read_exact(&mut chunk).ok()?;
+        reader.read_exact(&mut chunk).ok()?;
         if size == 0 {
             return Some(body);
         }
@@ -122,9 +122,9 @@
     /// Writes the bytes and resets the connection.
     pub fn reset(bytes: &[u8]) -> Self {
         let bytes = bytes.to_vec();
-        Self::Custom(Box::new(move |out| {
-            let _ = out.write_all(&bytes);
-            SockRef::from(&*out).set_linger(Some(Duration::ZERO)).expect("a socket");
+        Self::Custom(Box::new(move |writer| {
+            let _ = writer.write_all(&bytes);
+            SockRef::from(&*writer).set_linger(Some(Duration::ZERO)).expect("a socket");
         }))
     }
 }
@@ -191,9 +191,9 @@
     received: &Mutex<Vec<Message>>,
     script: &dyn Fn(&Message) -> Reply,
 ) {
-    let Ok(mut out) = stream.try_clone() else { return };
-    let mut from = BufReader::new(stream);
-    while let Some(message) = read_message(&mut from, connection) {
+    let Ok(mut writer) = stream.try_clone() else { return };
+    let mut reader = BufReader::new(stream);
+    while let Some(message) = read_message(&mut reader, connection) {
         received.lock().expect("no panic").push(message.clone());
         let (bytes, close) = match script(&message) {
             Reply::Send(bytes) => (bytes, false),
@@ -205,20 +205,20 @@
             Reply::SendPieces(pieces, close) => {
                 for (delay, piece) in pieces {
                     std::thread::sleep(delay);
-                    if out.write_all(&piece).is_err() {
+                    if writer.write_all(&piece).is_err() {
                         break;
                     }
                 }
                 (Vec::new(), close)
             }
             Reply::Silence => (Vec::new(), false),
-            Reply::Custom(action) => return action(&mut out),
+            Reply::Custom(action) => return action(&mut writer),
         };
-        if out.write_all(&bytes).is_err() || close {
+        if writer.write_all(&bytes).is_err() || close {
             break;
         }
     }
-    let _ = out.shutdown(std::net::Shutdown::Both);
+    let _ = writer.shutdown(std::net::Shutdown::Both);
 }
 
 // ---- Discovery ----
@@ -281,7 +281,7 @@
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
-        let mut out = stream.try_clone().ok()?;
+        let mut writer = stream.try_clone().ok()?;
         let request = read_message(&mut BufReader::new(stream), 0)?;
         let (whole_list, down, generation, mut sent, unresponsive) = self.with_state(|state| {
             state.calls.push(request.path().to_string());
@@ -296,10 +296,10 @@
             return None;
         }
         if !request.path().contains("watch") {
-            return out.write_all(&http_response(200, "", &whole_list)).ok();
+            return writer.write_all(&http_response(200, "", &whole_list)).ok();
         }
-        out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-        let mut send_line = |line: &str| write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1);
+        writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
+        let mut send_line = |line: &str| write!(writer, "{:x}\r\n{line}\n\r\n", line.len() + 1);
         send_line(&whole_list).ok()?;
         self.with_state(|state| state.watches_started += 1);
         let mut last_keep_alive = Instant::now();
@@ -379,7 +379,7 @@
 /// A received request; its connection stays open until this is dropped.
 pub struct Call {
     pub path: String,
-    out: TcpStream,
+    writer: TcpStream,
 }
 
 impl ManualRegistry {
@@ -395,9 +395,9 @@
                 let sender = sender.clone();
                 std::thread::spawn(move || {
                     stream.set_nodelay(true).ok()?;
-                    let out = stream.try_clone().ok()?;
+                    let writer = stream.try_clone().ok()?;
                     let path = read_message(&mut BufReader::new(stream), 0)?.path().to_string();
-                    sender.send(Call { path, out }).ok()
+                    sender.send(Call { path, writer }).ok()
                 });
             }
         });
@@ -428,7 +428,7 @@
 
     /// Writes bytes as they are; false if the node has closed the connection.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
-        self.out.write_all(bytes).is_ok()
+        self.writer.write_all(bytes).is_ok()
     }
 
     /// Ends the chunked response in order.
@@ -438,7 +438,7 @@
 
     /// Resets the connection.
     pub fn reset(self) {
-        SockRef::from(&self.out).set_linger(Some(Duration::ZERO)).expect("a socket");
+        SockRef::from(&self.writer).set_linger(Some(Duration::ZERO)).expect("a socket");
     }
 }
 
@@ -757,8 +757,8 @@
 
 /// A client's connection to a node.
 pub struct Client {
-    out: TcpStream,
-    from: BufReader<TcpStream>,
+    writer: TcpStream,
+    reader: BufReader<TcpStream>,
 }
 
 impl Client {
@@ -769,26 +769,26 @@
 
     /// Connects to any address.
     pub fn connect_to(address: SocketAddr) -> Self {
-        let out = TcpStream::connect(address).expect("the node listens");
-        out.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
-        let from = BufReader::new(out.try_clone().expect("a socket"));
-        Self { out, from }
+        let writer = TcpStream::connect(address).expect("the node listens");
+        writer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
+        let reader = BufReader::new(writer.try_clone().expect("a socket"));
+        Self { writer, reader }
     }
 
     /// Writes text as it is.
     pub fn send(&mut self, text: &str) {
-        self.out.write_all(text.as_bytes()).expect("the node reads");
+        self.writer.write_all(text.as_bytes()).expect("the node reads");
     }
 
     /// Writes bytes as they are.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
-        self.out.write_all(bytes).expect("the node reads");
+        self.writer.write_all(bytes).expect("the node reads");
     }
 
     /// The next bytes, at most `limit`; none if the connection has ended or failed.
     pub fn read(&mut self, limit: usize) -> Vec<u8> {
         let mut bytes = vec![0; limit];
-        let length = self.from.read(&mut bytes).unwrap_or(0);
+        let length = self.reader.read(&mut bytes).unwrap_or(0);
         bytes.truncate(length);
         bytes
     }
@@ -796,13 +796,13 @@
     /// All bytes until the connection ends, and whether it ended in order, without a reset.
     pub fn read_to_end(&mut self) -> (Vec<u8>, bool) {
         let mut bytes = Vec::new();
-        let in_order = self.from.read_to_end(&mut bytes).is_ok();
+        let in_order = self.reader.read_to_end(&mut bytes).is_ok();
         (bytes, in_order)
     }
 
     /// The next response; `None` if the connection ends first.
     pub fn receive(&mut self) -> Option<Message> {
-        read_message(&mut self.from, 0)
+        read_message(&mut self.reader, 0)
     }
 
     /// Sends a request and waits for its response.
@@ -814,7 +814,7 @@
     /// Waits for the node to end the connection; was it closed or reset, without sending more?
     pub fn closed_or_reset(&mut self) -> bool {
         let reset = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
-        match self.from.read(&mut [0; 64]) {
+        match self.reader.read(&mut [0; 64]) {
             Ok(n) => n == 0,
             Err(e) => reset(&e),
         }
@@ -822,7 +822,7 @@
 
     /// Waits for the node to end the connection; was it closed in order, without sending more?
     pub fn closed(&mut self) -> bool {
-        matches!(self.from.read(&mut [0; 64]), Ok(0))
+        matches!(self.reader.read(&mut [0; 64]), Ok(0))
     }
 
     /// Ends the connection; a client that only half-closes is returned, to read on.
@@ -830,11 +830,11 @@
         match how {
             Disconnect::Close => None,
             Disconnect::Reset => {
-                SockRef::from(&self.out).set_linger(Some(Duration::ZERO)).expect("a socket");
+                SockRef::from(&self.writer).set_linger(Some(Duration::ZERO)).expect("a socket");
                 None
             }
             Disconnect::HalfClose => {
-                self.out.shutdown(std::net::Shutdown::Write).expect("it is connected");
+                self.writer.shutdown(std::net::Shutdown::Write).expect("it is connected");
                 Some(self)
             }
         }
