--- a/tests/node.rs
+++ b/tests/node.rs
@@ -183,17 +183,17 @@
         let registry = Registry::new(&both);
         let node = Node::start_ready(&config(registry.address));
         let mut client = Client::connect(&node);
-        let mut ask = |n: usize| {
+        let mut get_body = |n: usize| {
             let response = client.exchange(&request("look", &format!("t{n}"), 15_000));
             assert_eq!(response.status(), 200);
             response.body
         };
-        let first: BTreeSet<Vec<u8>> = (0..4).map(&mut ask).collect();
+        let first: BTreeSet<Vec<u8>> = (0..4).map(&mut get_body).collect();
         assert_eq!(first.len(), 2, "both servers get requests");
         registry.publish(2, &both[1..], &[host("s0", a.address, health, 1)]);
         // The node has read the line once the first server gets no more requests.
-        wait_until("the drain is known", || ask(0) == b"b" && ask(0) == b"b");
-        assert!((0..10).all(|n| ask(n) == b"b"));
+        wait_until("the drain is known", || get_body(0) == b"b" && get_body(0) == b"b");
+        assert!((0..10).all(|n| get_body(n) == b"b"));
     }
 }
 
@@ -292,14 +292,14 @@
     config["known"] = json!({"seq": 1, "whole": true, "hosts": hosts});
     let node = Node::start_ready(&config);
     let mut client = Client::connect(&node);
-    let mut ask = || client.exchange(&request("look", "t1", 15_000)).body;
-    assert_eq!(ask(), b"a", "ready by what discovery sends, not by the saved list");
+    let mut get_body = || client.exchange(&request("look", "t1", 15_000)).body;
+    assert_eq!(get_body(), b"a", "ready by what discovery sends, not by the saved list");
     registry.set_down(true);
     wait_until("the node has reconnected several times", || registry.calls().len() >= 4);
-    assert_eq!(ask(), b"a");
+    assert_eq!(get_body(), b"a");
     registry.publish(9, &hosts, &[]);
     registry.set_down(false);
-    wait_until("the new list is applied", || ask() == b"b");
+    wait_until("the new list is applied", || get_body() == b"b");
 }
 
 /// With `Discovery` set to `automatic`, discovery answers without delay, so an unanswered request is soon given up.
@@ -333,16 +333,16 @@
         config["settings"]["Discovery"] = json!(mode);
         let mut node = Node::start_ready(&config);
         let mut client = Client::connect(&node);
-        let mut ask = || client.exchange(&request("look", "t1", 15_000)).body;
-        assert_eq!(ask(), b"a");
+        let mut get_body = || client.exchange(&request("look", "t1", 15_000)).body;
+        assert_eq!(get_body(), b"a");
         for bad in ["", "{", "{\"discovery\": \"nowhere\"}", "{\"discovery\": 7}"] {
             node.reload(bad);
         }
         wait_until("the file is refused", || node.has_logged("SIGHUP"));
-        assert_eq!(ask(), b"a");
+        assert_eq!(get_body(), b"a");
         config["discovery"] = json!(new.address.to_string());
         node.reload(&config.to_string());
-        wait_until("the new list is applied", || ask() == b"b");
+        wait_until("the new list is applied", || get_body() == b"b");
         wait_until("a watch is open at the new address", || new.watches_started() == 1);
         // Later watches go to the new address, too.
         new.set_down(true);
@@ -365,15 +365,15 @@
     let registry = Registry::new(&[s0.clone(), s1.clone()]);
     let node = Node::start_ready(&config(registry.address));
     let mut client = Client::connect(&node);
-    let mut ask = || client.exchange(&request("look", "t1", 4_000)).body;
+    let mut get_body = || client.exchange(&request("look", "t1", 4_000)).body;
     let leaving = |name: &str, p: &TestServer| host(name, p.address, "leaving", 1);
     registry.publish(5, &[leaving("s0", &a), s1], &[leaving("s0", &a)]);
-    wait_until("the drain is applied", || (0..4).all(|_| ask() == b"b"));
+    wait_until("the drain is applied", || (0..4).all(|_| get_body() == b"b"));
     registry.send_raw(&list_line(3, true, &[s0, leaving("s1", &b)]));
-    wait_until("the older list is applied", || ask() != b"b");
-    assert_ne!(ask(), b"a");
+    wait_until("the older list is applied", || get_body() != b"b");
+    assert_ne!(get_body(), b"a");
     registry.send_raw(&list_line(6, false, &[s2]));
-    wait_until("the change is applied", || ask() == b"c");
+    wait_until("the change is applied", || get_body() == b"c");
 }
 
 /// An unreadable line is dropped, and the node requests the whole list.
@@ -598,8 +598,8 @@
     let server = TestServer::ok("a");
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let node = Node::start_ready(&config(registry.address));
-    let mut kept = Client::connect(&node);
-    assert_eq!(kept.exchange(&request("look", "t1", 15_000)).status(), 200);
+    let mut answered = Client::connect(&node);
+    assert_eq!(answered.exchange(&request("look", "t1", 15_000)).status(), 200);
     let whole = request("slip", "t2", 15_000);
     let mut incomplete: Vec<Client> = ["", "G", "GET /look", &whole[..whole.len() - 2]]
         .iter()
@@ -617,7 +617,7 @@
     }
     // The node allows 3 s, formerly 10 s; the bound lies between, to leave a busy machine some time.
     assert!(connected.elapsed() < Duration::from_secs(7), "{:?}", connected.elapsed());
-    assert_eq!(kept.exchange(&request("look", "t3", 15_000)).status(), 200);
+    assert_eq!(answered.exchange(&request("look", "t3", 15_000)).status(), 200);
     assert_eq!(server.requests().len(), 2);
 }
 
