--- a/tests/group/mod.rs
+++ b/tests/group/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted replica of the control group: it leads, and says what it is told to.
+//! A scripted control group of one replica, which leads and answers heartbeats and watches as the test sets it to.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,35 +11,40 @@
 };
 use serde_json::{json, Value};
 
-use crate::peers::{answer, read_message, until, PATIENCE};
+use crate::peers::{http_response, read_message, wait_until, WAIT_TIMEOUT};
 
-/// How long a promise lasts.
+/// How long a node's promise lasts after the heartbeat that renewed it, in milliseconds.
 pub const PROMISE_MS: f64 = 1000.0;
 
-struct Told {
+/// What the replica answers, and what it has received.
+struct GroupState {
     agreed: AgreedState,
-    beats: Vec<Heartbeat>,
-    /// Beats are not answered.
-    deaf: bool,
-    /// Watches bring nothing.
-    dumb: bool,
-    /// Another replica leads.
+    /// Every heartbeat received.
+    heartbeats: Vec<Heartbeat>,
+    /// Heartbeats get no response.
+    heartbeats_silent: bool,
+    /// Watches send nothing.
+    watches_silent: bool,
+    /// The leader that heartbeats are redirected to, if it is not this replica.
     leader: Option<SocketAddr>,
-    /// From an answer to the next beat.
-    beat_ms: f64,
+    /// Interval from a response to the next heartbeat, as told to nodes.
+    heartbeat_ms: f64,
 }
 
+/// A handle to the scripted replica.
 #[derive(Clone)]
 pub struct Group {
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<GroupState>>,
 }
 
-pub fn policy(of: Value) -> Policy {
-    Policy(of.as_object().expect("an object").clone())
+/// A policy from the JSON object of its settings.
+pub fn policy(settings: Value) -> Policy {
+    Policy(settings.as_object().expect("an object").clone())
 }
 
 impl Group {
+    /// Starts a replica on a free port, with epoch 0 agreed and no change under way.
     pub fn new() -> Self {
         let policy = Policy::default();
         let agreed = AgreedState {
@@ -50,10 +55,17 @@
             change: None,
             ended_changes: Vec::new(),
         };
-        let told = Told { agreed, beats: Vec::new(), deaf: false, dumb: false, leader: None, beat_ms: 20.0 };
+        let state = GroupState {
+            agreed,
+            heartbeats: Vec::new(),
+            heartbeats_silent: false,
+            watches_silent: false,
+            leader: None,
+            heartbeat_ms: 20.0,
+        };
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let group = Self { address, told: Arc::new(Mutex::new(told)) };
+        let group = Self { address, state: Arc::new(Mutex::new(state)) };
         let this = group.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -64,89 +76,92 @@
         group
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Told) -> T) -> T {
-        f(&mut self.told.lock().expect("no panic"))
+    fn with_state<T>(&self, f: impl FnOnce(&mut GroupState) -> T) -> T {
+        f(&mut self.state.lock().expect("no panic"))
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
-        let mut out = stream.try_clone().ok()?;
-        let mut from = BufReader::new(stream);
+        let mut writer = stream.try_clone().ok()?;
+        let mut reader = BufReader::new(stream);
         let start = Instant::now();
         loop {
-            let call = read_message(&mut from, 0)?;
-            if call.path().starts_with("/v1/watch") {
-                return self.watch(out);
+            let request = read_message(&mut reader, 0)?;
+            if request.path().starts_with("/v1/watch") {
+                return self.watch(writer);
             }
-            let beat: Heartbeat = serde_json::from_slice(&call.body).expect("a beat");
-            let said = self.with(|t| {
-                t.beats.push(beat.clone());
-                if let Some(leader) = t.leader {
-                    let no = NotLeader { error: "not the leader".into(), leader: Some(leader) };
-                    return Some((503, serde_json::to_string(&no)));
+            let heartbeat: Heartbeat = serde_json::from_slice(&request.body).expect("a heartbeat");
+            let response = self.with_state(|state| {
+                state.heartbeats.push(heartbeat.clone());
+                if let Some(leader) = state.leader {
+                    let error = NotLeader { error: "not the leader".into(), leader: Some(leader) };
+                    return Some((503, serde_json::to_string(&error)));
                 }
                 let stamp = Stamp { term: 1, time: start.elapsed().as_secs_f64() * 1000.0 };
-                let known = t.agreed.state_id();
-                let same = beat.known_state == Some(known);
-                let said = HeartbeatReply {
+                let known = state.agreed.state_id();
+                let up_to_date = heartbeat.known_state == Some(known);
+                let answer = HeartbeatReply {
                     stamp,
-                    update: if same {
+                    update: if up_to_date {
                         AgreedUpdate::Unchanged(known)
                     } else {
-                        AgreedUpdate::Changed(t.agreed.clone())
+                        AgreedUpdate::Changed(state.agreed.clone())
                     },
-                    heartbeat_interval_ms: t.beat_ms,
+                    heartbeat_interval_ms: state.heartbeat_ms,
                     lease_ms: None,
                     fenced: false,
                     promise_ms: PROMISE_MS,
-                    superseded: beat.leaving,
+                    superseded: heartbeat.leaving,
                     queried_servers: Vec::new(),
                     verdicts: None,
                 };
-                (!t.deaf).then(|| (200, serde_json::to_string(&said)))
+                (!state.heartbeats_silent).then(|| (200, serde_json::to_string(&answer)))
             });
-            match said {
+            match response {
                 Some((status, body)) => {
-                    out.write_all(&answer(status, "", &body.expect("plain data"))).ok()?
+                    writer.write_all(&http_response(status, "", &body.expect("plain data"))).ok()?
                 }
-                None => std::thread::sleep(PATIENCE),
+                None => std::thread::sleep(WAIT_TIMEOUT),
             }
         }
     }
 
-    fn watch(&self, mut out: TcpStream) -> Option<()> {
-        out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
-        let mut seen = 0;
+    fn watch(&self, mut writer: TcpStream) -> Option<()> {
+        writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
+        let mut last_sent = 0;
         loop {
-            let agreed = self.with(|t| (!t.dumb && t.agreed.version != seen).then(|| t.agreed.clone()));
+            let agreed = self.with_state(|state| {
+                (!state.watches_silent && state.agreed.version != last_sent).then(|| state.agreed.clone())
+            });
             if let Some(agreed) = agreed {
-                seen = agreed.version;
-                let news = WatchEvent { version: seen, agreed_state: Some(agreed), verdicts: None };
+                last_sent = agreed.version;
+                let news = WatchEvent { version: last_sent, agreed_state: Some(agreed), verdicts: None };
                 let line = serde_json::to_string(&news).expect("plain data");
-                write!(out, "{:x}\r\n{line}\n\r\n", line.len() + 1).ok()?;
+                write!(writer, "{:x}\r\n{line}\n\r\n", line.len() + 1).ok()?;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Proposes a policy: the next epoch, if it is committed.
-    pub fn propose(&self, of: Value) -> ChangeId {
-        self.with(|t| {
-            t.agreed.version += 1;
-            let id = ChangeId(t.agreed.version);
-            t.agreed.change = Some(Change { id, epoch: t.agreed.epoch + 1, policy: policy(of) });
+    /// Proposes a policy, which becomes the next epoch if it is committed.
+    pub fn propose(&self, settings: Value) -> ChangeId {
+        self.with_state(|state| {
+            state.agreed.version += 1;
+            let id = ChangeId(state.agreed.version);
+            state.agreed.change =
+                Some(Change { id, epoch: state.agreed.epoch + 1, policy: policy(settings) });
             id
         })
     }
 
-    /// Ends the change under way.
-    pub fn end(&self, committed: bool) {
-        self.with(|t| {
-            let Change { id, epoch, policy } = t.agreed.change.take().expect("under way");
-            t.agreed.version += 1;
+    /// Commits the change under way, or aborts it as an operator would.
+    pub fn finish_change(&self, committed: bool) {
+        self.with_state(|state| {
+            let Change { id, epoch, policy } = state.agreed.change.take().expect("under way");
+            state.agreed.version += 1;
             if committed {
-                (t.agreed.epoch, t.agreed.policy) = (epoch, policy);
+                (state.agreed.epoch, state.agreed.policy) = (epoch, policy);
             }
-            t.agreed.ended_changes.push(EndedChange {
+            state.agreed.ended_changes.push(EndedChange {
                 id,
                 epoch,
                 abort_reason: (!committed).then_some(AbortReason::Operator),
@@ -155,45 +170,47 @@
     }
 
     /// Proposes a policy, waits until the node has staged it, and commits it.
-    pub fn change(&self, of: Value) {
-        self.stage(of);
-        self.end(true);
+    pub fn commit_change(&self, settings: Value) {
+        self.stage_change(settings);
+        self.finish_change(true);
     }
 
     /// Proposes a policy and waits until the node has staged it.
-    pub fn stage(&self, of: Value) {
-        let asked = self.propose(of);
-        until(
+    pub fn stage_change(&self, settings: Value) {
+        let proposed = self.propose(settings);
+        wait_until(
             "the change is staged",
-            || matches!(self.word(), Some(StageReply::Staged { change, .. }) if change == asked),
+            || matches!(self.last_change_reply(), Some(StageReply::Staged { change, .. }) if change == proposed),
         );
     }
 
-    /// What the last beat says of a change.
-    pub fn word(&self) -> Option<StageReply> {
-        self.with(|t| t.beats.last().and_then(|beat| beat.stage_reply.clone()))
+    /// What the last heartbeat says about a change.
+    pub fn last_change_reply(&self) -> Option<StageReply> {
+        self.with_state(|state| state.heartbeats.last().and_then(|heartbeat| heartbeat.stage_reply.clone()))
     }
 
-    /// Answers no beats, brings no news; or does again.
-    pub fn cut(&self, deaf: bool, dumb: bool) {
-        self.with(|t| (t.deaf, t.dumb) = (deaf, dumb));
+    /// Silences responses to heartbeats, or watches, or restores them.
+    pub fn set_silent(&self, heartbeats: bool, watches: bool) {
+        self.with_state(|state| (state.heartbeats_silent, state.watches_silent) = (heartbeats, watches));
     }
 
-    /// Beats come only when the node has something to say.
-    pub fn no_beats(&self) {
-        self.with(|t| t.beat_ms = 600_000.0);
+    /// Sets so long an interval that heartbeats come only when the node has something to report.
+    pub fn slow_heartbeats(&self) {
+        self.with_state(|state| state.heartbeat_ms = 600_000.0);
     }
 
-    pub fn led_by(&self, leader: SocketAddr) {
-        self.with(|t| t.leader = Some(leader));
+    /// Answers heartbeats by naming another replica as the leader.
+    pub fn redirect_to(&self, leader: SocketAddr) {
+        self.with_state(|state| state.leader = Some(leader));
     }
 
-    pub fn beats(&self) -> Vec<Heartbeat> {
-        self.with(|t| t.beats.clone())
+    /// Every heartbeat received.
+    pub fn heartbeats(&self) -> Vec<Heartbeat> {
+        self.with_state(|state| state.heartbeats.clone())
     }
 
-    /// The part of a node's configuration that has it follow this group.
-    pub fn control(&self) -> Value {
+    /// The `control` section of the configuration of a node that follows this group.
+    pub fn control_config(&self) -> Value {
         json!({"replicas": [self.address.to_string()]})
     }
 }
