--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -9,8 +9,8 @@
 use rand::RngExt;
 use rand_pcg::Pcg64;
 
-use crate::draw::{ms, Draw};
-use crate::plan::{Effect, Rules};
+use crate::draw::{us_from_ms, Draw};
+use crate::plan::{Idempotency, Rules};
 use crate::server::Us;
 use crate::world::{Ask, Got, Out, Reach, Reply, World};
 
@@ -19,7 +19,7 @@
 
 /// How a server is chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Policy {
+pub enum BaselinePolicy {
     /// Any of the listed servers, with up to five attempts.
     Random,
     /// The server that will be done first by its true state; refused at once where none can be in time without being
@@ -38,7 +38,7 @@
 
 struct Player {
     world: World,
-    policy: Policy,
+    policy: BaselinePolicy,
     rng: Pcg64,
     /// Attempts made at each try, and whether it has been answered.
     asked: Vec<(usize, bool)>,
@@ -52,7 +52,7 @@
 }
 
 /// Plays a draw to its end.
-pub fn play(draw: &Rc<Draw>, rules: &Rules, policy: Policy) -> World {
+pub fn play(draw: &Rc<Draw>, rules: &Rules, policy: BaselinePolicy) -> World {
     let dial =
         Rc::new(|server: usize, zone: usize| SocketAddr::from(([127, 0, zone as u8, 1], 1 + server as u16)));
     let mut player = Player {
@@ -115,8 +115,8 @@
                     Reply::Served => self.end(now, ask, 200, Some(attempt)),
                     Reply::TurnedAway => self.attempt(now, ask),
                     Reply::Garbled | Reply::Error | Reply::Reset => {
-                        let effect = self.world.draw().classes[self.world.asked(ask).class].effect;
-                        if effect == Effect::Unsafe {
+                        let effect = self.world.draw().classes[self.world.asked(ask).class].idempotency;
+                        if effect == Idempotency::Unsafe {
                             self.end(now, ask, 502, None);
                         } else {
                             self.attempt(now, ask);
@@ -165,8 +165,11 @@
         }
         let asked = self.world.asked(ask);
         let left = (asked.at + asked.wait).saturating_sub(now);
-        let server =
-            if made >= self.attempts_most || left < ms(10.0) { None } else { self.choose(now, &asked) };
+        let server = if made >= self.attempts_most || left < us_from_ms(10.0) {
+            None
+        } else {
+            self.choose(now, &asked)
+        };
         let Some(server) = server else { return self.end(now, ask, 503, None) };
         self.asked[ask].0 += 1;
         let zone = self.world.node_zone(asked.node);
@@ -187,7 +190,7 @@
 
     fn choose(&mut self, now: Us, asked: &Ask) -> Option<usize> {
         match self.policy {
-            Policy::Random => {
+            BaselinePolicy::Random => {
                 let listed = self.world.listed(asked.node);
                 if listed.is_empty() {
                     None
@@ -195,13 +198,13 @@
                     Some(listed[self.rng.random_range(0..listed.len())])
                 }
             }
-            Policy::Oracle => {
+            BaselinePolicy::Oracle => {
                 let zone = self.world.node_zone(asked.node);
                 let listed = self.world.listed(asked.node);
                 let reached = listed.into_iter().filter(|s| self.world.reach(*s, zone) == Reach::Open);
                 let done = |server: usize| {
                     let (capacity, backlog) = self.world.truth(server)?;
-                    let cores = self.world.draw().servers.first()?.figures.cores as f64;
+                    let cores = self.world.draw().servers.first()?.parameters.cores as f64;
                     // What it holds is spread over its cores; a request runs on one.
                     let wait = (backlog / capacity).max(0.0) + asked.work * cores / capacity;
                     Some((wait + 2.0 * self.world.delay(asked.node, server) as f64, server))
@@ -221,30 +224,30 @@
     use crate::plan::Plan;
     use crate::referee::{Breach, Rule};
 
-    fn played(more: &str, policy: Policy) -> World {
+    fn played(more: &str, policy: BaselinePolicy) -> World {
         let text = format!("schema = 1\nname = \"x\"\nlength_s = 30\n{more}");
         let plan = Plan::read("x.toml", &text).expect("it can be played");
         let world = play(&Rc::new(Draw::new(&plan, 5)), &plan.rules, policy);
         // Chance knows nothing of cold servers, and may push them over; all other rules it keeps.
-        let allowed = |b: &Breach| policy == Policy::Random && b.rule == Rule::Cold;
+        let allowed = |b: &Breach| policy == BaselinePolicy::Random && b.rule == Rule::Cold;
         assert_eq!(world.breaches().1.iter().find(|b| !allowed(b)), None);
-        let ended: u64 = world.tally().windows.iter().flatten().flat_map(|w| w.ends).sum();
+        let ended: u64 = world.tally().windows.iter().flatten().flat_map(|w| w.outcomes).sum();
         assert_eq!(ended as usize, world.draw().arrivals.len(), "each request ends once");
         world
     }
 
-    fn served(more: &str, policy: Policy) -> f64 {
-        played(more, policy).tally().share(0..2, 0..30)
+    fn served(more: &str, policy: BaselinePolicy) -> f64 {
+        played(more, policy).tally().served_share(0..2, 0..30)
     }
 
     #[test]
     fn the_oracle_serves_nearly_all_on_a_calm_day_and_more_than_chance_under_faults() {
         // Worth goes by work, and one request in 170 or so is more work than its aim has time for.
-        let calm = served("[load]\nof_capacity = 0.4\n", Policy::Oracle);
+        let calm = served("[load]\nof_capacity = 0.4\n", BaselinePolicy::Oracle);
         assert!(calm > 0.9, "{calm}");
         let rough = "[[fault]]\nkind = \"slow\"\nat_s = 5\nfor_s = 20\nshare = 0.3\nfactor = 6\n\
             [[fault]]\nkind = \"lose\"\nat_s = 12\nfor_s = 5\nzone = \"maipu\"\n";
-        let (oracle, random) = (served(rough, Policy::Oracle), served(rough, Policy::Random));
+        let (oracle, random) = (served(rough, BaselinePolicy::Oracle), served(rough, BaselinePolicy::Random));
         assert!(oracle > random + 0.1, "{oracle} {random}");
     }
 
@@ -252,7 +255,7 @@
     fn the_same_draw_gives_the_same_trace() {
         let fault = "[[fault]]\nkind = \"release\"\nat_s = 3\nfor_s = 10\nsteps = 3\n\
             [[fault]]\nkind = \"narrow\"\nzone = \"maipu\"\nat_s = 5\nfor_s = 5\nfactor = 20000\n";
-        let trace = || format!("{:?}", played(fault, Policy::Random).tally());
+        let trace = || format!("{:?}", played(fault, BaselinePolicy::Random).tally());
         assert_eq!(trace(), trace());
     }
 
@@ -264,8 +267,9 @@
                 [[fault]]\nkind = \"{kind}\"\nzone = \"maipu\"\nat_s = 0\nfor_s = 30\nfactor = 9000\n"
             )
         };
-        let free = served("[fleet]\nserver_skew = 0\n[load]\nof_capacity = 0.4\n", Policy::Random);
-        let (narrow, cut) = (served(&fault("narrow"), Policy::Random), served(&fault("cut"), Policy::Random));
+        let free = served("[fleet]\nserver_skew = 0\n[load]\nof_capacity = 0.4\n", BaselinePolicy::Random);
+        let (narrow, cut) =
+            (served(&fault("narrow"), BaselinePolicy::Random), served(&fault("cut"), BaselinePolicy::Random));
         assert!(narrow < free - 0.1 && cut < free, "{free} {narrow} {cut}");
     }
 }
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -76,12 +76,12 @@
         ("wasted".into(), run.cost.wasted),
         ("failed late".into(), run.cost.failed_late),
         ("choked servers".into(), run.cost.overdriven),
-        ("failures paid".into(), run.cost.paid as f64),
-        ("failures elsewhere".into(), run.cost.failures as f64),
+        ("failures paid".into(), run.cost.failures_at_faulty as f64),
+        ("failures elsewhere".into(), run.cost.failures_at_healthy as f64),
         ("breaches".into(), run.breaches as f64),
     ];
     if let Some(votes) = &run.votes {
-        figures.push(("wrong removals".into(), votes.wrong as f64));
+        figures.push(("wrong removals".into(), votes.wrong_removals as f64));
         let times = [("removed after, ms", votes.remove_ms()), ("returned after, ms", votes.return_ms())];
         figures.extend(times.into_iter().filter_map(|(name, ms)| Some((name.to_string(), ms?))));
     }
@@ -110,7 +110,7 @@
     }
     files.sort();
     if files.is_empty() {
-        return Err(FileError::Nothing { folder: path.into() });
+        return Err(FileError::NoResults { folder: path.into() });
     }
     files.iter().map(|file| RunResult::read(file)).collect()
 }
--- a/crates/lab/src/curve/mod.rs
+++ b/crates/lab/src/curve/mod.rs
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::baseline::{self, Policy};
+use crate::baseline::{self, BaselinePolicy};
 use crate::draw::Draw;
 use crate::error::{read_json, FileError, ModelError};
 use crate::modules;
@@ -89,7 +89,7 @@
     let steady = at(plan, load, "")?;
     let draw = Rc::new(Draw::new(&steady, seed));
     let own = service(&modules::play(&steady, &draw, None)?);
-    let [random, oracle] = [Policy::Random, Policy::Oracle]
+    let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
         .map(|policy| service(&baseline::play(&draw, &steady.rules, policy)).served);
     let recover_s = if load > 1.0 {
         let (from, span) = BURST;
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -6,11 +6,11 @@
 use rand_distr::{Distribution, Exp1, LogNormal, Normal};
 use rand_pcg::Pcg64;
 
-use crate::plan::{Dist, Effect, Fault, Plan, Range, Trouble, Way};
+use crate::plan::{Direction, Fault, FaultKind, Idempotency, Plan, Range, WorkDistribution};
 use crate::server::{Choke, Figures, Us};
 
 /// The most first tries of one draw.
-pub const ARRIVALS_MOST: usize = 2_000_000;
+pub const MAX_ARRIVALS: usize = 2_000_000;
 /// Servers of a cell.
 const CELL: usize = 6;
 
@@ -26,13 +26,13 @@
 }
 
 /// Microseconds from milliseconds.
-pub fn ms(value: f64) -> Us {
+pub fn us_from_ms(value: f64) -> Us {
     (value.max(0.0) * 1e3).round() as Us
 }
 
 /// Microseconds from seconds.
-pub fn s(value: f64) -> Us {
-    ms(value * 1e3)
+pub fn us_from_s(value: f64) -> Us {
+    us_from_ms(value * 1e3)
 }
 
 /// A place for an app server.
@@ -43,7 +43,7 @@
     /// Its cell.
     pub cell: u64,
     /// What it is like.
-    pub figures: Figures,
+    pub parameters: Figures,
 }
 
 /// A class as drawn.
@@ -52,7 +52,7 @@
     /// Its name.
     pub name: String,
     /// Mean work.
-    pub work: f64,
+    pub mean_work: f64,
     /// Wanted within.
     pub aim: Us,
     /// Given up after.
@@ -60,9 +60,9 @@
     /// Worth of a unit of work.
     pub worth: f64,
     /// May it run again?
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// How long repeats are dropped.
-    pub window: Us,
+    pub dedup_window: Us,
 }
 
 /// A first try.
@@ -77,22 +77,22 @@
     /// How much work it is.
     pub work: f64,
     /// What its client guesses that to be.
-    pub guess: f64,
+    pub work_estimate: f64,
     /// Its client stays away for as long as a refusal says.
-    pub honours: bool,
+    pub honours_retry_after: bool,
     /// Its client leaves after this share of its patience.
-    pub leaves: Option<f64>,
+    pub leaves_after: Option<f64>,
     /// For what its client does by chance.
-    pub chance: u64,
+    pub seed: u64,
 }
 
 /// How clients behave.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientSpec {
     /// Further tries.
-    pub retries: usize,
+    pub max_retries: usize,
     /// A try is given up after this share of the class's time.
-    pub try_share: f64,
+    pub try_timeout_share: f64,
     /// The wait before the first further try.
     pub backoff: Us,
     /// The longest that a refusal can hold one off.
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultSpec {
     /// What happens.
-    pub kind: Trouble,
+    pub kind: FaultKind,
     /// From when ...
     pub at: Us,
     /// ... until when.
@@ -115,30 +115,30 @@
     /// In how many steps.
     pub steps: usize,
     /// How late a gray server answers.
-    pub slower: Us,
+    pub answer_delay: Us,
     /// The share of answers that break off.
-    pub garbled: f64,
+    pub truncated_share: f64,
     /// Which way of a cut.
-    pub way: Option<Way>,
+    pub direction: Option<Direction>,
     /// The other zone of it; all others where there is none.
-    pub to: Option<usize>,
+    pub peer_zone: Option<usize>,
     /// The policy that is asked for.
     pub policy: serde_json::Map<String, serde_json::Value>,
     /// It strikes the replica that leads when it begins.
-    pub leader: bool,
+    pub targets_leader: bool,
 }
 
 /// How the list reaches the nodes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListSpec {
+pub struct DiscoverySpec {
     /// A drain or an end in order is listed after this.
-    pub notice: Us,
+    pub leave_delay: Us,
     /// A server that vanished is listed as gone after this.
-    pub silent_notice: Us,
+    pub vanish_delay: Us,
     /// A server that started is listed after this.
-    pub add: Us,
+    pub join_delay: Us,
     /// Nodes hear of a version within this of each other.
-    pub spread: Us,
+    pub node_spread: Us,
 }
 
 /// A draw.
@@ -169,9 +169,9 @@
     /// Round trips of a new connection.
     pub handshake_trips: f64,
     /// How long a front goes on sending to a dead node.
-    pub front_notice: Us,
+    pub front_detection_delay: Us,
     /// How the list reaches the nodes.
-    pub list: ListSpec,
+    pub discovery: DiscoverySpec,
     /// What goes wrong.
     pub faults: Vec<FaultSpec>,
     /// Work that the warm fleet gets done in a microsecond.
@@ -186,34 +186,34 @@
         let zones = fleet.zones.clone();
         let nodes = (0..count(&mut rng, fleet.nodes)).map(|n| n % zones.len()).collect();
         let servers = servers(plan, &mut rng);
-        let capacity = servers.iter().map(|s| s.figures.speed * s.figures.cores as f64).sum();
+        let capacity = servers.iter().map(|s| s.parameters.speed * s.parameters.cores as f64).sum();
         let classes = plan.classes.get_ref().iter().map(|c| ClassSpec {
             name: c.name.clone(),
-            work: take(&mut rng, c.work_ms) * 1e3,
-            aim: ms(c.aim_ms),
-            deadline: ms(c.deadline_ms),
+            mean_work: take(&mut rng, c.work_ms) * 1e3,
+            aim: us_from_ms(c.aim_ms),
+            deadline: us_from_ms(c.deadline_ms),
             worth: c.worth,
-            effect: c.effect,
-            window: ms(c.window_ms),
+            idempotency: c.idempotency,
+            dedup_window: us_from_ms(c.window_ms),
         });
         let classes: Vec<ClassSpec> = classes.collect();
         let clients = plan.clients.get_ref();
         let clients = ClientSpec {
-            retries: take(&mut rng, clients.retries) as usize,
-            try_share: take(&mut rng, clients.try_share),
-            backoff: ms(take(&mut rng, clients.backoff_ms)),
-            max_retry_after: ms(clients.max_retry_after_ms),
+            max_retries: take(&mut rng, clients.retries) as usize,
+            try_timeout_share: take(&mut rng, clients.try_share),
+            backoff: us_from_ms(take(&mut rng, clients.backoff_ms)),
+            max_retry_after: us_from_ms(clients.max_retry_after_ms),
         };
         let net = &plan.network;
         let delays = (0..zones.len()).map(|a| {
-            let delay = |b| ms(take(&mut rng, if a == b { net.same_ms } else { net.cross_ms }));
+            let delay = |b| us_from_ms(take(&mut rng, if a == b { net.same_ms } else { net.cross_ms }));
             (0..zones.len()).map(delay).collect()
         });
         let delays = delays.collect();
         let list = &plan.discovery;
         let mut draw = Self {
             seed,
-            length: s(*plan.length_s.get_ref()),
+            length: us_from_s(*plan.length_s.get_ref()),
             zones,
             nodes,
             servers,
@@ -221,15 +221,15 @@
             arrivals: Vec::new(),
             clients,
             delays,
-            client_delay: ms(take(&mut rng, net.client_ms)),
+            client_delay: us_from_ms(take(&mut rng, net.client_ms)),
             jitter: take(&mut rng, net.jitter),
             handshake_trips: take(&mut rng, plan.server.get_ref().handshake_trips),
-            front_notice: s(take(&mut rng, fleet.front_notice_s)),
-            list: ListSpec {
-                notice: s(take(&mut rng, list.notice_s)),
-                silent_notice: s(take(&mut rng, list.silent_notice_s)),
-                add: s(take(&mut rng, list.add_s)),
-                spread: ms(take(&mut rng, list.spread_ms)),
+            front_detection_delay: us_from_s(take(&mut rng, fleet.front_notice_s)),
+            discovery: DiscoverySpec {
+                leave_delay: us_from_s(take(&mut rng, list.notice_s)),
+                vanish_delay: us_from_s(take(&mut rng, list.silent_notice_s)),
+                join_delay: us_from_s(take(&mut rng, list.add_s)),
+                node_spread: us_from_ms(take(&mut rng, list.spread_ms)),
             },
             faults: Vec::new(),
             capacity,
@@ -243,7 +243,7 @@
     }
 
     /// Random numbers for what the network does by chance.
-    pub fn network_chance(&self) -> Pcg64 {
+    pub fn network_rng(&self) -> Pcg64 {
         stream(self.seed, Stream::Network)
     }
 
@@ -251,49 +251,52 @@
         let place = |zone: &Option<String>| self.zones.iter().position(|name| Some(name) == zone.as_ref());
         let zone = place(&fault.zone);
         let parties: Vec<usize> = match fault.kind {
-            kind if kind.of_nodes() => self.nodes.clone(),
-            kind if kind.of_replicas() => vec![0; replicas],
-            Trouble::Cut
-            | Trouble::BreakLinks
-            | Trouble::Narrow
-            | Trouble::ListOutage
-            | Trouble::StaleList
-            | Trouble::ReorderedList
-            | Trouble::Burst
-            | Trouble::Policy
-            | Trouble::GroupLost => Vec::new(),
+            kind if kind.targets_nodes() => self.nodes.clone(),
+            kind if kind.targets_replicas() => vec![0; replicas],
+            FaultKind::Partition
+            | FaultKind::BreakConnections
+            | FaultKind::LimitBandwidth
+            | FaultKind::ListOutage
+            | FaultKind::StaleList
+            | FaultKind::ReorderedList
+            | FaultKind::Burst
+            | FaultKind::Policy
+            | FaultKind::GroupOutage => Vec::new(),
             _ => self.servers.iter().map(|s| s.zone).collect(),
         };
         let mut targets: Vec<usize> =
             (0..parties.len()).filter(|n| zone.is_none_or(|zone| parties[*n] == zone)).collect();
         if let Some(ids) = &fault.ids {
             // Replicas count from 1.
-            let first = usize::from(fault.kind.of_replicas());
+            let first = usize::from(fault.kind.targets_replicas());
             targets.retain(|n| ids.contains(&(n + first)));
         }
         targets.shuffle(rng);
         if let Some(share) = fault.share {
             targets.truncate(((targets.len() as f64 * share).round() as usize).max(1));
         }
-        if matches!(fault.kind, Trouble::Cut | Trouble::BreakLinks | Trouble::Narrow) {
+        if matches!(
+            fault.kind,
+            FaultKind::Partition | FaultKind::BreakConnections | FaultKind::LimitBandwidth
+        ) {
             targets.extend(zone);
         }
         FaultSpec {
             kind: fault.kind,
-            at: s(fault.at_s),
-            until: s(fault.at_s + fault.for_s),
+            at: us_from_s(fault.at_s),
+            until: us_from_s(fault.at_s + fault.for_s),
             targets,
             factor: fault.factor.unwrap_or(match fault.kind {
-                Trouble::Release | Trouble::Replace => 0.0,
+                FaultKind::Release | FaultKind::Replace => 0.0,
                 _ => 1.0,
             }),
             steps: fault.steps.unwrap_or(1).max(1),
-            slower: ms(fault.slower_ms.unwrap_or(0.0)),
-            garbled: fault.garbled.unwrap_or(0.0),
-            way: fault.way,
-            to: place(&fault.to),
+            answer_delay: us_from_ms(fault.slower_ms.unwrap_or(0.0)),
+            truncated_share: fault.garbled.unwrap_or(0.0),
+            direction: fault.direction,
+            peer_zone: place(&fault.peer_zone),
             policy: fault.policy.clone().unwrap_or_default(),
-            leader: fault.which.is_some(),
+            targets_leader: fault.role.is_some(),
         }
     }
 
@@ -301,7 +304,7 @@
     fn guess(&mut self, plan: &Plan, rng: &mut Pcg64) {
         let cv = take(rng, plan.load.get_ref().guess_cv);
         for arrival in &mut self.arrivals {
-            arrival.guess = arrival.work * lognormal(rng, cv);
+            arrival.work_estimate = arrival.work * lognormal(rng, cv);
         }
     }
 
@@ -310,7 +313,7 @@
         let load = plan.load.get_ref();
         let shares: Vec<f64> = plan.classes.get_ref().iter().map(|c| c.share).collect();
         let total: f64 = shares.iter().sum();
-        let work: f64 = shares.iter().zip(&self.classes).map(|(s, c)| s / total * c.work).sum();
+        let work: f64 = shares.iter().zip(&self.classes).map(|(s, c)| s / total * c.mean_work).sum();
         let mean = match load.per_s {
             Some(per_s) => take(rng, per_s),
             None => take(rng, load.of_capacity) * self.capacity / work * 1e6,
@@ -323,16 +326,16 @@
         // Over half a sine the swing adds 2/pi of itself to the mean.
         let base = mean / (1.0 + swing * std::f64::consts::FRAC_2_PI) / 1e6;
         let rate = |at: f64| {
-            let bursts = self.faults.iter().filter(|f| f.kind == Trouble::Burst);
+            let bursts = self.faults.iter().filter(|f| f.kind == FaultKind::Burst);
             let burst = bursts.filter(|f| (f.at as f64..f.until as f64).contains(&at)).map(|f| f.factor);
             let wave = 1.0 + swing * (std::f64::consts::PI * at / self.length as f64).sin();
             base * wave * burst.product::<f64>()
         };
-        let bursts = self.faults.iter().filter(|f| f.kind == Trouble::Burst);
+        let bursts = self.faults.iter().filter(|f| f.kind == FaultKind::Burst);
         let most = base * (1.0 + swing) * bursts.map(|f| f.factor.max(1.0)).product::<f64>();
         let mut arrivals = Vec::new();
         let mut at = 0.0;
-        while most > 0.0 && arrivals.len() < ARRIVALS_MOST {
+        while most > 0.0 && arrivals.len() < MAX_ARRIVALS {
             let gap: f64 = Exp1.sample(rng);
             at += gap / most;
             if at >= self.length as f64 {
@@ -346,11 +349,11 @@
                 at: at as Us,
                 zone: pick(rng, &zones),
                 class,
-                work: work_of(rng, plan, class, self.classes[class].work),
-                guess: 0.0,
-                honours: rng.random::<f64>() < honour,
-                leaves: (rng.random::<f64>() < impatient).then(|| rng.random()),
-                chance: rng.random(),
+                work: work_of(rng, plan, class, self.classes[class].mean_work),
+                work_estimate: 0.0,
+                honours_retry_after: rng.random::<f64>() < honour,
+                leaves_after: (rng.random::<f64>() < impatient).then(|| rng.random()),
+                seed: rng.random(),
             });
         }
         arrivals
@@ -360,8 +363,8 @@
 fn work_of(rng: &mut Pcg64, plan: &Plan, class: usize, mean: f64) -> f64 {
     let class = &plan.classes.get_ref()[class];
     let unit = match class.dist {
-        Dist::Exp => Exp1.sample(rng),
-        Dist::Lognormal => {
+        WorkDistribution::Exponential => Exp1.sample(rng),
+        WorkDistribution::Lognormal => {
             let (least, most) = class.cv.bounds();
             lognormal(rng, (least + most) / 2.0)
         }
@@ -390,7 +393,7 @@
         thrash_at: take(rng, kind.thrash_at),
         thrash: take(rng, kind.thrash),
         cold_from: take(rng, kind.cold_from),
-        cold: s(take(rng, kind.cold_s)),
+        cold: us_from_s(take(rng, kind.cold_s)),
         error_rate: take(rng, kind.error_rate),
         drops_cancelled: rng.random::<f64>() < take(rng, kind.drops_cancelled),
         connections: (take(rng, kind.connections_per_core) * cores) as usize,
@@ -398,14 +401,14 @@
         handshake: take(rng, kind.handshake_ms) * 1e3,
         choke: Choke {
             at: take(rng, kind.choke_at),
-            over: s(take(rng, kind.choke_over_s)),
+            over: us_from_s(take(rng, kind.choke_over_s)),
             slower: take(rng, kind.choke_slower),
             below: take(rng, kind.choke_below),
-            rest: s(take(rng, kind.choke_rest_s)),
-            most: s(take(rng, kind.choke_most_s)),
+            rest: us_from_s(take(rng, kind.choke_rest_s)),
+            most: us_from_s(take(rng, kind.choke_most_s)),
         },
         fall_multiple: plan.rules.fall_multiple,
-        fall_window: ms(plan.rules.fall_ms),
+        fall_window: us_from_ms(plan.rules.fall_ms),
     };
     // The largest remainders get what rounding leaves over; the zones in turn where weights are alike.
     let total: f64 = weights.iter().sum();
@@ -422,7 +425,7 @@
     let specs = zones.into_iter().enumerate().map(|(n, zone)| {
         let factor = spread.map_or(1.0, |d| d.sample(rng)).clamp(0.5, 1.5);
         let figures = Figures { speed: speed * factor, ..model.clone() };
-        ServerSpec { zone, cell: (n / CELL) as u64, figures }
+        ServerSpec { zone, cell: (n / CELL) as u64, parameters: figures }
     });
     specs.collect()
 }
@@ -479,8 +482,9 @@
         assert_eq!(Draw::new(&plan(text), 7).arrivals, calm.arrivals);
         let text = "[load]\nswing = 0\n[[fault]]\nkind = \"burst\"\nat_s = 5\nfor_s = 5\nfactor = 2\n";
         let burst = Draw::new(&plan(text), 7);
-        let within =
-            |d: &Draw| d.arrivals.iter().filter(|a| (s(5.0)..s(10.0)).contains(&a.at)).count() as f64;
+        let within = |d: &Draw| {
+            d.arrivals.iter().filter(|a| (us_from_s(5.0)..us_from_s(10.0)).contains(&a.at)).count() as f64
+        };
         let ratio = within(&burst) / within(&calm);
         assert!((1.8..2.2).contains(&ratio), "{ratio}");
     }
--- a/crates/lab/src/epochs.rs
+++ b/crates/lab/src/epochs.rs
@@ -26,7 +26,7 @@
 
 /// A change that was asked for.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct ProposedChange {
     /// When it was first sent.
     pub proposed: Us,
     /// When its outcome was heard.
@@ -50,29 +50,29 @@
 
 /// All epochs of a play.
 #[derive(Clone, Debug)]
-pub struct Epochs {
+pub struct EpochTracker {
     /// How long after an epoch is in force a request may be admitted under an older one.
     bound: Us,
     spans: BTreeMap<Epoch, Span>,
     /// The first answer under each epoch, by node.
     nodes: Vec<BTreeMap<Epoch, Us>>,
-    wishes: Vec<Wish>,
+    changes: Vec<ProposedChange>,
     gaps: Vec<Option<Us>>,
     answers: u64,
     held: u64,
 }
 
 /// A breach of one of these rules: the node and the client's try where there is one.
-pub type Found = (Rule, Option<usize>, Option<usize>, String);
+pub type EpochBreach = (Rule, Option<usize>, Option<usize>, String);
 
-impl Epochs {
+impl EpochTracker {
     /// For so many nodes, with the bound for requests under an older epoch.
     pub fn new(bound: Us, nodes: usize) -> Self {
         Self {
             bound,
             spans: BTreeMap::new(),
             nodes: vec![BTreeMap::new(); nodes],
-            wishes: Vec::new(),
+            changes: Vec::new(),
             gaps: Vec::new(),
             answers: 0,
             held: 0,
@@ -80,17 +80,24 @@
     }
 
     /// A node refused a request as it held back for want of an agreed policy.
-    pub fn refused(&mut self) {
+    pub fn record_refusal(&mut self) {
         self.answers += 1;
         self.held += 1;
     }
 
     /// A request that was sent at `sent` was answered now, as admitted under an epoch.
-    pub fn admitted(&mut self, now: Us, node: usize, ask: usize, epoch: Epoch, sent: Us) -> Vec<Found> {
+    pub fn record_admission(
+        &mut self,
+        now: Us,
+        node: usize,
+        ask: usize,
+        epoch: Epoch,
+        sent: Us,
+    ) -> Vec<EpochBreach> {
         self.answers += 1;
         let mut found = Vec::new();
         let newer = self.spans.range(epoch + 1..).map(|(e, span)| (span.first, *e));
-        let agreed = self.wishes.iter().filter_map(|w| match w.outcome {
+        let agreed = self.changes.iter().filter_map(|w| match w.outcome {
             Outcome::Committed(e) if e > epoch => Some((w.ended?, e)),
             _ => None,
         });
@@ -112,38 +119,38 @@
         found
     }
 
-    /// A change is asked for; its place among the wishes.
-    pub fn proposed(&mut self, now: Us, running: Vec<bool>) -> usize {
-        self.wishes.push(Wish { proposed: now, ended: None, outcome: Outcome::Unknown, running });
-        self.wishes.len() - 1
+    /// A change is asked for; its place among them.
+    pub fn record_proposal(&mut self, now: Us, running: Vec<bool>) -> usize {
+        self.changes.push(ProposedChange { proposed: now, ended: None, outcome: Outcome::Unknown, running });
+        self.changes.len() - 1
     }
 
     /// The operator was told what became of a change.
-    pub fn ended(&mut self, now: Us, wish: usize, outcome: Outcome) {
-        (self.wishes[wish].ended, self.wishes[wish].outcome) = (Some(now), outcome);
+    pub fn record_outcome(&mut self, now: Us, change: usize, outcome: Outcome) {
+        (self.changes[change].ended, self.changes[change].outcome) = (Some(now), outcome);
     }
 
     /// How long nothing could be written after the leader was struck; `None` where it went on to the end.
-    pub fn gap(&mut self, gap: Option<Us>) {
+    pub fn record_write_gap(&mut self, gap: Option<Us>) {
         self.gaps.push(gap);
     }
 
     /// The play is over, and the replicas that answer know this epoch at the most; `None` where the group is down.
-    pub fn over(&self, agreed: Option<Epoch>) -> Vec<Found> {
+    pub fn final_breaches(&self, agreed: Option<Epoch>) -> Vec<EpochBreach> {
         let mut found = Vec::new();
         for (epoch, span) in self.spans.range(1..) {
             // What nobody told the operator of may have been committed as any epoch.
-            let may_be = |w: &Wish| match &w.outcome {
+            let may_be = |w: &ProposedChange| match &w.outcome {
                 Outcome::Committed(e) => e == epoch,
                 Outcome::Aborted(_) => false,
                 Outcome::Unknown => true,
             };
-            if !self.wishes.iter().any(|w| may_be(w) && w.proposed <= span.first) {
+            if !self.changes.iter().any(|w| may_be(w) && w.proposed <= span.first) {
                 let words = format!("admitted under epoch {epoch}, which no change had become by then");
                 found.push((Rule::Aborted, Some(span.node), Some(span.ask), words));
             }
         }
-        let most = self.acknowledged();
+        let most = self.newest_acknowledged();
         if let (Some(most), Some(agreed)) = (most, agreed) {
             if agreed < most {
                 let words = format!("epoch {most} was acknowledged, and the group knows {agreed} at the end");
@@ -154,35 +161,36 @@
     }
 
     /// The newest epoch that was acknowledged.
-    pub fn acknowledged(&self) -> Option<Epoch> {
-        let committed = |w: &Wish| if let Outcome::Committed(e) = w.outcome { Some(e) } else { None };
-        self.wishes.iter().filter_map(committed).max()
+    pub fn newest_acknowledged(&self) -> Option<Epoch> {
+        let committed =
+            |w: &ProposedChange| if let Outcome::Committed(e) = w.outcome { Some(e) } else { None };
+        self.changes.iter().filter_map(committed).max()
     }
 
     /// The figures.
-    pub fn figures(&self) -> ControlFigures {
+    pub fn metrics(&self) -> ControlMetrics {
         let ms = |us: Us| us as f64 / 1e3;
-        let changes = self.wishes.iter().map(|wish| {
-            let epoch = if let Outcome::Committed(e) = wish.outcome { Some(e) } else { None };
-            let active = epoch.and_then(|e| self.active_everywhere(wish, e));
-            ChangeFigures {
-                at_s: wish.proposed as f64 / 1e6,
-                outcome: wish.outcome.clone(),
-                told_ms: wish.ended.map(|at| ms(at - wish.proposed)),
-                active_ms: active.map(|at| ms(at.saturating_sub(wish.proposed))),
+        let changes = self.changes.iter().map(|change| {
+            let epoch = if let Outcome::Committed(e) = change.outcome { Some(e) } else { None };
+            let active = epoch.and_then(|e| self.active_everywhere(change, e));
+            ChangeMetrics {
+                at_s: change.proposed as f64 / 1e6,
+                outcome: change.outcome.clone(),
+                outcome_known_ms: change.ended.map(|at| ms(at - change.proposed)),
+                active_ms: active.map(|at| ms(at.saturating_sub(change.proposed))),
                 mixed_ms: epoch.and_then(|e| self.mixed(e)).map(ms),
             }
         });
-        ControlFigures {
+        ControlMetrics {
             changes: changes.collect(),
             write_gaps_ms: self.gaps.iter().map(|gap| gap.map(ms)).collect(),
-            held: self.held as f64 / self.answers.max(1) as f64,
+            refused_share: self.held as f64 / self.answers.max(1) as f64,
         }
     }
 
     /// When each node that ran as a change was asked for had surely admitted something under it.
-    fn active_everywhere(&self, wish: &Wish, epoch: Epoch) -> Option<Us> {
-        let ran = self.nodes.iter().zip(&wish.running).filter(|(_, running)| **running);
+    fn active_everywhere(&self, change: &ProposedChange, epoch: Epoch) -> Option<Us> {
+        let ran = self.nodes.iter().zip(&change.running).filter(|(_, running)| **running);
         ran.map(|(own, _)| own.range(epoch..).map(|(_, first)| *first).min())
             .collect::<Option<Vec<_>>>()?
             .into_iter()
@@ -199,24 +207,26 @@
 
 /// What came of the changes of policy.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct ControlFigures {
+pub struct ControlMetrics {
     /// The changes that were asked for, in order.
-    pub changes: Vec<ChangeFigures>,
+    pub changes: Vec<ChangeMetrics>,
     /// How long nothing could be written after each strike at the leader; `None` where it went on to the end.
     pub write_gaps_ms: Vec<Option<f64>>,
     /// The share of answers that refused for want of an agreed policy.
-    pub held: f64,
+    #[serde(rename = "held")]
+    pub refused_share: f64,
 }
 
 /// One change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ChangeFigures {
+pub struct ChangeMetrics {
     /// When it was asked for.
     pub at_s: f64,
     /// What became of it.
     pub outcome: Outcome,
     /// How long until the operator was told.
-    pub told_ms: Option<f64>,
+    #[serde(rename = "told_ms")]
+    pub outcome_known_ms: Option<f64>,
     /// How long until each node that ran then had surely admitted something under it.
     pub active_ms: Option<f64>,
     /// For how long requests were surely admitted under an older epoch after the first one under this.
@@ -227,56 +237,60 @@
 mod tests {
     use super::*;
 
-    fn rules(found: &[Found]) -> Vec<Rule> {
+    fn rules(found: &[EpochBreach]) -> Vec<Rule> {
         found.iter().map(|f| f.0).collect()
     }
 
-    fn epochs() -> Epochs {
-        let mut epochs = Epochs::new(2_000, 2);
-        let wish = epochs.proposed(1_000, vec![true, true]);
-        epochs.ended(1_500, wish, Outcome::Committed(1));
+    fn epochs() -> EpochTracker {
+        let mut epochs = EpochTracker::new(2_000, 2);
+        let change = epochs.record_proposal(1_000, vec![true, true]);
+        epochs.record_outcome(1_500, change, Outcome::Committed(1));
         epochs
     }
 
     #[test]
     fn an_older_epoch_is_a_breach_only_where_it_surely_was_too_late() {
         let mut epochs = epochs();
-        assert_eq!(epochs.admitted(1_400, 0, 0, 1, 1_200), []);
-        assert_eq!(epochs.admitted(9_000, 1, 1, 0, 3_400), [], "it may have been admitted when it was sent");
-        assert_eq!(rules(&epochs.admitted(9_000, 1, 2, 0, 3_401)), [Rule::Mixed]);
-        assert_eq!(epochs.over(Some(1)), []);
-        let figures = epochs.figures();
+        assert_eq!(epochs.record_admission(1_400, 0, 0, 1, 1_200), []);
+        assert_eq!(
+            epochs.record_admission(9_000, 1, 1, 0, 3_400),
+            [],
+            "it may have been admitted when it was sent"
+        );
+        assert_eq!(rules(&epochs.record_admission(9_000, 1, 2, 0, 3_401)), [Rule::Mixed]);
+        assert_eq!(epochs.final_breaches(Some(1)), []);
+        let figures = epochs.metrics();
         assert_eq!(figures.changes[0].mixed_ms, Some(2.001));
         assert_eq!(figures.changes[0].active_ms, None, "node 1 has not got there");
     }
 
     #[test]
     fn an_acknowledged_commit_counts_as_in_force_though_nobody_was_asked_under_it() {
-        assert_eq!(rules(&epochs().admitted(9_000, 1, 2, 0, 3_501)), [Rule::Mixed]);
+        assert_eq!(rules(&epochs().record_admission(9_000, 1, 2, 0, 3_501)), [Rule::Mixed]);
     }
 
     #[test]
     fn a_node_that_goes_back_is_seen() {
         let mut epochs = epochs();
-        epochs.admitted(1_400, 0, 0, 1, 1_200);
-        assert_eq!(epochs.admitted(1_600, 0, 1, 0, 1_400), []);
-        assert_eq!(rules(&epochs.admitted(1_600, 0, 2, 0, 1_401)), [Rule::Backward]);
-        assert_eq!(epochs.admitted(1_600, 1, 3, 0, 1_401), [], "another node may lag");
+        epochs.record_admission(1_400, 0, 0, 1, 1_200);
+        assert_eq!(epochs.record_admission(1_600, 0, 1, 0, 1_400), []);
+        assert_eq!(rules(&epochs.record_admission(1_600, 0, 2, 0, 1_401)), [Rule::Backward]);
+        assert_eq!(epochs.record_admission(1_600, 1, 3, 0, 1_401), [], "another node may lag");
     }
 
     #[test]
     fn what_no_change_has_become_and_what_is_lost_is_seen() {
-        let mut aborted = Epochs::new(2_000, 1);
-        let wish = aborted.proposed(1_000, vec![true]);
-        aborted.ended(1_500, wish, Outcome::Aborted("silent".into()));
-        aborted.admitted(2_000, 0, 0, 1, 1_900);
-        assert_eq!(rules(&aborted.over(Some(0))), [Rule::Aborted]);
-        aborted.proposed(2_100, vec![true]);
-        assert_eq!(rules(&aborted.over(Some(0))), [Rule::Aborted], "that one came later");
+        let mut aborted = EpochTracker::new(2_000, 1);
+        let change = aborted.record_proposal(1_000, vec![true]);
+        aborted.record_outcome(1_500, change, Outcome::Aborted("silent".into()));
+        aborted.record_admission(2_000, 0, 0, 1, 1_900);
+        assert_eq!(rules(&aborted.final_breaches(Some(0))), [Rule::Aborted]);
+        aborted.record_proposal(2_100, vec![true]);
+        assert_eq!(rules(&aborted.final_breaches(Some(0))), [Rule::Aborted], "that one came later");
         let mut early = epochs();
-        early.admitted(900, 0, 0, 1, 800);
-        assert_eq!(rules(&early.over(None)), [Rule::Aborted], "before it was asked for");
-        assert_eq!(rules(&epochs().over(Some(0))), [Rule::Lost]);
-        assert_eq!(epochs().over(None), [], "nobody there to ask");
+        early.record_admission(900, 0, 0, 1, 800);
+        assert_eq!(rules(&early.final_breaches(None)), [Rule::Aborted], "before it was asked for");
+        assert_eq!(rules(&epochs().final_breaches(Some(0))), [Rule::Lost]);
+        assert_eq!(epochs().final_breaches(None), [], "nobody there to ask");
     }
 }
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,6 +1,6 @@
 //! What fails round a play, besides the play itself: files that are read and written, and settings that modules refuse.
 //!
-//! Each error of the lab says what failed and where in one line, and `advice()` what to do about it in a few words.
+//! Each error of the lab says what failed and where in one line, and `advice()` what to do about it in a few reason.
 
 use std::path::{Path, PathBuf};
 
@@ -18,22 +18,22 @@
         source: std::io::Error,
     },
     /// It can't be written.
-    #[error("{}: can't be written: {words}", file.display())]
+    #[error("{}: can't be written: {reason}", file.display())]
     Write {
         /// The file or folder.
         file: PathBuf,
         /// Why not.
-        words: String,
+        reason: String,
     },
     /// It does not hold what it should.
-    #[error("{}: {field}: {words}", file.display())]
-    Form {
+    #[error("{}: {field}: {reason}", file.display())]
+    Format {
         /// The file.
         file: PathBuf,
         /// The field's path.
         field: String,
         /// What is wrong with it.
-        words: String,
+        reason: String,
     },
     /// It is of a version that this program does not know.
     #[error("{}: schema: {known} is known, not {found}", file.display())]
@@ -47,7 +47,7 @@
     },
     /// A folder holds no result.
     #[error("{}: no result.json below it", folder.display())]
-    Nothing {
+    NoResults {
         /// The folder.
         folder: PathBuf,
     },
@@ -63,7 +63,7 @@
     /// Puts a file's name to a failed write.
     pub fn write<E: std::fmt::Display>(file: &Path) -> impl FnOnce(E) -> Self {
         let file = file.to_path_buf();
-        move |error| Self::Write { file, words: error.to_string() }
+        move |error| Self::Write { file, reason: error.to_string() }
     }
 
     /// What to do about it.
@@ -71,9 +71,9 @@
         match self {
             Self::Read { .. } => "name a file that is there and may be read",
             Self::Write { .. } => "name a place that may be written and has room",
-            Self::Form { .. } => "play it again to have the file written anew",
+            Self::Format { .. } => "play it again to have the file written anew",
             Self::Schema { .. } => "use the program that wrote it, or play it again",
-            Self::Nothing { .. } => "name the --out of a run, or a folder of some",
+            Self::NoResults { .. } => "name the --out of a run, or a folder of some",
         }
     }
 }
@@ -87,7 +87,11 @@
     let text = std::fs::read_to_string(file).map_err(FileError::read(file))?;
     let read: T =
         serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(&text)).map_err(|e| {
-            FileError::Form { file: file.into(), field: e.path().to_string(), words: e.inner().to_string() }
+            FileError::Format {
+                file: file.into(),
+                field: e.path().to_string(),
+                reason: e.inner().to_string(),
+            }
         })?;
     match schema(&read) {
         found if found == known => Ok(read),
@@ -139,31 +143,31 @@
 
     #[test]
     fn every_error_is_one_line_and_has_advice() {
-        let (file, field, words) = (PathBuf::from("x"), String::from("a.b"), String::from("no"));
+        let (file, field, reason) = (PathBuf::from("x"), String::from("a.b"), String::from("no"));
         let mut all = each! {
             FileError::Read { .. } => FileError::Read { file: file.clone(), source: io() },
-            FileError::Write { .. } => FileError::Write { file: file.clone(), words: words.clone() },
-            FileError::Form { .. } =>
-                FileError::Form { file: file.clone(), field: field.clone(), words: words.clone() },
+            FileError::Write { .. } => FileError::Write { file: file.clone(), reason: reason.clone() },
+            FileError::Format { .. } =>
+                FileError::Format { file: file.clone(), field: field.clone(), reason: reason.clone() },
             FileError::Schema { .. } => FileError::Schema { file: file.clone(), known: 1, found: 2 },
-            FileError::Nothing { .. } => FileError::Nothing { folder: file.clone() },
+            FileError::NoResults { .. } => FileError::NoResults { folder: file.clone() },
         };
         let plan = || PlanError::Read { file: "x".into(), source: io() };
         all.extend(each! {
             PlanError::Read { .. } => plan(),
-            PlanError::Form { .. } =>
-                PlanError::Form { file: "x".into(), line: 1, field: field.clone(), words: words.clone() },
-            PlanError::Figure { .. } => PlanError::Figure { file: "x".into(), line: 1, field, words: words.clone() },
+            PlanError::Format { .. } =>
+                PlanError::Format { file: "x".into(), line: 1, field: field.clone(), reason: reason.clone() },
+            PlanError::InvalidValue { .. } => PlanError::InvalidValue { file: "x".into(), line: 1, field, reason: reason.clone() },
         });
         all.extend(each! {
-            ModelError::Settings(_) => ModelError::Settings(words.clone()),
+            ModelError::Settings(_) => ModelError::Settings(reason.clone()),
             ModelError::Plan(_) => ModelError::Plan(plan()),
         });
         let at = ([127, 0, 0, 1], 1).into();
         all.extend(each! {
-            LabError::Addresses(_) => LabError::Addresses(words.clone()),
+            LabError::Addresses(_) => LabError::Addresses(reason.clone()),
             LabError::Listen { .. } => LabError::Listen { at, source: io() },
-            LabError::Start { .. } => LabError::Start { who: "node n1".into(), words },
+            LabError::Start { .. } => LabError::Start { who: "node n1".into(), words: reason },
             LabError::NotReady { .. } =>
                 LabError::NotReady { who: "node n1".into(), within: 1.0, last: "on its way".into() },
             LabError::Io { .. } => LabError::Io { what: "logs".into(), source: io() },
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -4,7 +4,7 @@
 //! Need: what a fleet does through failures has to be measured here, with one verdict, and the same draw must be
 //! playable again. Shape: [`plan`] is the experiment's file, [`draw`] takes every figure and every first try from a
 //! seed, [`world`] is all parties round the nodes as one pure state machine in virtual time (with [`server`],
-//! [`listing`], [`referee`], [`removals`] and [`tally`] as its parts), and [`baseline`] plays the draw with plain policies
+//! [`server_list`], [`referee`], [`removals`] and [`tally`] as its parts), and [`baseline`] plays the draw with plain policies
 //! in the nodes' place, for comparison. [`live`] carries the world on sockets round real nodes; [`result`] says what came
 //! of it, [`plot`] shows it, and [`compare`] sets two runs or sets of plays side by side.
 //!
@@ -17,7 +17,6 @@
 pub mod draw;
 pub mod epochs;
 pub mod error;
-pub mod listing;
 pub mod live;
 pub mod modules;
 pub mod plan;
@@ -26,6 +25,7 @@
 pub mod removals;
 pub mod result;
 pub mod server;
+pub mod server_list;
 pub mod settings;
 pub mod tally;
 pub mod world;
--- a/crates/lab/src/live/address.rs
+++ b/crates/lab/src/live/address.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener};
 
 use super::LabError;
-use crate::plan::REPLICAS_MOST;
+use crate::plan::MAX_REPLICAS;
 
 /// The second bytes of the blocks that runs may claim.
 const BLOCKS: std::ops::Range<u8> = 64..192;
@@ -93,7 +93,7 @@
 
     /// Where a replica reaches another.
     pub fn replica_for_replica(self, from: usize, to: usize) -> SocketAddr {
-        self.at(BETWEEN, REPLICAS_MOST * from + to, CONTROL_PORT)
+        self.at(BETWEEN, MAX_REPLICAS * from + to, CONTROL_PORT)
     }
 
     /// Where a node reaches a replica.
@@ -110,7 +110,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::plan::{NODES_MOST, SERVERS_MOST, ZONES_MOST};
+    use crate::plan::{MAX_NODES, MAX_SERVERS, MAX_ZONES};
     use std::collections::BTreeSet;
 
     #[test]
@@ -119,21 +119,21 @@
         assert_ne!(one.second, two.second);
         let a = one.addresses();
         let mut seen = BTreeSet::new();
-        for n in 0..NODES_MOST {
+        for n in 0..MAX_NODES {
             assert!(seen.insert(a.node(n).ip()) && seen.insert(a.list(n).ip()));
         }
-        for zone in 0..ZONES_MOST {
+        for zone in 0..MAX_ZONES {
             // Each server may be replaced.
-            for server in 0..2 * SERVERS_MOST {
+            for server in 0..2 * MAX_SERVERS {
                 assert!(seen.insert(a.server(server, zone).ip()));
             }
         }
-        for replica in 0..REPLICAS_MOST {
+        for replica in 0..MAX_REPLICAS {
             assert!(seen.insert(a.replica(replica).ip()) && seen.insert(a.replica_of_group(replica).ip()));
-            for other in 0..REPLICAS_MOST {
+            for other in 0..MAX_REPLICAS {
                 assert!(seen.insert(a.replica_for_replica(replica, other).ip()));
             }
-            for node in 0..NODES_MOST {
+            for node in 0..MAX_NODES {
                 assert!(seen.insert(a.replica_for_node(node, replica).ip()));
             }
         }
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -15,8 +15,8 @@
 use tokio::task::JoinHandle;
 
 use super::Stage;
-use crate::draw::s;
-use crate::plan::Effect;
+use crate::draw::us_from_s;
+use crate::plan::Idempotency;
 use crate::world::Got;
 
 /// The largest body of an answer.
@@ -107,16 +107,18 @@
     let body = body.to_bytes();
     pool.idle.borrow_mut().push(conn);
     let attempt = stage.world().of_body(&body);
-    Got::Answer { status: head.status.as_u16(), retry_after: after.map(s), attempt }
+    Got::Answer { status: head.status.as_u16(), retry_after: after.map(us_from_s), attempt }
 }
 
 fn request(stage: &Stage, ask: usize) -> Request<Full<Bytes>> {
     let world = stage.world();
     let asked = world.asked(ask);
     let class = &world.draw().classes[asked.class];
-    let (method, body) = match class.effect {
-        Effect::Safe => (Method::GET, Bytes::new()),
-        Effect::Keyed | Effect::Unsafe => (Method::POST, Bytes::from(format!("{:.<100}", asked.request))),
+    let (method, body) = match class.idempotency {
+        Idempotency::Safe => (Method::GET, Bytes::new()),
+        Idempotency::Keyed | Idempotency::Unsafe => {
+            (Method::POST, Bytes::from(format!("{:.<100}", asked.request)))
+        }
     };
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
@@ -136,7 +138,7 @@
     if asked.again {
         header("x-resent", "1".into());
     }
-    if class.effect == Effect::Keyed {
+    if class.idempotency == Idempotency::Keyed {
         header("idempotency-key", format!("{:016x}{:016x}", world.draw().seed, asked.request));
     }
     request
--- a/crates/lab/src/live/group.rs
+++ b/crates/lab/src/live/group.rs
@@ -28,8 +28,8 @@
 use super::{liar, LabError, Stage, GONE};
 use crate::draw::FaultSpec;
 use crate::epochs::Outcome;
-use crate::plan::{Control, Start, Trouble};
-use crate::removals::Word;
+use crate::plan::{ControlGroup, FaultKind, StartMode};
+use crate::removals::GroupVerdicts;
 use crate::server::Us;
 use crate::world::Signal;
 
@@ -54,7 +54,7 @@
     folder: PathBuf,
     logs: PathBuf,
     addresses: Addresses,
-    control: Control,
+    control: ControlGroup,
     replicas: Vec<Replica>,
     links: Links,
     /// Whom the faults struck that are not over.
@@ -75,7 +75,7 @@
     /// # Errors
     /// Where a link can't be had.
     pub fn new(
-        control: &Control,
+        control: &ControlGroup,
         program: &Path,
         folder: &Path,
         logs: &Path,
@@ -99,8 +99,8 @@
         let replicas = self.numbers().map(|r| self.addresses.replica_for_node(node, r).to_string());
         let mut config = json!({"replicas": replicas.collect::<Vec<_>>(), "zone": zone});
         match self.control.start {
-            Start::Wait => config["start"] = json!("wait"),
-            Start::Saved => {
+            StartMode::Wait => config["start"] = json!("wait"),
+            StartMode::Saved => {
                 config["start"] = json!("saved");
                 config["saved_after_ms"] = json!(self.control.saved_after_ms);
             }
@@ -241,12 +241,12 @@
     let draw = stage.world().draw().clone();
     let fault = &draw.faults[number];
     match fault.kind {
-        Trouble::Policy => return propose(&stage, group, fault).await,
-        Trouble::CutControl => {
+        FaultKind::Policy => return propose(&stage, group, fault).await,
+        FaultKind::PartitionControl => {
             let nodes: Vec<Party> = fault.targets.iter().copied().map(Party::Node).collect();
-            return group.links.cut(number, &nodes, fault.way);
+            return group.links.cut(number, &nodes, fault.direction);
         }
-        Trouble::Liar => {
+        FaultKind::FaultyVoters => {
             for liar in 0..fault.factor as usize {
                 let zone = draw.zones[liar % draw.zones.len()].clone();
                 let name = format!("liar-{number}-{liar}");
@@ -258,27 +258,27 @@
     }
     let leader = leader(group).await;
     let targets: Vec<usize> = match fault.kind {
-        Trouble::GroupLost => group.numbers().collect(),
-        _ if fault.leader => leader.into_iter().collect(),
+        FaultKind::GroupOutage => group.numbers().collect(),
+        _ if fault.targets_leader => leader.into_iter().collect(),
         _ => fault.targets.clone(),
     };
     group.struck.borrow_mut().insert(number, targets.clone());
     if leader.is_some_and(|leader| targets.contains(&leader)) {
         probe(&stage, fault.at);
     }
-    if fault.kind == Trouble::CutReplica {
+    if fault.kind == FaultKind::PartitionReplica {
         let replicas: Vec<Party> = targets.iter().copied().map(Party::Replica).collect();
-        group.links.cut(number, &replicas, fault.way);
+        group.links.cut(number, &replicas, fault.direction);
     }
     let pause = (fault.until - fault.at) / fault.steps as u64;
     for (k, replica) in targets.iter().copied().enumerate() {
         match fault.kind {
-            Trouble::ReplicaKill | Trouble::GroupLost => {
+            FaultKind::ReplicaKill | FaultKind::GroupOutage => {
                 group.replicas[replica].wanted.set(false);
                 group.signal(replica, Signal::Kill);
             }
-            Trouble::ReplicaStop => group.signal(replica, Signal::Stop),
-            Trouble::ReplicaRestart => {
+            FaultKind::ReplicaPause => group.signal(replica, Signal::Stop),
+            FaultKind::ReplicaRestart => {
                 let step = (k * fault.steps / targets.len()) as u64;
                 spawn_local(restart(stage.clone(), replica, Duration::from_micros(step * pause)));
             }
@@ -296,10 +296,10 @@
     let targets = group.struck.borrow_mut().remove(&number).unwrap_or_default();
     for replica in targets {
         match fault.kind {
-            Trouble::ReplicaKill | Trouble::GroupLost => {
+            FaultKind::ReplicaKill | FaultKind::GroupOutage => {
                 spawn_local(start_again(stage.clone(), replica));
             }
-            Trouble::ReplicaStop => group.signal(replica, Signal::Continue),
+            FaultKind::ReplicaPause => group.signal(replica, Signal::Continue),
             _ => {}
         }
     }
@@ -417,10 +417,10 @@
 pub async fn watch_verdicts(stage: Rc<Stage>) {
     let Some(group) = &stage.group else { return };
     while !stage.closed.get() {
-        let mut newest: Option<Word> = None;
+        let mut newest: Option<GroupVerdicts> = None;
         for replica in group.numbers().filter(|r| group.replicas[*r].id.get().is_some()) {
             let told = call(group.at(replica), Method::GET, "/v1/verdicts", None, PATIENCE).await;
-            let word = told.and_then(|(_, told)| Word::read(&told));
+            let word = told.and_then(|(_, told)| GroupVerdicts::read(&told));
             newest = newest.into_iter().chain(word).max_by_key(|word| word.version);
         }
         if let Some(word) = newest {
--- a/crates/lab/src/live/links.rs
+++ b/crates/lab/src/live/links.rs
@@ -15,7 +15,7 @@
 
 use super::address::Addresses;
 use super::LabError;
-use crate::plan::Way;
+use crate::plan::Direction;
 
 /// Who is at a link's end.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -76,7 +76,7 @@
     }
 
     /// Nothing passes between these parties and all replicas but themselves, both ways or the one that is named.
-    pub fn cut(&self, fault: usize, parties: &[Party], way: Option<Way>) {
+    pub fn cut(&self, fault: usize, parties: &[Party], way: Option<Direction>) {
         let flow = |cut: bool| if cut { Forwarding::Block } else { Forwarding::Pass };
         let cut = self.relays.keys().filter_map(|(from, to)| {
             let asks = parties.contains(from);
@@ -84,7 +84,7 @@
                 return None;
             }
             // What goes out of the party is the way there where it asks, and the way back where it is asked.
-            let (out, into) = (way != Some(Way::In), way != Some(Way::Out));
+            let (out, into) = (way != Some(Direction::In), way != Some(Direction::Out));
             let (there, back) = if asks { (out, into) } else { (into, out) };
             Some((
                 (*from, *to),
@@ -239,7 +239,7 @@
         assert_eq!(passes(addresses, own(1), 0, &beat(1)).await, (false, false));
         assert_eq!(passes(addresses, group, 0, &beat(1)).await, (false, false));
         assert_eq!(passes(addresses, group, 0, &beat(0)).await, (true, true));
-        links.cut(8, &[Party::Replica(0)], Some(Way::Out));
+        links.cut(8, &[Party::Replica(0)], Some(Direction::Out));
         links.mend(7);
         assert_eq!(passes(addresses, own(1), 0, &beat(1)).await, (true, false), "nothing out of the replica");
         assert_eq!(passes(addresses, group, 0, letter).await, (true, false));
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -30,7 +30,7 @@
 use self::group::Group;
 use self::process::Launch;
 use self::servers::Doors;
-use crate::draw::{ms, Draw};
+use crate::draw::{us_from_ms, Draw};
 use crate::plan::Plan;
 use crate::server::Us;
 use crate::world::{Out, Signal, World};
@@ -184,7 +184,7 @@
         .transpose()?;
     let mut world = World::new(draw, plan.rules.clone(), 0.0, dial);
     if let Some(control) = control {
-        world.expect_epochs(ms(control.mixed_ms() + plan.rules.slack_ms));
+        world.expect_epochs(us_from_ms(control.max_mixed_ms() + plan.rules.slack_ms));
     }
     let stage = Rc::new(Stage {
         world: RefCell::new(world),
@@ -501,7 +501,8 @@
             }
             let (now, world) = (self.now(), self.world());
             let second = (now / 1_000_000) as usize;
-            let served = world.tally().share(0..world.draw().classes.len(), second.saturating_sub(3)..second);
+            let served =
+                world.tally().served_share(0..world.draw().classes.len(), second.saturating_sub(3)..second);
             (options.progress)(now as f64 / world.draw().length as f64, served);
         }
     }
--- a/crates/lab/src/live/process.rs
+++ b/crates/lab/src/live/process.rs
@@ -18,7 +18,7 @@
 use super::LabError;
 use crate::draw::Draw;
 use crate::plan::Plan;
-use crate::settings::{own, seed, settings};
+use crate::settings::{fleet_settings, node_seed, node_settings};
 use crate::world::Signal;
 
 /// How often a node that starts is asked whether it is ready.
@@ -58,7 +58,7 @@
             folder: folder.into(),
             logs: logs.into(),
             addresses,
-            settings: settings(plan, draw),
+            settings: fleet_settings(plan, draw),
             limits: json!({"cores": 1.0, "memory_mb": plan.node.memory_mb, "sockets": plan.node.sockets}),
             draw: draw.clone(),
         }
@@ -78,10 +78,10 @@
         let fail = |error: std::io::Error| LabError::start(node, error);
         let scratch = self.folder.join(format!("n{node}-{life}"));
         fs::create_dir_all(&scratch).map_err(fail)?;
-        let settings = own(&self.settings, &self.draw, node);
+        let settings = node_settings(&self.settings, &self.draw, node);
         let (listen, discovery) =
             (self.addresses.node(node).to_string(), self.addresses.list(node).to_string());
-        let seed = seed(&self.draw, node, life);
+        let seed = node_seed(&self.draw, node, life);
         let mut config = json!({
             "name": format!("n{node}"), "listen": listen, "discovery": discovery,
             "seed": format!("{seed:016x}"), "limits": self.limits, "known": known, "settings": settings,
--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -26,9 +26,9 @@
 use crate::draw::Draw;
 use crate::epochs::Outcome as Agreed;
 use crate::error::ModelError;
-use crate::plan::{Plan, Trouble};
+use crate::plan::{FaultKind, Plan};
 use crate::server::Us;
-use crate::settings::{own, seed, settings};
+use crate::settings::{fleet_settings, node_seed, node_settings};
 use crate::world::{Got, Out, Reach, Reply, Signal, World};
 
 /// From a node's start until it can serve.
@@ -108,7 +108,7 @@
 /// # Errors
 /// Where the modules refuse the plan's settings.
 pub fn play(plan: &Plan, draw: &Rc<Draw>, look: Option<Watcher<'_>>) -> Result<World, ModelError> {
-    run(plan, settings(plan, draw), draw, look)
+    run(plan, fleet_settings(plan, draw), draw, look)
 }
 
 /// The same with the settings that the modules are told.
@@ -343,8 +343,11 @@
         self.lives[node] += 1;
         let draw = self.world.draw().clone();
         let life = self.lives[node] - 1;
-        self.nodes[node] =
-            Some(Node::new(&own(&self.settings, &draw, node), seed(&draw, node, life), &draw.zones)?);
+        self.nodes[node] = Some(Node::new(
+            &node_settings(&self.settings, &draw, node),
+            node_seed(&draw, node, life),
+            &draw.zones,
+        )?);
         Ok(())
     }
 
@@ -393,7 +396,7 @@
         let (fault, now) = (&draw.faults[n], self.now);
         let Some(group) = &mut self.group else { return Ok(()) };
         match fault.kind {
-            Trouble::Policy => {
+            FaultKind::Policy => {
                 let wish = self.world.policy_proposed(now);
                 let Some(epoch) = group.agree(Policy(fault.policy.clone())) else { return Ok(()) };
                 self.world.policy_ended(now, wish, Agreed::Committed(epoch));
@@ -401,14 +404,14 @@
                     self.settings[field] = value.clone();
                 }
                 for node in 0..self.nodes.len() {
-                    let settings = own(&self.settings, &draw, node);
+                    let settings = node_settings(&self.settings, &draw, node);
                     let Some(n) = &mut self.nodes[node] else { continue };
                     let wants = n.agreed(now, &settings)?;
                     self.want(node, wants);
                 }
             }
-            Trouble::GroupLost => group.go(),
-            Trouble::Liar => {
+            FaultKind::GroupOutage => group.go(),
+            FaultKind::FaultyVoters => {
                 for liar in 0..fault.factor as usize {
                     let process = Process { name: format!("liar-{n}-{liar}"), boot: 1 };
                     group.join(process.clone());
@@ -424,7 +427,7 @@
     /// It ends.
     fn heal(&mut self, n: usize) {
         let Some(group) = &mut self.group else { return };
-        if self.world.draw().faults[n].kind == Trouble::GroupLost {
+        if self.world.draw().faults[n].kind == FaultKind::GroupOutage {
             group.come(self.now);
         }
         for liar in self.liars.extract_if(.., |liar| liar.fault == n) {
@@ -585,10 +588,10 @@
             format!("schema = 1\nname = \"x\"\nlength_s = 25\n[fleet]\nnodes = 9\nservers = 12\n{more}");
         let mut plan = Plan::read("x.toml", &text).expect("it can be played");
         let draw = Rc::new(Draw::new(&plan, 5));
-        let told = settings(&plan, &draw);
+        let told = fleet_settings(&plan, &draw);
         rules(&mut plan.rules);
         let world = run(&plan, told, &draw, None).expect("good settings");
-        let ended: u64 = world.tally().windows.iter().flatten().flat_map(|w| w.ends).sum();
+        let ended: u64 = world.tally().windows.iter().flatten().flat_map(|w| w.outcomes).sum();
         assert_eq!(ended as usize, world.draw().arrivals.len(), "each request ends once");
         world
     }
@@ -598,7 +601,7 @@
         let calm = "[load]\nof_capacity = 0.5\n";
         let world = played(calm);
         assert_eq!(world.breaches().0, 0, "{:?}", world.breaches().1);
-        let served = world.tally().share(0..2, 0..25);
+        let served = world.tally().served_share(0..2, 0..25);
         assert!(served > 0.9, "{served}");
         assert_eq!(format!("{:?}", world.tally()), format!("{:?}", played(calm).tally()));
     }
@@ -619,7 +622,7 @@
         ];
         let world = played(&format!("[load]\nof_capacity = 0.3\n{}", faults.concat()));
         assert_eq!(world.breaches().0, 0, "{:?}", world.breaches().1);
-        let served = world.tally().share(0..2, 0..25);
+        let served = world.tally().served_share(0..2, 0..25);
         assert!(served > 0.8, "{served}");
     }
 
@@ -632,7 +635,11 @@
     #[test]
     fn a_server_that_fails_is_removed_by_votes_and_back_once_it_is_mended() {
         let votes = played(VOTES).votes().expect("a group");
-        assert_eq!((votes.removed, votes.wrong, votes.late), (1, 0, 0), "{votes:?}");
+        assert_eq!(
+            (votes.removed, votes.wrong_removals, votes.attempts_after_removal),
+            (1, 0, 0),
+            "{votes:?}"
+        );
         // For one zone first, perhaps; what it ends as is what is mended.
         let first = votes.removals.first().expect("a server was removed");
         let last = votes.removals.last().expect("a server was removed");
--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -11,7 +11,7 @@
     Status,
 };
 
-use crate::draw::ms;
+use crate::draw::us_from_ms;
 use crate::error::ModelError;
 use crate::server::Us;
 use crate::world::Ask;
@@ -164,7 +164,7 @@
 
     /// How long a connect may take.
     pub fn connect_time(&self) -> Us {
-        ms(self.told.settings.limits.connect_timeout)
+        us_from_ms(self.told.settings.limits.connect_timeout)
     }
 
     fn feed(&mut self, now: Us, event: Event) -> Vec<Want> {
@@ -180,7 +180,7 @@
                         let Some(open) = self.requests.get_mut(&id) else { continue };
                         let attempt = open.tries.len();
                         open.tries.push(Try { id: to, server, sent: now, over: false, written: None });
-                        let until = now + ms(timeout.unwrap_or(1e6));
+                        let until = now + us_from_ms(timeout.unwrap_or(1e6));
                         wants.push(Want::Send { id, attempt, server, until });
                     }
                     Action::Cancel { id, attempt } => {
@@ -190,11 +190,11 @@
                         }
                     }
                     Action::Refuse { id, retry_after } => {
-                        let after = (retry_after > 0.0).then(|| ms(retry_after));
+                        let after = (retry_after > 0.0).then(|| us_from_ms(retry_after));
                         wants.extend(self.answer(id, 503, after, None));
                     }
                     Action::Fail(id) => wants.extend(self.answer(id, 502, None, None)),
-                    Action::SetTimer(after) => wants.push(Want::Timer(now + ms(after).max(1))),
+                    Action::SetTimer(after) => wants.push(Want::Timer(now + us_from_ms(after).max(1))),
                     // The site's discovery is pushed, and nobody may probe.
                     Action::Subscribe | Action::Probe(_) => {}
                 }
@@ -350,7 +350,7 @@
     // ---- Connections ----
 
     fn keeps(&self) -> Us {
-        ms(self.told.keepalive * KEPT)
+        us_from_ms(self.told.keepalive * KEPT)
     }
 
     /// The kept connection that was used last.
--- a/crates/lab/src/modules/votes.rs
+++ b/crates/lab/src/modules/votes.rs
@@ -10,7 +10,7 @@
 use member::votes::{Verdict, Verdicts, VoteReport};
 use member::{Epoch, Policy, Process, Stamp};
 
-use crate::removals::Word;
+use crate::removals::GroupVerdicts;
 use crate::server::Us;
 
 /// Between two beats of a member.
@@ -94,7 +94,7 @@
 }
 
 /// The group's word, as an operator would read it.
-pub fn word(told: Verdicts) -> Word {
+pub fn word(told: Verdicts) -> GroupVerdicts {
     let verdict = |Verdict { server, born_ms, zones, probers }| (server, born_ms, zones, !probers.is_empty());
-    Word { version: told.version, verdicts: told.verdicts.into_iter().map(verdict).collect() }
+    GroupVerdicts { version: told.version, verdicts: told.verdicts.into_iter().map(verdict).collect() }
 }
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -13,25 +13,25 @@
 /// The version of the file's form.
 pub const SCHEMA: u32 = 1;
 /// The most zones, nodes, servers and first tries of one play.
-pub const ZONES_MOST: usize = 6;
+pub const MAX_ZONES: usize = 6;
 /// The most nodes.
-pub const NODES_MOST: usize = 400;
+pub const MAX_NODES: usize = 400;
 /// The most servers that are listed at a time.
-pub const SERVERS_MOST: usize = 400;
+pub const MAX_SERVERS: usize = 400;
 /// The most silent connections to one node.
-pub const CROWD_MOST: f64 = 5000.0;
+pub const MAX_IDLE_CONNECTIONS: f64 = 5000.0;
 /// The most liars of one fault.
-pub const LIARS_MOST: f64 = 16.0;
+pub const MAX_FAULTY_VOTERS: f64 = 16.0;
 /// The most replicas of a control group.
-pub const REPLICAS_MOST: usize = 7;
+pub const MAX_REPLICAS: usize = 7;
 /// The longest play, in seconds.
-pub const LENGTH_MOST: f64 = 3600.0;
+pub const MAX_LENGTH_S: f64 = 3600.0;
 
 /// The largest figure that a file may have, in whatever unit: beyond all that is sensible, and within all that clocks
 /// and counters can hold.
-pub const FIGURE_MOST: f64 = 1e6;
+pub const MAX_VALUE: f64 = 1e6;
 
-/// A figure, or the bounds that a draw takes one from; from 0 to [`FIGURE_MOST`].
+/// A figure, or the bounds that a draw takes one from; from 0 to [`MAX_VALUE`].
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(try_from = "Written")]
 pub enum Range {
@@ -78,10 +78,10 @@
 
 /// A figure that can be played.
 fn sensible(figure: f64) -> Result<f64, String> {
-    if (0.0..=FIGURE_MOST).contains(&figure) {
+    if (0.0..=MAX_VALUE).contains(&figure) {
         Ok(figure)
     } else {
-        Err(format!("{figure} is not within 0 and {FIGURE_MOST}"))
+        Err(format!("{figure} is not within 0 and {MAX_VALUE}"))
     }
 }
 
@@ -114,7 +114,7 @@
     pub fleet: Spanned<Fleet>,
     /// The app servers' kind.
     #[serde(default = "unplaced")]
-    pub server: Spanned<Kind>,
+    pub server: Spanned<ServerKind>,
     /// What clients ask for.
     #[serde(default = "unplaced")]
     pub load: Spanned<Load>,
@@ -138,13 +138,13 @@
     pub node: NodeLimits,
     /// The group that the nodes' policy is agreed by; without it nodes keep their settings.
     #[serde(default)]
-    pub control: Option<Spanned<Control>>,
+    pub control: Option<Spanned<ControlGroup>>,
     /// What goes wrong.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Spanned<Fault>>,
     /// What must hold.
-    #[serde(default = "unplaced")]
-    pub hold: Spanned<Hold>,
+    #[serde(default = "unplaced", rename = "hold")]
+    pub expectations: Spanned<Expectations>,
 }
 
 /// What a file leaves out stands nowhere in it.
@@ -187,7 +187,7 @@
 /// A kind of app server. Work is in milliseconds of one core at speed 1.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Kind {
+pub struct ServerKind {
     /// Cores; a request runs on one.
     pub cores: usize,
     /// The mean speed of the draw's servers.
@@ -233,7 +233,7 @@
     pub choke_most_s: Range,
 }
 
-impl Default for Kind {
+impl Default for ServerKind {
     fn default() -> Self {
         Self {
             cores: 2,
@@ -292,9 +292,10 @@
 /// How the work of a class is spread.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
-pub enum Dist {
+pub enum WorkDistribution {
     /// Exponential.
-    Exp,
+    #[serde(rename = "exp")]
+    Exponential,
     /// Lognormal.
     Lognormal,
 }
@@ -302,7 +303,7 @@
 /// May a request run again?
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
-pub enum Effect {
+pub enum Idempotency {
     /// Any number of times.
     Safe,
     /// Repeats are dropped by all servers, for a while.
@@ -323,7 +324,7 @@
     /// Mean work, in ms.
     pub work_ms: Range,
     /// How work is spread.
-    pub dist: Dist,
+    pub dist: WorkDistribution,
     /// Standard deviation over mean, for a lognormal one.
     #[serde(default = "unit")]
     pub cv: Range,
@@ -337,7 +338,8 @@
     #[serde(deserialize_with = "figure")]
     pub worth: f64,
     /// May it run again?
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
     /// How long repeats are dropped, where it is keyed.
     #[serde(default, deserialize_with = "figure")]
     pub window_ms: f64,
@@ -352,16 +354,21 @@
         name: name.into(),
         share,
         work_ms: Range::Between(work),
-        dist: if effect == Effect::Safe { Dist::Exp } else { Dist::Lognormal },
+        dist: if effect == Idempotency::Safe {
+            WorkDistribution::Exponential
+        } else {
+            WorkDistribution::Lognormal
+        },
         cv: Range::Between(cv),
         aim_ms: 300.0,
         deadline_ms,
         worth,
-        effect,
+        idempotency: effect,
         window_ms,
     };
-    let lookup = class("lot-lookup", 0.55, [41.0, 73.0], [0.94, 1.4], 600.0, 3.0, Effect::Safe, 0.0);
-    let file = class("cert-request", 0.45, [33.0, 59.0], [0.73, 1.2], 1000.0, 2.0, Effect::Keyed, 5000.0);
+    let lookup = class("lot-lookup", 0.55, [41.0, 73.0], [0.94, 1.4], 600.0, 3.0, Idempotency::Safe, 0.0);
+    let file =
+        class("cert-request", 0.45, [33.0, 59.0], [0.73, 1.2], 1000.0, 2.0, Idempotency::Keyed, 5000.0);
     Spanned::new(0..0, vec![lookup, file])
 }
 
@@ -506,13 +513,13 @@
 /// The control group: real replicas, with a relay on each link between them and from each node to each.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Control {
+pub struct ControlGroup {
     /// How many replicas.
     pub replicas: usize,
     /// What becomes of a change while a node can't be reached.
-    pub unreachable: Unreachable,
+    pub unreachable: UnreachablePolicy,
     /// How nodes come to their first epoch.
-    pub start: Start,
+    pub start: StartMode,
     /// Where that is by what was saved: after how long without an answer of the group.
     #[serde(deserialize_with = "figure")]
     pub saved_after_ms: f64,
@@ -520,22 +527,22 @@
     pub terms: toml::Table,
 }
 
-impl Default for Control {
+impl Default for ControlGroup {
     fn default() -> Self {
         Self {
             replicas: 3,
-            unreachable: Unreachable::Abort,
-            start: Start::Wait,
+            unreachable: UnreachablePolicy::Abort,
+            start: StartMode::Wait,
             saved_after_ms: 3000.0,
             terms: toml::Table::new(),
         }
     }
 }
 
-impl Control {
+impl ControlGroup {
     /// For how long two policies can be in force at once, in milliseconds: a promise, as the replicas' terms have it, by
     /// clocks that differ in rate.
-    pub fn mixed_ms(&self) -> f64 {
+    pub fn max_mixed_ms(&self) -> f64 {
         let told = self.terms.get("promise_ms").and_then(toml::Value::as_integer);
         let promise = told.map_or(control::leader::Terms::default().promise_ms, |ms| ms as f64);
         promise * (1.0 + 2.0 * member::MAX_CLOCK_DRIFT)
@@ -545,7 +552,7 @@
 /// What becomes of a change while a node can't be reached.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Unreachable {
+pub enum UnreachablePolicy {
     /// It is aborted.
     Abort,
     /// The node stops taking requests, and the change goes on without it.
@@ -555,7 +562,7 @@
 /// How nodes come to their first epoch.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Start {
+pub enum StartMode {
     /// They wait for the group.
     Wait,
     /// After a while without the group, by the one that they saved.
@@ -565,40 +572,49 @@
 /// What a fault does.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum FaultKind {
     /// Nodes are killed, and started again after `for_s`.
     Kill,
     /// Nodes are told to end, and started again once they have.
     Restart,
     /// Nodes stand still for `for_s`.
-    Stop,
+    #[serde(rename = "stop")]
+    Pause,
     /// `factor` connections to each node that never say a word, for `for_s`.
-    Crowd,
+    #[serde(rename = "crowd")]
+    IdleConnections,
     /// App servers vanish without a word for `for_s` and come back cold.
-    Lose,
+    #[serde(rename = "lose")]
+    Vanish,
     /// App servers end at once, resetting what they had, and come back cold after `for_s`.
     Crash,
     /// App servers are slower by `factor`.
     Slow,
     /// Another program takes the share `factor` of app servers, on and off.
-    Neighbour,
+    #[serde(rename = "neighbour")]
+    NoisyNeighbour,
     /// The share `factor` of requests at app servers fails.
     Errors,
     /// The share `factor` of answers is sent `slower_ms` late, and the share `garbled` breaks off.
-    Gray,
+    #[serde(rename = "gray")]
+    GrayFailure,
     /// The share `factor` of answers is lost with its connection.
-    Reset,
+    #[serde(rename = "reset")]
+    ResetConnections,
     /// App servers are drained, ended and started anew, in `steps` over `for_s`. What they start as fails the share
     /// `factor` of requests, until the next release.
     Release,
     /// App servers are drained and others started in their place, in `steps` over `for_s`; with `factor` as a release.
     Replace,
     /// Nothing passes between a zone and the others, or the one that it is cut from; connections stay up.
-    Cut,
+    #[serde(rename = "cut")]
+    Partition,
     /// All connections between a zone and the others break, once.
-    BreakLinks,
+    #[serde(rename = "break-links")]
+    BreakConnections,
     /// `factor` bytes a second pass each way between a zone and each other; messages wait in turn.
-    Narrow,
+    #[serde(rename = "narrow")]
+    LimitBandwidth,
     /// The list is silent.
     ListOutage,
     /// The list ends its watches and knows only what it knew `factor` versions ago; then it has all again.
@@ -606,7 +622,8 @@
     /// Each second line of the list overtakes the one before.
     ReorderedList,
     /// The share `factor` of what nodes send to app servers is lost; of half of that the connection breaks.
-    Uplink,
+    #[serde(rename = "uplink")]
+    UplinkLoss,
     /// Load grows by `factor`.
     Burst,
     /// Operators ask for the `policy`; they go on asking for `for_s` while nobody says what became of it.
@@ -614,36 +631,82 @@
     /// Replicas are killed, and started again after `for_s`.
     ReplicaKill,
     /// Replicas stand still for `for_s`.
-    ReplicaStop,
+    #[serde(rename = "replica-stop")]
+    ReplicaPause,
     /// Replicas are told to end, and started again once they have.
     ReplicaRestart,
     /// All replicas are killed, and started again after `for_s`.
-    GroupLost,
+    #[serde(rename = "group-lost")]
+    GroupOutage,
     /// Nothing passes between nodes and the replicas, both ways or one (`out` of the nodes, `in`to them).
-    CutControl,
+    #[serde(rename = "cut-control")]
+    PartitionControl,
     /// Nothing passes between replicas and all others, nodes too, both ways or one.
-    CutReplica,
+    #[serde(rename = "cut-replica")]
+    PartitionReplica,
     /// So many members as `factor` says, in the zones in turn, serve nothing and vote for the removal of app servers.
-    Liar,
+    #[serde(rename = "liar")]
+    FaultyVoters,
 }
 
-impl Trouble {
+impl FaultKind {
+    /// The name of the kind in experiments, results and error messages.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Kill => "kill",
+            Self::Restart => "restart",
+            Self::Pause => "stop",
+            Self::IdleConnections => "crowd",
+            Self::Vanish => "lose",
+            Self::Crash => "crash",
+            Self::Slow => "slow",
+            Self::NoisyNeighbour => "neighbour",
+            Self::Errors => "errors",
+            Self::GrayFailure => "gray",
+            Self::ResetConnections => "reset",
+            Self::Release => "release",
+            Self::Replace => "replace",
+            Self::Partition => "cut",
+            Self::BreakConnections => "break-links",
+            Self::LimitBandwidth => "narrow",
+            Self::ListOutage => "list-outage",
+            Self::StaleList => "stale-list",
+            Self::ReorderedList => "reordered-list",
+            Self::UplinkLoss => "uplink",
+            Self::Burst => "burst",
+            Self::Policy => "policy",
+            Self::ReplicaKill => "replica-kill",
+            Self::ReplicaPause => "replica-stop",
+            Self::ReplicaRestart => "replica-restart",
+            Self::GroupOutage => "group-lost",
+            Self::PartitionControl => "cut-control",
+            Self::PartitionReplica => "cut-replica",
+            Self::FaultyVoters => "liar",
+        }
+    }
+
     /// It strikes replicas, by number from 1 on.
-    pub fn of_replicas(self) -> bool {
-        matches!(self, Self::ReplicaKill | Self::ReplicaStop | Self::ReplicaRestart | Self::CutReplica)
+    pub fn targets_replicas(self) -> bool {
+        matches!(self, Self::ReplicaKill | Self::ReplicaPause | Self::ReplicaRestart | Self::PartitionReplica)
     }
 
     /// It strikes nodes.
-    pub fn of_nodes(self) -> bool {
+    pub fn targets_nodes(self) -> bool {
         matches!(
             self,
-            Self::Kill | Self::Restart | Self::Stop | Self::Crowd | Self::Uplink | Self::CutControl
+            Self::Kill
+                | Self::Restart
+                | Self::Pause
+                | Self::IdleConnections
+                | Self::UplinkLoss
+                | Self::PartitionControl
         )
     }
 
     /// It needs a control group.
-    pub fn of_control(self) -> bool {
-        self.of_replicas() || matches!(self, Self::Policy | Self::GroupLost | Self::CutControl | Self::Liar)
+    pub fn needs_control_group(self) -> bool {
+        self.targets_replicas()
+            || matches!(self, Self::Policy | Self::GroupOutage | Self::PartitionControl | Self::FaultyVoters)
     }
 }
 
@@ -652,7 +715,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What happens.
-    pub kind: Trouble,
+    pub kind: FaultKind,
     /// When, in seconds from the first client on.
     #[serde(deserialize_with = "figure")]
     pub at_s: f64,
@@ -677,19 +740,22 @@
     #[serde(default, deserialize_with = "figure_or_none")]
     pub garbled: Option<f64>,
     /// Of a cut: only what goes `out` of the zone, or `in`to it; both where absent.
-    pub way: Option<Way>,
+    #[serde(rename = "way")]
+    pub direction: Option<Direction>,
     /// The other zone of a cut, or of narrow links; all others where absent.
-    pub to: Option<String>,
+    #[serde(rename = "to")]
+    pub peer_zone: Option<String>,
     /// The policy that is asked for: settings' fields with their new values.
     pub policy: Option<serde_json::Map<String, serde_json::Value>>,
     /// The replica that leads when the fault begins, in place of `ids`.
-    pub which: Option<Which>,
+    #[serde(rename = "which")]
+    pub role: Option<ReplicaRole>,
 }
 
 /// A replica by its part.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
-pub enum Which {
+pub enum ReplicaRole {
     /// The one that leads.
     Leader,
 }
@@ -697,7 +763,7 @@
 /// One way of a link.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
-pub enum Way {
+pub enum Direction {
     /// From the zone to the others.
     Out,
     /// From the others to the zone.
@@ -707,7 +773,7 @@
 /// What must hold; what is absent is not asked for. No rule may be broken in any case.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Hold {
+pub struct Expectations {
     /// Share of the worth that is served within the aim, at least.
     pub served: Option<f64>,
     /// The same for the class that is served worst.
@@ -762,8 +828,8 @@
         source: std::io::Error,
     },
     /// It is no experiment: a key or a value that has no place in one.
-    #[error("{file}:{line}: {field}: {words}")]
-    Form {
+    #[error("{file}:{line}: {field}: {reason}")]
+    Format {
         /// The file.
         file: String,
         /// The line, from 1.
@@ -771,11 +837,11 @@
         /// The field's path.
         field: String,
         /// What is wrong.
-        words: String,
+        reason: String,
     },
     /// A figure or a name that can't be played.
-    #[error("{file}:{line}: {field}: {words}")]
-    Figure {
+    #[error("{file}:{line}: {field}: {reason}")]
+    InvalidValue {
         /// The file.
         file: String,
         /// The line, from 1.
@@ -783,7 +849,7 @@
         /// The field's path.
         field: String,
         /// What is wrong.
-        words: String,
+        reason: String,
     },
 }
 
@@ -792,8 +858,8 @@
     pub fn advice(&self) -> &'static str {
         match self {
             Self::Read { .. } => "name an experiment's file, such as experiments/calm.toml",
-            Self::Form { .. } => "write the key as crates/lab/src/plan.rs has it",
-            Self::Figure { .. } => "give it a value within the bounds named",
+            Self::Format { .. } => "write the key as crates/lab/src/plan.rs has it",
+            Self::InvalidValue { .. } => "give it a value within the bounds named",
         }
     }
 }
@@ -802,11 +868,11 @@
 struct Bad {
     at: usize,
     field: String,
-    words: String,
+    reason: String,
 }
 
-fn bad<T>(at: usize, field: impl Into<String>, words: impl Into<String>) -> Result<T, Bad> {
-    Err(Bad { at, field: field.into(), words: words.into() })
+fn bad<T>(at: usize, field: impl Into<String>, reason: impl Into<String>) -> Result<T, Bad> {
+    Err(Bad { at, field: field.into(), reason: reason.into() })
 }
 
 /// A field's path, without the names that a [`Spanned`] is read under.
@@ -842,7 +908,7 @@
     }
 
     /// The same without the faults of some kinds.
-    pub fn without(mut self, kinds: &[Trouble]) -> Self {
+    pub fn without(mut self, kinds: &[FaultKind]) -> Self {
         self.faults.retain(|fault| !kinds.contains(&fault.get_ref().kind));
         self
     }
@@ -853,20 +919,20 @@
     /// As [`Plan::load`].
     pub fn read(file: &str, text: &str) -> Result<Self, PlanError> {
         let line = |at: usize| text.as_bytes().iter().take(at).filter(|b| **b == b'\n').count() + 1;
-        let form = |field: String, e: &toml::de::Error| PlanError::Form {
+        let form = |field: String, e: &toml::de::Error| PlanError::Format {
             file: file.into(),
             line: line(e.span().map_or(0, |s| s.start)),
             field,
-            words: e.message().replace('\n', " "),
+            reason: e.message().replace('\n', " "),
         };
         let from = toml::Deserializer::parse(text).map_err(|e| form("the file".into(), &e))?;
         let plan: Self =
             serde_path_to_error::deserialize(from).map_err(|e| form(field_of(e.path()), e.inner()))?;
-        plan.check().map_err(|Bad { at, field, words }| PlanError::Figure {
+        plan.check().map_err(|Bad { at, field, reason }| PlanError::InvalidValue {
             file: file.into(),
             line: line(at),
             field,
-            words,
+            reason,
         })?;
         Ok(plan)
     }
@@ -877,25 +943,25 @@
             return bad(0, "schema", format!("{SCHEMA} is known, not {}", self.schema));
         }
         let length = *self.length_s.get_ref();
-        if !(length > 0.0 && length <= LENGTH_MOST) {
-            let words = format!("{length} is not in 0 to {LENGTH_MOST}");
-            return bad(self.length_s.span().start, "length_s", words);
+        if !(length > 0.0 && length <= MAX_LENGTH_S) {
+            let reason = format!("{length} is not in 0 to {MAX_LENGTH_S}");
+            return bad(self.length_s.span().start, "length_s", reason);
         }
         self.check_fleet(self.fleet.span().start)?;
         self.check_figures()?;
         if let Some(control) = &self.control {
             let replicas = control.get_ref().replicas;
-            if !(1..=REPLICAS_MOST).contains(&replicas) {
-                let words = format!("1 to {REPLICAS_MOST} are possible, not {replicas}");
-                return bad(control.span().start, "control.replicas", words);
+            if !(1..=MAX_REPLICAS).contains(&replicas) {
+                let reason = format!("1 to {MAX_REPLICAS} are possible, not {replicas}");
+                return bad(control.span().start, "control.replicas", reason);
             }
         }
         for (n, fault) in self.faults.iter().enumerate() {
-            let kind = format!("{:?}", fault.get_ref().kind).to_lowercase();
-            self.check_fault(fault.get_ref()).map_err(|(key, words)| Bad {
+            let kind = fault.get_ref().kind.name();
+            self.check_fault(fault.get_ref()).map_err(|(key, reason)| Bad {
                 at: fault.span().start,
                 field: format!("fault[{n}].{key}"),
-                words: format!("{kind}: {words}"),
+                reason: format!("{kind}: {reason}"),
             })?;
         }
         Ok(())
@@ -903,12 +969,12 @@
 
     fn check_fleet(&self, at: usize) -> Result<(), Bad> {
         let fleet = self.fleet.get_ref();
-        if fleet.zones.is_empty() || fleet.zones.len() > ZONES_MOST {
-            let words = format!("1 to {ZONES_MOST} are possible, not {}", fleet.zones.len());
-            return bad(at, "fleet.zones", words);
+        if fleet.zones.is_empty() || fleet.zones.len() > MAX_ZONES {
+            let reason = format!("1 to {MAX_ZONES} are possible, not {}", fleet.zones.len());
+            return bad(at, "fleet.zones", reason);
         }
         for (key, range, most) in
-            [("fleet.nodes", fleet.nodes, NODES_MOST), ("fleet.servers", fleet.servers, SERVERS_MOST)]
+            [("fleet.nodes", fleet.nodes, MAX_NODES), ("fleet.servers", fleet.servers, MAX_SERVERS)]
         {
             let (least, largest) = range.bounds();
             if !(least >= 1.0 && largest <= most as f64) {
@@ -959,8 +1025,8 @@
             let name = &class.name;
             let figures = [class.work_ms.bounds().0, class.aim_ms, class.deadline_ms, class.worth];
             if figures.iter().any(|v| !(*v > 0.0 && v.is_finite())) || class.share < 0.0 {
-                let words = "work_ms, aim_ms, deadline_ms, worth must be above 0";
-                return bad(at, format!("class {name}"), words);
+                let reason = "work_ms, aim_ms, deadline_ms, worth must be above 0";
+                return bad(at, format!("class {name}"), reason);
             }
         }
         let clients = self.clients.get_ref();
@@ -981,7 +1047,7 @@
     /// The key of a fault that can't be played, and why.
     fn check_fault(&self, fault: &Fault) -> Result<(), (&'static str, String)> {
         let length = *self.length_s.get_ref();
-        let fail = |key: &'static str, words: String| Err((key, words));
+        let fail = |key: &'static str, reason: String| Err((key, reason));
         if !(fault.at_s >= 0.0 && fault.at_s < length) {
             return fail("at_s", format!("{} is not within the {length} s of the run", fault.at_s));
         }
@@ -994,8 +1060,8 @@
                 return fail("zone", format!("{zone} is not in fleet.zones"));
             }
         }
-        if let Some(to) = &fault.to {
-            if !matches!(fault.kind, Trouble::Cut | Trouble::Narrow) {
+        if let Some(to) = &fault.peer_zone {
+            if !matches!(fault.kind, FaultKind::Partition | FaultKind::LimitBandwidth) {
                 return fail("to", "only for cut and narrow".into());
             }
             if !fleet.zones.contains(to) || fault.zone.as_ref() == Some(to) {
@@ -1009,48 +1075,58 @@
             return fail("garbled", "a share from 0 to 1 expected".into());
         }
         let Some(replicas) = self.control.as_ref().map(|c| c.get_ref().replicas).or_else(|| {
-            let without = !fault.kind.of_control();
+            let without = !fault.kind.needs_control_group();
             without.then_some(0)
         }) else {
             return fail("kind", "[control] is missing: there is no group that it could strike".into());
         };
         let (least, most) = match fault.kind {
-            kind if kind.of_nodes() => (0, fleet.nodes.bounds().0 as usize - 1),
-            kind if kind.of_replicas() => (1, replicas),
+            kind if kind.targets_nodes() => (0, fleet.nodes.bounds().0 as usize - 1),
+            kind if kind.targets_replicas() => (1, replicas),
             _ => (0, fleet.servers.bounds().0 as usize - 1),
         };
         if let Some(id) = fault.ids.iter().flatten().find(|id| !(least..=most).contains(*id)) {
             return fail("ids", format!("{id} is not there; they count from {least} to {most}"));
         }
-        if fault.which.is_some() && (!fault.kind.of_replicas() || fault.ids.is_some()) {
+        if fault.role.is_some() && (!fault.kind.targets_replicas() || fault.ids.is_some()) {
             return fail("which", "only for a replica, in place of ids".into());
         }
         match fault.kind {
-            Trouble::Cut | Trouble::BreakLinks | Trouble::Narrow if fault.zone.is_none() => {
+            FaultKind::Partition | FaultKind::BreakConnections | FaultKind::LimitBandwidth
+                if fault.zone.is_none() =>
+            {
                 fail("zone", "is missing".into())
             }
-            Trouble::Policy if fault.policy.is_none() => fail("policy", "is missing".into()),
-            Trouble::Narrow if !fault.factor.is_some_and(|f| f >= 1.0) => {
+            FaultKind::Policy if fault.policy.is_none() => fail("policy", "is missing".into()),
+            FaultKind::LimitBandwidth if !fault.factor.is_some_and(|f| f >= 1.0) => {
                 fail("factor", "bytes a second expected, 1 at least".into())
             }
-            Trouble::Crowd if !fault.factor.is_some_and(|f| (1.0..=CROWD_MOST).contains(&f)) => {
-                fail("factor", format!("1 to {CROWD_MOST} connections expected"))
+            FaultKind::IdleConnections
+                if !fault.factor.is_some_and(|f| (1.0..=MAX_IDLE_CONNECTIONS).contains(&f)) =>
+            {
+                fail("factor", format!("1 to {MAX_IDLE_CONNECTIONS} connections expected"))
             }
-            Trouble::Liar
-                if !fault.factor.is_some_and(|f| f.fract() == 0.0 && (1.0..=LIARS_MOST).contains(&f)) =>
+            FaultKind::FaultyVoters
+                if !fault
+                    .factor
+                    .is_some_and(|f| f.fract() == 0.0 && (1.0..=MAX_FAULTY_VOTERS).contains(&f)) =>
             {
-                fail("factor", format!("a whole number of liars expected, 1 to {LIARS_MOST}"))
+                fail("factor", format!("a whole number of liars expected, 1 to {MAX_FAULTY_VOTERS}"))
             }
-            Trouble::Release | Trouble::Replace if fault.factor.is_some_and(|f| f > 1.0) => {
+            FaultKind::Release | FaultKind::Replace if fault.factor.is_some_and(|f| f > 1.0) => {
                 fail("factor", "a share from 0 to 1 expected".into())
             }
-            Trouble::StaleList if !fault.factor.is_some_and(|f| f >= 1.0 && f.fract() == 0.0) => {
+            FaultKind::StaleList if !fault.factor.is_some_and(|f| f >= 1.0 && f.fract() == 0.0) => {
                 fail("factor", "a whole number of versions expected, 1 at least".into())
             }
-            Trouble::Slow | Trouble::Burst if !fault.factor.is_some_and(|f| f > 0.0 && f <= 1000.0) => {
+            FaultKind::Slow | FaultKind::Burst if !fault.factor.is_some_and(|f| f > 0.0 && f <= 1000.0) => {
                 fail("factor", "a figure above 0 expected".into())
             }
-            Trouble::Neighbour | Trouble::Errors | Trouble::Gray | Trouble::Reset | Trouble::Uplink
+            FaultKind::NoisyNeighbour
+            | FaultKind::Errors
+            | FaultKind::GrayFailure
+            | FaultKind::ResetConnections
+            | FaultKind::UplinkLoss
                 if !fault.factor.is_some_and(|f| (0.0..=1.0).contains(&f)) =>
             {
                 fail("factor", "a share from 0 to 1 expected".into())
@@ -1073,12 +1149,51 @@
 mod tests {
     use super::*;
 
-    fn words(text: &str) -> String {
+    fn reason(text: &str) -> String {
         Plan::read("x.toml", &format!("schema = 1\nname = \"x\"\nlength_s = 10\n{text}"))
             .expect_err("can't be played")
             .to_string()
     }
 
+    #[test]
+    fn every_fault_kind_is_named_as_experiments_write_it() {
+        let kinds = [
+            FaultKind::Kill,
+            FaultKind::Restart,
+            FaultKind::Pause,
+            FaultKind::IdleConnections,
+            FaultKind::Vanish,
+            FaultKind::Crash,
+            FaultKind::Slow,
+            FaultKind::NoisyNeighbour,
+            FaultKind::Errors,
+            FaultKind::GrayFailure,
+            FaultKind::ResetConnections,
+            FaultKind::Release,
+            FaultKind::Replace,
+            FaultKind::Partition,
+            FaultKind::BreakConnections,
+            FaultKind::LimitBandwidth,
+            FaultKind::ListOutage,
+            FaultKind::StaleList,
+            FaultKind::ReorderedList,
+            FaultKind::UplinkLoss,
+            FaultKind::Burst,
+            FaultKind::Policy,
+            FaultKind::ReplicaKill,
+            FaultKind::ReplicaPause,
+            FaultKind::ReplicaRestart,
+            FaultKind::GroupOutage,
+            FaultKind::PartitionControl,
+            FaultKind::PartitionReplica,
+            FaultKind::FaultyVoters,
+        ];
+        for kind in kinds {
+            let written = format!("kind = \"{}\"\nat_s = 1\n", kind.name());
+            assert_eq!(toml::from_str::<Fault>(&written).expect("a fault").kind, kind);
+        }
+    }
+
     #[test]
     fn the_experiments_can_be_played_and_hold_mixed_policies_to_what_their_replicas_promise() {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments");
@@ -1087,8 +1202,8 @@
         assert!(files.len() > 20, "{files:?}");
         for file in files {
             let plan = Plan::load(&file).unwrap_or_else(|e| panic!("{e}"));
-            let promised = plan.control.as_ref().map(|c| c.get_ref().mixed_ms());
-            if let Some(held) = plan.hold.get_ref().mixed_ms {
+            let promised = plan.control.as_ref().map(|c| c.get_ref().max_mixed_ms());
+            if let Some(held) = plan.expectations.get_ref().mixed_ms {
                 assert_eq!(Some(held), promised, "{}", file.display());
             }
         }
@@ -1096,28 +1211,28 @@
 
     #[test]
     fn what_can_t_be_played_is_told_with_file_line_and_key() {
-        assert!(words("[load]\nrats = 3\n").starts_with("x.toml:5: load.rats: unknown field `rats`"));
-        let fault = |rest: &str| words(&format!("[[fault]]\nkind = \"cut\"\nat_s = 2\n{rest}"));
+        assert!(reason("[load]\nrats = 3\n").starts_with("x.toml:5: load.rats: unknown field `rats`"));
+        let fault = |rest: &str| reason(&format!("[[fault]]\nkind = \"cut\"\nat_s = 2\n{rest}"));
         assert_eq!(
             fault("zone = \"nowhere\"\n"),
             "x.toml:4: fault[0].zone: cut: nowhere is not in fleet.zones"
         );
         assert_eq!(fault("for_s = 9\n"), "x.toml:4: fault[0].for_s: cut: it ends after the 10 s of the run");
-        assert!(words("[server]\ncores = 0\n").contains("server.cores"));
-        assert!(words("[server]\nspeed = inf\n")
+        assert!(reason("[server]\ncores = 0\n").contains("server.cores"));
+        assert!(reason("[server]\nspeed = inf\n")
             .contains("x.toml:5: server.speed: inf is not within 0 and 1000000"));
-        assert!(words("[server]\nspeed = [2, 1]\n").contains("the least comes first"));
-        assert!(words("[clients]\nmax_retry_after_ms = -1\n")
+        assert!(reason("[server]\nspeed = [2, 1]\n").contains("the least comes first"));
+        assert!(reason("[clients]\nmax_retry_after_ms = -1\n")
             .contains("x.toml:5: clients.max_retry_after_ms: -1 is not within"));
-        assert!(words("[server]\nspeed = \"fast\"\n").contains("a number or [least, most] expected"));
-        assert!(words("[fleet]\nnodes = 4000\n").contains("fleet.nodes: 1 to 400"));
-        assert!(words("[[fault]]\nkind = \"slow\"\nat_s = 1\n").contains("factor"));
-        assert!(words("[[fault]]\nkind = \"stop\"\nids = [7]\nat_s = 1\n")
+        assert!(reason("[server]\nspeed = \"fast\"\n").contains("a number or [least, most] expected"));
+        assert!(reason("[fleet]\nnodes = 4000\n").contains("fleet.nodes: 1 to 400"));
+        assert!(reason("[[fault]]\nkind = \"slow\"\nat_s = 1\n").contains("factor"));
+        assert!(reason("[[fault]]\nkind = \"stop\"\nids = [7]\nat_s = 1\n")
             .contains("fault[0].ids: stop: 7 is not there"));
-        assert!(words("[control]\nreplicas = 9\n").contains("x.toml:4: control.replicas: 1 to 7"));
+        assert!(reason("[control]\nreplicas = 9\n").contains("x.toml:4: control.replicas: 1 to 7"));
         let lost = "[[fault]]\nkind = \"group-lost\"\nat_s = 1\n";
-        assert!(words(lost).contains("fault[0].kind: grouplost: [control] is missing"));
-        let of = |more: &str| words(&format!("[control]\n[[fault]]\nat_s = 1\n{more}"));
+        assert!(reason(lost).contains("fault[0].kind: group-lost: [control] is missing"));
+        let of = |more: &str| reason(&format!("[control]\n[[fault]]\nat_s = 1\n{more}"));
         assert!(of("kind = \"replica-kill\"\nids = [0]\n").contains("they count from 1 to 3"));
         assert!(of("kind = \"kill\"\nwhich = \"leader\"\n").contains("fault[0].which: kill: only for"));
         assert!(
--- a/crates/lab/src/referee.rs
+++ b/crates/lab/src/referee.rs
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::draw::ClassSpec;
-use crate::listing::List;
-use crate::plan::{Effect, Rules};
+use crate::plan::{Idempotency, Rules};
 use crate::server::Us;
+use crate::server_list::ServerList;
 
 /// What an agent has counts as told at once, whether or not a watch is open. What does not come over a watch that
 /// stands counts this long after.
@@ -83,7 +83,8 @@
     /// The request, by its `X-Txn`.
     pub request: Option<String>,
     /// What happened.
-    pub words: String,
+    #[serde(rename = "words")]
+    pub description: String,
 }
 
 impl fmt::Display for Breach {
@@ -94,13 +95,13 @@
                 write!(f, ", {name} {value}")?;
             }
         }
-        write!(f, ": {}", self.words)
+        write!(f, ": {}", self.description)
     }
 }
 
 /// Who and what a breach is about.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct About {
+pub struct BreachSubject {
     /// The node.
     pub node: Option<usize>,
     /// The server.
@@ -137,7 +138,7 @@
 #[derive(Debug)]
 struct Asked {
     node: usize,
-    effect: Effect,
+    effect: Idempotency,
     window: Us,
     answered: Option<Us>,
     attempts: Vec<Sent>,
@@ -149,7 +150,7 @@
     rules: Rules,
     nodes: Vec<Node>,
     asked: Vec<Asked>,
-    breaches: Vec<(Rule, Us, About, String)>,
+    breaches: Vec<(Rule, Us, BreachSubject, String)>,
     count: usize,
 }
 
@@ -161,16 +162,16 @@
     }
 
     fn slack(&self) -> Us {
-        crate::draw::ms(self.rules.slack_ms)
+        crate::draw::us_from_ms(self.rules.slack_ms)
     }
 
     /// How long after its time a final answer may come.
     pub fn answer_slack(&self) -> Us {
-        crate::draw::ms(self.rules.answer_slack_ms) + self.slack()
+        crate::draw::us_from_ms(self.rules.answer_slack_ms) + self.slack()
     }
 
     /// Notes a breach.
-    pub fn note(&mut self, rule: Rule, at: Us, about: About, words: impl Into<String>) {
+    pub fn record_breach(&mut self, rule: Rule, at: Us, about: BreachSubject, words: impl Into<String>) {
         self.count += 1;
         if self.breaches.len() < KEPT {
             self.breaches.push((rule, at, about, words.into()));
@@ -178,26 +179,26 @@
     }
 
     /// How many rules were broken, and the first of them.
-    pub fn breaches(&self) -> (usize, &[(Rule, Us, About, String)]) {
+    pub fn breaches(&self) -> (usize, &[(Rule, Us, BreachSubject, String)]) {
         (self.count, &self.breaches)
     }
 
     /// A node started anew knows what its configuration names: this version.
-    pub fn started(&mut self, now: Us, node: usize, known: u64, list: &List) {
+    pub fn node_started(&mut self, now: Us, node: usize, known: u64, list: &ServerList) {
         self.nodes[node] = Node::default();
-        self.told(now, node, known, list);
+        self.node_notified(now, node, known, list);
     }
 
     /// The node's agent has a version. `held`: its line is held up.
-    pub fn has(&mut self, now: Us, node: usize, version: u64, held: bool) {
+    pub fn agent_received(&mut self, now: Us, node: usize, version: u64, held: bool) {
         let after = if held { TOLD_WITHIN } else { 0 };
         self.nodes[node].pending.push((now + after, version));
     }
 
     /// A version was written to the node.
-    pub fn told(&mut self, now: Us, node: usize, version: u64, list: &List) {
+    pub fn node_notified(&mut self, now: Us, node: usize, version: u64, list: &ServerList) {
         let node = &mut self.nodes[node];
-        for (server, entry) in list.between(node.told, version) {
+        for (server, entry) in list.changes_between(node.told, version) {
             if node.servers.len() <= server {
                 node.servers.resize(server + 1, Known::default());
             }
@@ -212,33 +213,40 @@
     }
 
     /// Was the node told of this start of the server?
-    pub fn told_of_start(&self, node: usize, server: usize, born_ms: f64) -> bool {
+    pub fn node_knows_start(&self, node: usize, server: usize, born_ms: f64) -> bool {
         self.nodes[node].servers.get(server).is_some_and(|k| k.born_ms >= born_ms)
     }
 
     /// A client's try goes to a node. Tries are numbered in the order of these calls.
-    pub fn asked(&mut self, node: usize, class: &ClassSpec) {
-        let (effect, window) = (class.effect, class.window);
+    pub fn request_sent(&mut self, node: usize, class: &ClassSpec) {
+        let (effect, window) = (class.idempotency, class.dedup_window);
         self.asked.push(Asked { node, effect, window, answered: None, attempts: Vec::new() });
     }
 
     /// An attempt at a try began to reach a server at `first`; its place among the try's attempts.
-    pub fn sent(&mut self, now: Us, request: usize, server: usize, first: Us, list: &List) -> usize {
+    pub fn attempt_sent(
+        &mut self,
+        now: Us,
+        request: usize,
+        server: usize,
+        first: Us,
+        list: &ServerList,
+    ) -> usize {
         let node = self.asked[request].node;
         let mut due: Vec<_> = self.nodes[node].pending.iter().filter(|(at, _)| *at <= now).copied().collect();
         due.sort_unstable();
         for (at, version) in due {
-            self.told(at, node, version, list);
+            self.node_notified(at, node, version, list);
         }
-        let about = About { node: Some(node), server: Some(server), request: Some(request) };
+        let about = BreachSubject { node: Some(node), server: Some(server), request: Some(request) };
         let known = self.nodes[node].servers.get(server).copied().unwrap_or_default();
         if !known.named {
-            self.note(Rule::Unlisted, now, about, "the node's list never named this server");
+            self.record_breach(Rule::Unlisted, now, about, "the node's list never named this server");
         }
-        let grace = crate::draw::ms(self.rules.drain_grace_ms) + self.slack();
+        let grace = crate::draw::us_from_ms(self.rules.drain_grace_ms) + self.slack();
         if let Some(off) = known.off.filter(|off| first > off + grace) {
             let words = format!("sent {:.0} ms after its drain was told", (first - off) as f64 / 1e3);
-            self.note(Rule::Drain, first, about, words);
+            self.record_breach(Rule::Drain, first, about, words);
         }
         let slack = self.slack();
         let asked = &self.asked[request];
@@ -249,16 +257,16 @@
             Some("sent after its final answer".to_string())
         } else {
             match asked.effect {
-                Effect::Safe => None,
-                Effect::Keyed => {
+                Idempotency::Safe => None,
+                Idempotency::Keyed => {
                     let late = ran.any(|a| first > a.at + asked.window + slack);
                     late.then(|| "sent again after its key was forgotten".to_string())
                 }
-                Effect::Unsafe => ran.next().map(|_| "sent again though it may have run".to_string()),
+                Idempotency::Unsafe => ran.next().map(|_| "sent again though it may have run".to_string()),
             }
         };
         if let Some(words) = fault {
-            self.note(Rule::Repeat, now, about, words);
+            self.record_breach(Rule::Repeat, now, about, words);
         }
         let attempts = &mut self.asked[request].attempts;
         attempts.push(Sent { at: now, never_ran: false });
@@ -266,21 +274,21 @@
     }
 
     /// The node was shown that this attempt never ran.
-    pub fn never_ran(&mut self, request: usize, attempt: usize) {
+    pub fn attempt_not_executed(&mut self, request: usize, attempt: usize) {
         self.asked[request].attempts[attempt].never_ran = true;
     }
 
     /// A node answered a client. `genuine`: what it passed on was an app server's answer to this try.
-    pub fn answered(&mut self, now: Us, request: usize, status: u16, genuine: bool) {
+    pub fn request_answered(&mut self, now: Us, request: usize, status: u16, genuine: bool) {
         let asked = &mut self.asked[request];
         asked.answered.get_or_insert(now);
-        let about = About { node: Some(asked.node), server: None, request: Some(request) };
-        let ran = asked.effect == Effect::Unsafe && asked.attempts.iter().any(|a| !a.never_ran);
+        let about = BreachSubject { node: Some(asked.node), server: None, request: Some(request) };
+        let ran = asked.effect == Idempotency::Unsafe && asked.attempts.iter().any(|a| !a.never_ran);
         if status == 200 && !genuine {
-            self.note(Rule::Genuine, now, about, "served with what no app server answered to it");
+            self.record_breach(Rule::Genuine, now, about, "served with what no app server answered to it");
         }
         if matches!(status, 429 | 503) && ran {
-            self.note(Rule::Repeat, now, about, "refused though it may have run");
+            self.record_breach(Rule::Repeat, now, about, "refused though it may have run");
         }
     }
 }
@@ -288,27 +296,35 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::listing::Entry;
+    use crate::server_list::ServerEntry;
 
-    fn list() -> List {
-        let entry = |name: &str| Entry {
+    fn list() -> ServerList {
+        let entry = |name: &str| ServerEntry {
             name: name.into(),
             zone: "a".into(),
             cell: 0,
             health: Health::Active,
             born_ms: 0.0,
         };
-        List::new(vec![entry("s0"), entry("s1")])
+        ServerList::new(vec![entry("s0"), entry("s1")])
     }
 
-    fn class(effect: Effect) -> ClassSpec {
-        ClassSpec { name: "c".into(), work: 1.0, aim: 1, deadline: 1, worth: 1.0, effect, window: 5_000_000 }
+    fn class(effect: Idempotency) -> ClassSpec {
+        ClassSpec {
+            name: "c".into(),
+            mean_work: 1.0,
+            aim: 1,
+            deadline: 1,
+            worth: 1.0,
+            idempotency: effect,
+            dedup_window: 5_000_000,
+        }
     }
 
-    fn referee(list: &List, effect: Effect) -> Referee {
+    fn referee(list: &ServerList, effect: Idempotency) -> Referee {
         let mut referee = Referee::new(Rules::default(), 1);
-        referee.told(0, 0, 1, list);
-        referee.asked(0, &class(effect));
+        referee.node_notified(0, 0, 1, list);
+        referee.request_sent(0, &class(effect));
         referee
     }
 
@@ -319,13 +335,13 @@
     #[test]
     fn a_send_after_a_drain_is_seen_once_the_grace_has_passed() {
         let mut list = list();
-        let mut referee = referee(&list, Effect::Safe);
-        let gone = Entry { health: Health::Leaving, ..list.newest(1).expect("listed").clone() };
-        let version = list.change(1, gone);
-        referee.told(1_000_000, 0, version, &list);
-        referee.sent(1_350_000, 0, 1, 1_350_000, &list);
+        let mut referee = referee(&list, Idempotency::Safe);
+        let gone = ServerEntry { health: Health::Leaving, ..list.newest_entry(1).expect("listed").clone() };
+        let version = list.record_change(1, gone);
+        referee.node_notified(1_000_000, 0, version, &list);
+        referee.attempt_sent(1_350_000, 0, 1, 1_350_000, &list);
         assert_eq!(rules(&referee), []);
-        referee.sent(1_350_001, 0, 1, 1_350_001, &list);
+        referee.attempt_sent(1_350_001, 0, 1, 1_350_001, &list);
         assert_eq!(rules(&referee), [Rule::Drain]);
     }
 
@@ -333,13 +349,14 @@
     fn what_the_agent_has_counts_as_told_at_once_and_6_s_later_where_its_line_is_held_up() {
         for (held, after) in [(false, 0), (true, 6_000_000)] {
             let mut list = list();
-            let mut referee = referee(&list, Effect::Safe);
-            let gone = Entry { health: Health::Leaving, ..list.newest(1).expect("listed").clone() };
-            let version = list.change(1, gone);
-            referee.has(0, 0, version, held);
-            referee.sent(after + 350_000, 0, 1, after + 350_000, &list);
+            let mut referee = referee(&list, Idempotency::Safe);
+            let gone =
+                ServerEntry { health: Health::Leaving, ..list.newest_entry(1).expect("listed").clone() };
+            let version = list.record_change(1, gone);
+            referee.agent_received(0, 0, version, held);
+            referee.attempt_sent(after + 350_000, 0, 1, after + 350_000, &list);
             assert_eq!(rules(&referee), []);
-            referee.sent(after + 350_001, 0, 1, after + 350_001, &list);
+            referee.attempt_sent(after + 350_001, 0, 1, after + 350_001, &list);
             assert_eq!(rules(&referee), [Rule::Drain]);
         }
     }
@@ -348,18 +365,18 @@
     fn repeats_are_held_to_the_class() {
         let list = list();
         for (effect, shown, at, broken) in [
-            (Effect::Unsafe, false, 1, vec![Rule::Repeat]),
-            (Effect::Unsafe, true, 1, vec![]),
-            (Effect::Keyed, false, 4_000_000, vec![]),
-            (Effect::Keyed, false, 5_100_000, vec![Rule::Repeat]),
-            (Effect::Safe, false, 9_000_000, vec![]),
+            (Idempotency::Unsafe, false, 1, vec![Rule::Repeat]),
+            (Idempotency::Unsafe, true, 1, vec![]),
+            (Idempotency::Keyed, false, 4_000_000, vec![]),
+            (Idempotency::Keyed, false, 5_100_000, vec![Rule::Repeat]),
+            (Idempotency::Safe, false, 9_000_000, vec![]),
         ] {
             let mut referee = referee(&list, effect);
-            let first = referee.sent(0, 0, 0, 0, &list);
+            let first = referee.attempt_sent(0, 0, 0, 0, &list);
             if shown {
-                referee.never_ran(0, first);
+                referee.attempt_not_executed(0, first);
             }
-            referee.sent(at, 0, 1, at, &list);
+            referee.attempt_sent(at, 0, 1, at, &list);
             assert_eq!(rules(&referee), broken, "{effect:?} {shown} {at}");
         }
     }
@@ -367,13 +384,13 @@
     #[test]
     fn too_many_attempts_late_ones_and_strangers_are_seen() {
         let list = list();
-        let mut referee = referee(&list, Effect::Safe);
+        let mut referee = referee(&list, Idempotency::Safe);
         for _ in 0..6 {
-            referee.sent(1, 0, 0, 1, &list);
+            referee.attempt_sent(1, 0, 0, 1, &list);
         }
-        referee.asked(0, &class(Effect::Safe));
-        referee.answered(1_000, 1, 200, false);
-        referee.sent(60_000, 1, 7, 60_000, &list);
+        referee.request_sent(0, &class(Idempotency::Safe));
+        referee.request_answered(1_000, 1, 200, false);
+        referee.attempt_sent(60_000, 1, 7, 60_000, &list);
         assert_eq!(rules(&referee), [Rule::Repeat, Rule::Genuine, Rule::Unlisted, Rule::Repeat]);
     }
 }
--- a/crates/lab/src/removals.rs
+++ b/crates/lab/src/removals.rs
@@ -28,7 +28,7 @@
 
 /// What the group says of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ReportedRemoval {
     /// Its name.
     pub name: String,
     /// Its number; `None` where there is no such server.
@@ -41,7 +41,7 @@
     pub probed: bool,
 }
 
-impl Told {
+impl ReportedRemoval {
     fn same(&self, other: &Self) -> bool {
         (&self.name, self.born_ms, &self.zones) == (&other.name, other.born_ms, &other.zones)
     }
@@ -50,7 +50,7 @@
 /// A removal, from when it was first seen until it was seen no more.
 #[derive(Clone, Debug)]
 struct Seen {
-    told: Told,
+    told: ReportedRemoval,
     from: Us,
     until: Option<Us>,
     /// What was wrong: the places of the spans by zone; `None` where the removal was wrong.
@@ -61,7 +61,7 @@
 
 /// All that was wrong, and all removals.
 #[derive(Debug)]
-pub struct Removals {
+pub struct RemovalReferee {
     /// How long evidence counts.
     grace: Us,
     zones: Vec<String>,
@@ -73,15 +73,15 @@
     late: u64,
 }
 
-impl Removals {
+impl RemovalReferee {
     /// Nothing is wrong yet; evidence counts for so long, and nodes are in these zones.
     pub fn new(grace: Us, zones: &[String]) -> Self {
         Self { grace, zones: zones.to_vec(), spans: BTreeMap::new(), seen: Vec::new(), heard: None, late: 0 }
     }
 
     /// Whether something is wrong with a server for the nodes of a zone from now on.
-    pub fn ails(&mut self, now: Us, server: usize, zone: usize, wrong: bool) {
-        if wrong == self.wrong(server, zone) {
+    pub fn set_faulty(&mut self, now: Us, server: usize, zone: usize, wrong: bool) {
+        if wrong == self.is_faulty(server, zone) {
             return;
         }
         let spans = self.spans.entry((server, zone)).or_default();
@@ -92,13 +92,13 @@
     }
 
     /// Is something wrong with a server for the nodes of a zone?
-    pub fn wrong(&self, server: usize, zone: usize) -> bool {
+    pub fn is_faulty(&self, server: usize, zone: usize) -> bool {
         let last = self.spans.get(&(server, zone)).and_then(|spans| spans.last());
         last.is_some_and(|span| span.until.is_none())
     }
 
     /// The newest word of the group: all removals in force.
-    pub fn told(&mut self, now: Us, told: Vec<Told>) {
+    pub fn record_verdicts(&mut self, now: Us, told: Vec<ReportedRemoval>) {
         self.heard = Some(now);
         for seen in self.seen.iter_mut().filter(|s| s.until.is_none()) {
             match told.iter().find(|t| t.same(&seen.told)) {
@@ -117,7 +117,7 @@
     }
 
     /// What was wrong with a server for the nodes of each zone that a removal holds in.
-    fn spans_of(&self, now: Us, told: &Told) -> Option<Vec<(usize, usize)>> {
+    fn spans_of(&self, now: Us, told: &ReportedRemoval) -> Option<Vec<(usize, usize)>> {
         let server = told.server?;
         let zones = told.zones.clone().unwrap_or_else(|| (0..self.zones.len()).collect());
         let counts = |span: &Span| span.until.is_none_or(|until| until + self.grace >= now);
@@ -132,7 +132,7 @@
     }
 
     /// A node of a zone sends something to a server.
-    pub fn sent(&mut self, now: Us, server: usize, zone: usize) {
+    pub fn record_attempt(&mut self, now: Us, server: usize, zone: usize) {
         let heard = self.heard.is_some_and(|heard| heard + HEARD_WITHIN >= now);
         let off = |s: &Seen| {
             s.until.is_none()
@@ -145,7 +145,7 @@
     }
 
     /// The figures; `None` where the group was never heard of servers.
-    pub fn figures(&self) -> Option<VoteFigures> {
+    pub fn metrics(&self) -> Option<VoteMetrics> {
         self.heard?;
         let mut bad: Vec<usize> = self.spans.keys().map(|(server, _)| *server).collect();
         bad.dedup();
@@ -154,7 +154,13 @@
         let mut right: Vec<&String> = removals.iter().filter(|r| !r.wrong).map(|r| &r.server).collect();
         right.sort_unstable();
         right.dedup();
-        Some(VoteFigures { bad: bad.len(), removed: right.len(), wrong, late: self.late, removals })
+        Some(VoteMetrics {
+            faulty: bad.len(),
+            removed: right.len(),
+            wrong_removals: wrong,
+            attempts_after_removal: self.late,
+            removals,
+        })
     }
 
     fn removal(&self, seen: &Seen) -> Removal {
@@ -181,21 +187,24 @@
 
 /// What came of votes on servers.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct VoteFigures {
+pub struct VoteMetrics {
     /// Servers that something was wrong with at some time, for nodes of some zone.
-    pub bad: usize,
+    #[serde(rename = "bad")]
+    pub faulty: usize,
     /// Of those, how many were removed for it.
     pub removed: usize,
     /// Removals of servers that nothing was wrong with.
-    pub wrong: usize,
+    #[serde(rename = "wrong")]
+    pub wrong_removals: usize,
     /// Attempts at servers over a second after their removal was seen, but for the time in which they were probed. A
     /// node that heeds no verdict for lack of servers or of the group's word is counted here too.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub attempts_after_removal: u64,
     /// All removals, in the order in which they were seen.
     pub removals: Vec<Removal>,
 }
 
-impl VoteFigures {
+impl VoteMetrics {
     /// From when something was wrong until the removal, the longest; `None` where nothing was removed for it.
     pub fn remove_ms(&self) -> Option<f64> {
         self.removals.iter().filter_map(|r| r.remove_ms).reduce(f64::max)
@@ -232,14 +241,14 @@
 
 /// The group's word of servers, as a replica tells it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct GroupVerdicts {
     /// The log's version that it is of.
     pub version: u64,
     /// Server, start of its process, zones, and whether it is probed.
     pub verdicts: Vec<(String, f64, Vec<String>, bool)>,
 }
 
-impl Word {
+impl GroupVerdicts {
     /// Reads what `GET /v1/verdicts` answers; further fields are no matter. `None` where it is no such answer.
     pub fn read(answer: &Value) -> Option<Self> {
         let verdicts = answer["removed"].as_object()?.iter().map(|(server, entry)| {
@@ -263,20 +272,26 @@
 
     const S: Us = 1_000_000;
 
-    fn told(server: usize, zones: Option<&[usize]>) -> Told {
+    fn told(server: usize, zones: Option<&[usize]>) -> ReportedRemoval {
         let zones = zones.map(<[usize]>::to_vec);
-        Told { name: format!("s{server}"), server: Some(server), born_ms: 0.0, zones, probed: false }
+        ReportedRemoval {
+            name: format!("s{server}"),
+            server: Some(server),
+            born_ms: 0.0,
+            zones,
+            probed: false,
+        }
     }
 
-    fn judge() -> Removals {
-        Removals::new(5 * S, &["a".into(), "b".into()])
+    fn judge() -> RemovalReferee {
+        RemovalReferee::new(5 * S, &["a".into(), "b".into()])
     }
 
     /// Something is wrong with a server for the nodes of these zones, from and until.
-    fn ails(judge: &mut Removals, server: usize, zones: &[usize], from: Us, until: Us) {
+    fn ails(judge: &mut RemovalReferee, server: usize, zones: &[usize], from: Us, until: Us) {
         for zone in zones {
-            judge.ails(from, server, *zone, true);
-            judge.ails(until, server, *zone, false);
+            judge.set_faulty(from, server, *zone, true);
+            judge.set_faulty(until, server, *zone, false);
         }
     }
 
@@ -290,52 +305,56 @@
         ] {
             let mut judge = judge();
             ails(&mut judge, 3, &[0, 1], S, 8 * S);
-            judge.told(at, vec![told(3, zones)]);
-            assert_eq!(judge.figures().expect("heard").wrong, usize::from(wrong), "{zones:?} {at}");
+            judge.record_verdicts(at, vec![told(3, zones)]);
+            assert_eq!(judge.metrics().expect("heard").wrong_removals, usize::from(wrong), "{zones:?} {at}");
         }
         let mut judge = judge();
         ails(&mut judge, 3, &[1], S, 8 * S);
-        judge.told(2 * S, vec![told(3, Some(&[1])), told(3, None), told(4, None)]);
-        let stranger = Told { server: None, ..told(5, None) };
-        judge.told(3 * S, vec![stranger]);
-        let figures = judge.figures().expect("heard");
+        judge.record_verdicts(2 * S, vec![told(3, Some(&[1])), told(3, None), told(4, None)]);
+        let stranger = ReportedRemoval { server: None, ..told(5, None) };
+        judge.record_verdicts(3 * S, vec![stranger]);
+        let figures = judge.metrics().expect("heard");
         let wrong: Vec<bool> = figures.removals.iter().map(|r| r.wrong).collect();
-        assert_eq!((wrong, figures.removed, figures.bad), (vec![false, true, true, true], 1, 1));
+        assert_eq!((wrong, figures.removed, figures.faulty), (vec![false, true, true, true], 1, 1));
     }
 
     #[test]
     fn times_are_from_what_was_wrong_to_the_removal_and_from_its_mend_to_the_return() {
         let mut judge = judge();
-        assert!(judge.figures().is_none(), "the group was never heard");
-        judge.ails(S, 0, 0, true);
-        judge.ails(S, 0, 1, true);
-        judge.told(3 * S, vec![told(0, None)]);
-        judge.told(4 * S, vec![]);
-        judge.told(5 * S, vec![told(0, None)]);
-        assert_eq!(judge.figures().expect("heard").return_ms(), None, "nothing was mended");
-        judge.ails(9 * S, 0, 0, false);
-        judge.ails(9 * S, 0, 1, false);
-        assert_eq!(judge.figures().expect("heard").return_ms(), None, "it is not back");
-        judge.told(12 * S, vec![]);
-        let figures = judge.figures().expect("heard");
+        assert!(judge.metrics().is_none(), "the group was never heard");
+        judge.set_faulty(S, 0, 0, true);
+        judge.set_faulty(S, 0, 1, true);
+        judge.record_verdicts(3 * S, vec![told(0, None)]);
+        judge.record_verdicts(4 * S, vec![]);
+        judge.record_verdicts(5 * S, vec![told(0, None)]);
+        assert_eq!(judge.metrics().expect("heard").return_ms(), None, "nothing was mended");
+        judge.set_faulty(9 * S, 0, 0, false);
+        judge.set_faulty(9 * S, 0, 1, false);
+        assert_eq!(judge.metrics().expect("heard").return_ms(), None, "it is not back");
+        judge.record_verdicts(12 * S, vec![]);
+        let figures = judge.metrics().expect("heard");
         assert_eq!((figures.remove_ms(), figures.return_ms()), (Some(2_000.0), Some(3_000.0)));
-        assert_eq!((figures.removed, figures.wrong, figures.removals.len()), (1, 0, 2));
+        assert_eq!((figures.removed, figures.wrong_removals, figures.removals.len()), (1, 0, 2));
     }
 
     #[test]
     fn attempts_at_a_removed_server_count_once_all_should_have_heard_and_not_while_it_is_probed() {
         let mut judge = judge();
-        judge.told(S, vec![told(0, Some(&[1]))]);
-        judge.sent(2 * S, 0, 1);
-        judge.told(2 * S, vec![told(0, Some(&[1]))]);
-        judge.sent(2 * S + 1, 0, 0);
-        assert_eq!(judge.figures().expect("heard").late, 0);
-        judge.sent(2 * S + 1, 0, 1);
-        judge.sent(4 * S, 0, 1);
-        assert_eq!(judge.figures().expect("heard").late, 1, "the group was not heard by 4 s");
-        judge.told(5 * S, vec![Told { probed: true, ..told(0, Some(&[1])) }]);
-        judge.sent(5 * S, 0, 1);
-        assert_eq!(judge.figures().expect("heard").late, 1);
+        judge.record_verdicts(S, vec![told(0, Some(&[1]))]);
+        judge.record_attempt(2 * S, 0, 1);
+        judge.record_verdicts(2 * S, vec![told(0, Some(&[1]))]);
+        judge.record_attempt(2 * S + 1, 0, 0);
+        assert_eq!(judge.metrics().expect("heard").attempts_after_removal, 0);
+        judge.record_attempt(2 * S + 1, 0, 1);
+        judge.record_attempt(4 * S, 0, 1);
+        assert_eq!(
+            judge.metrics().expect("heard").attempts_after_removal,
+            1,
+            "the group was not heard by 4 s"
+        );
+        judge.record_verdicts(5 * S, vec![ReportedRemoval { probed: true, ..told(0, Some(&[1])) }]);
+        judge.record_attempt(5 * S, 0, 1);
+        assert_eq!(judge.metrics().expect("heard").attempts_after_removal, 1);
     }
 
     #[test]
@@ -343,7 +362,7 @@
         let answer = json!({"version": 7, "votes": null, "removed": {
             "s1": {"born_ms": 5.0, "zones": ["a"], "probers": ["n3"], "up": 3}, "s2": {}}});
         let verdicts = vec![("s1".into(), 5.0, vec!["a".into()], true), ("s2".into(), 0.0, vec![], false)];
-        assert_eq!(Word::read(&answer), Some(Word { version: 7, verdicts }));
-        assert_eq!(Word::read(&json!({"error": "unknown path"})), None);
+        assert_eq!(GroupVerdicts::read(&answer), Some(GroupVerdicts { version: 7, verdicts }));
+        assert_eq!(GroupVerdicts::read(&json!({"error": "unknown path"})), None);
     }
 }
--- a/crates/lab/src/result.rs
+++ b/crates/lab/src/result.rs
@@ -10,19 +10,19 @@
 use serde::{Deserialize, Serialize};
 
 use crate::draw::Draw;
-use crate::epochs::{ChangeFigures, ControlFigures, Outcome};
+use crate::epochs::{ChangeMetrics, ControlMetrics, Outcome};
 use crate::error::{read_json, FileError};
 use crate::live::Played;
-use crate::plan::{Plan, Trouble};
+use crate::plan::{FaultKind, Plan};
 use crate::referee::Breach;
-use crate::removals::VoteFigures;
+use crate::removals::VoteMetrics;
 use crate::tally::Tally;
 use crate::world::World;
 
 /// The version of the file's form.
 pub const SCHEMA: u32 = 1;
 /// The lab's own lateness from which on a run does not count: its 99th percentile, in ms.
-pub const LATE_MOST_MS: f64 = 5.0;
+pub const MAX_LAB_LATENESS_MS: f64 = 5.0;
 /// The worst stretch that counts, in seconds.
 const STRETCH: usize = 10;
 /// The windows in which the spread of attempts is looked at, in seconds.
@@ -63,18 +63,20 @@
     pub faults: Vec<FaultResult>,
     /// What came of the changes of policy, where a control group agrees on them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub control: Option<ControlFigures>,
+    pub control: Option<ControlMetrics>,
     /// What came of votes on servers, where the group was heard of them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub votes: Option<VoteFigures>,
+    pub votes: Option<VoteMetrics>,
     /// How many rules were broken, and the first of them.
     pub breaches: usize,
     /// Their words.
-    pub broken: Vec<Breach>,
+    #[serde(rename = "broken")]
+    pub first_breaches: Vec<Breach>,
     /// The lab's own lateness and load.
-    pub lab: LabFigures,
+    pub lab: LabMetrics,
     /// What had to hold.
-    pub held: Vec<Held>,
+    #[serde(rename = "held")]
+    pub expectations: Vec<ExpectationResult>,
     /// The verdict.
     pub verdict: Verdict,
 }
@@ -193,11 +195,11 @@
     pub overdue: u64,
     /// Attempts that failed, or were given up, at servers that something was wrong with. Connections that never came up
     /// are not among them: the lab does not see those.
-    #[serde(default)]
-    pub paid: u64,
+    #[serde(default, rename = "paid")]
+    pub failures_at_faulty: u64,
     /// The same at servers that nothing was wrong with.
-    #[serde(default)]
-    pub failures: u64,
+    #[serde(default, rename = "failures")]
+    pub failures_at_healthy: u64,
 }
 
 /// One second.
@@ -232,7 +234,7 @@
 
 /// The lab's own figures.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub struct LabFigures {
+pub struct LabMetrics {
     /// How late things that were due were done.
     pub late_ms: Percentiles,
     /// Processor time of the lab, as a share of one core.
@@ -243,7 +245,7 @@
 
 /// Something that had to hold.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Held {
+pub struct ExpectationResult {
     /// The key in the file.
     pub key: String,
     /// What was asked for.
@@ -273,7 +275,7 @@
     fn of(interrupted: bool, late_ms: f64, held: bool) -> Self {
         if interrupted {
             Self::Interrupted
-        } else if late_ms > LATE_MOST_MS {
+        } else if late_ms > MAX_LAB_LATENESS_MS {
             Self::LabLate
         } else if held {
             Self::Held
@@ -335,9 +337,9 @@
 pub fn service(world: &World) -> Service {
     let (tally, draw) = (world.tally(), world.draw());
     let (classes, seconds) = (draw.classes.len(), seconds_of(draw));
-    let served = tally.share(0..classes, 0..seconds);
-    let worst_class = (0..classes).map(|c| tally.share(c..c + 1, 0..seconds)).fold(1.0, f64::min);
-    let worst_window = tally.worst(STRETCH, seconds);
+    let served = tally.served_share(0..classes, 0..seconds);
+    let worst_class = (0..classes).map(|c| tally.served_share(c..c + 1, 0..seconds)).fold(1.0, f64::min);
+    let worst_window = tally.worst_served_share(STRETCH, seconds);
     let cost = cost(world, (0.0, 0));
     let price = 0.036 * cost.wasted
         + 0.032 * cost.connections
@@ -351,10 +353,10 @@
 fn cost(world: &World, held: (f64, u64)) -> Cost {
     let tally = world.tally();
     let requests = world.draw().arrivals.len() as u64;
-    let sum = |of: fn(&crate::tally::Second) -> u64| tally.seconds.iter().map(of).sum::<u64>() as f64;
+    let sum = |of: fn(&crate::tally::SecondCounts) -> u64| tally.seconds.iter().map(of).sum::<u64>() as f64;
     let each = |count: f64| count / requests.max(1) as f64;
     let attempts = sum(|s| s.attempts);
-    let asked: f64 = tally.windows.iter().flatten().map(|w| w.asked).sum();
+    let asked: f64 = tally.windows.iter().flatten().map(|w| w.offered_worth).sum();
     let (cold_most, cold_sent) = world.cold_use();
     Cost {
         requests,
@@ -362,26 +364,26 @@
         attempts: each(attempts),
         turned_away: sum(|s| s.turned_away) / attempts.max(1.0),
         connections: each(sum(|s| s.connections)),
-        cross_zone: each(tally.crossed as f64),
+        cross_zone: each(tally.cross_zone_attempts as f64),
         wasted: world.wasted(),
         failed_late: tally.failed_late / asked.max(f64::MIN_POSITIVE),
         overdriven: world.overdriven(),
-        spread: tally.spread(SPREAD_OVER, seconds_of(world.draw())),
+        spread: tally.load_imbalance(SPREAD_OVER, seconds_of(world.draw())),
         cold_most,
         cold_sent,
         node_memory_mb: held.0,
         node_descriptors: held.1,
-        overdue: tally.overdue,
-        paid: tally.failures[0],
-        failures: tally.failures[1],
+        overdue: tally.overdue_answers,
+        failures_at_faulty: tally.failed_attempts[0],
+        failures_at_healthy: tally.failed_attempts[1],
     }
 }
 
 /// From a fault's end until service was back, in seconds.
 pub fn recovery(tally: &Tally, at: usize, until: usize, length: usize) -> Option<f64> {
     let classes = tally.windows.len();
-    let before = tally.share(0..classes, at.saturating_sub(BEFORE)..at.max(1));
-    let back = |second: usize| tally.share(0..classes, second..second + 1) >= BACK * before;
+    let before = tally.served_share(0..classes, at.saturating_sub(BEFORE)..at.max(1));
+    let back = |second: usize| tally.served_share(0..classes, second..second + 1) >= BACK * before;
     let from = (until..length.saturating_sub(IN_A_ROW - 1)).find(|s| (*s..*s + IN_A_ROW).all(back))?;
     Some((from - until) as f64)
 }
@@ -393,31 +395,31 @@
         let (tally, draw) = (world.tally(), world.draw());
         let length = seconds_of(draw);
         let classes = draw.classes.iter().zip(&tally.windows).enumerate().map(|(n, (class, windows))| {
-            let ends = ends(windows.iter().map(|w| w.ends));
+            let ends = ends(windows.iter().map(|w| w.outcomes));
             ClassResult {
                 name: class.name.clone(),
                 requests: ends.all(),
-                served: tally.share(n..n + 1, 0..length),
+                served: tally.served_share(n..n + 1, 0..length),
                 ends,
-                took_ms: percentiles(windows.iter().flat_map(|w| w.took.iter().copied())),
+                took_ms: percentiles(windows.iter().flat_map(|w| w.latencies_us.iter().copied())),
             }
         });
         let seconds = (0..length).map(|s| {
             let windows = || tally.windows.iter().filter_map(move |of| of.get(s));
             let counts = tally.seconds.get(s).cloned().unwrap_or_default();
             SecondResult {
-                ends: ends(windows().map(|w| w.ends)),
-                served: tally.share(0..draw.classes.len(), s..s + 1),
-                took_ms: percentiles(windows().flat_map(|w| w.took.iter().copied())),
+                ends: ends(windows().map(|w| w.outcomes)),
+                served: tally.served_share(0..draw.classes.len(), s..s + 1),
+                took_ms: percentiles(windows().flat_map(|w| w.latencies_us.iter().copied())),
                 tries: counts.tries,
                 attempts: counts.attempts,
             }
         });
         // What came of policies is told apart.
-        let faults = draw.faults.iter().filter(|f| f.kind != Trouble::Policy).map(|f| {
+        let faults = draw.faults.iter().filter(|f| f.kind != FaultKind::Policy).map(|f| {
             let (at, until) = (f.at / 1_000_000, f.until.div_ceil(1_000_000));
             FaultResult {
-                kind: kind(f.kind),
+                kind: f.kind.name().to_string(),
                 at_s: f.at as f64 / 1e6,
                 until_s: f.until as f64 / 1e6,
                 targets: f.targets.len(),
@@ -442,18 +444,18 @@
             classes: classes.collect(),
             cost: cost(world, played.held),
             seconds: seconds.collect(),
-            server_load: tally.load.clone(),
+            server_load: tally.attempts_by_server.clone(),
             faults: faults.collect(),
             control: world.control(),
             votes: world.votes(),
             breaches,
-            broken,
-            lab: LabFigures {
+            first_breaches: broken,
+            lab: LabMetrics {
                 late_ms,
                 busy: played.busy,
                 messages_per_s: messages as f64 / (draw.length as f64 / 1e6),
             },
-            held: Vec::new(),
+            expectations: Vec::new(),
             verdict: Verdict::Held,
         };
         result.judge(plan, played.interrupted);
@@ -461,16 +463,21 @@
     }
 
     fn judge(&mut self, plan: &Plan, interrupted: bool) {
-        let hold = plan.hold.get_ref();
+        let hold = plan.expectations.get_ref();
         let least = |key: &str, wanted: Option<f64>, got: f64| {
-            wanted.map(|wanted| Held { key: key.into(), wanted, got: Some(got), held: got >= wanted })
+            wanted.map(|wanted| ExpectationResult {
+                key: key.into(),
+                wanted,
+                got: Some(got),
+                held: got >= wanted,
+            })
         };
         let most = |key: &str, wanted: Option<f64>, got: Option<f64>| {
             let held = |wanted: f64| got.is_some_and(|got| got <= wanted);
-            wanted.map(|wanted| Held { key: key.into(), wanted, got, held: held(wanted) })
+            wanted.map(|wanted| ExpectationResult { key: key.into(), wanted, got, held: held(wanted) })
         };
         let exactly = |key: &str, wanted: Option<f64>, got: Option<f64>| {
-            wanted.map(|wanted| Held { key: key.into(), wanted, got, held: got == Some(wanted) })
+            wanted.map(|wanted| ExpectationResult { key: key.into(), wanted, got, held: got == Some(wanted) })
         };
         let control = self.control.as_ref();
         let count = |of: fn(&Outcome) -> bool| {
@@ -478,8 +485,8 @@
         };
         let committed = count(|o| matches!(o, Outcome::Committed(_))).unwrap_or(0.0);
         // Of the changes that were committed.
-        let longest = |of: fn(&ChangeFigures) -> Option<f64>| {
-            let committed = |c: &&ChangeFigures| matches!(c.outcome, Outcome::Committed(_));
+        let longest = |of: fn(&ChangeMetrics) -> Option<f64>| {
+            let committed = |c: &&ChangeMetrics| matches!(c.outcome, Outcome::Committed(_));
             let all: Option<Vec<f64>> = control?.changes.iter().filter(committed).map(of).collect();
             all.map(|all| all.into_iter().fold(0.0, f64::max))
         };
@@ -505,16 +512,16 @@
             exactly("aborted", hold.aborted, count(|o| matches!(o, Outcome::Aborted(_)))),
             most("active_ms", hold.active_ms, longest(|c| c.active_ms)),
             most("mixed_ms", hold.mixed_ms, longest(|c| c.mixed_ms)),
-            most("held", hold.held, control.map(|c| c.held)),
+            most("held", hold.held, control.map(|c| c.refused_share)),
             most("write_gap_ms", hold.write_gap_ms, gap),
             least("removed", hold.removed, votes.map_or(0.0, |v| v.removed as f64)),
-            most("wrong_removals", hold.wrong_removals, votes.map(|v| v.wrong as f64)),
-            most("remove_ms", hold.remove_ms, votes.and_then(VoteFigures::remove_ms)),
-            most("return_ms", hold.return_ms, votes.and_then(VoteFigures::return_ms)),
-            most("paid", hold.paid, Some(self.cost.paid as f64)),
+            most("wrong_removals", hold.wrong_removals, votes.map(|v| v.wrong_removals as f64)),
+            most("remove_ms", hold.remove_ms, votes.and_then(VoteMetrics::remove_ms)),
+            most("return_ms", hold.return_ms, votes.and_then(VoteMetrics::return_ms)),
+            most("paid", hold.paid, Some(self.cost.failures_at_faulty as f64)),
         ];
-        self.held = held.into_iter().flatten().collect();
-        let held = self.breaches == 0 && self.held.iter().all(|h| h.held);
+        self.expectations = held.into_iter().flatten().collect();
+        let held = self.breaches == 0 && self.expectations.iter().all(|h| h.held);
         self.verdict = Verdict::of(interrupted, self.lab.late_ms.p99, held);
     }
 
@@ -536,18 +543,6 @@
     }
 }
 
-/// A fault's kind, as the file words it.
-fn kind(kind: Trouble) -> String {
-    let mut words = String::new();
-    for c in format!("{kind:?}").chars() {
-        if c.is_uppercase() && !words.is_empty() {
-            words.push('-');
-        }
-        words.extend(c.to_lowercase());
-    }
-    words
-}
-
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -3,15 +3,15 @@
 use serde_json::{json, Value};
 
 use crate::draw::Draw;
-use crate::plan::{Effect, Plan};
+use crate::plan::{Idempotency, Plan};
 
 /// The seed of a node's start: each has numbers of its own, and the same ones in each play.
-pub fn seed(draw: &Draw, node: usize, life: u32) -> u64 {
+pub fn node_seed(draw: &Draw, node: usize, life: u32) -> u64 {
     draw.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((node as u64) << 32) ^ u64::from(life)
 }
 
 /// The settings with a node's own number and zone.
-pub fn own(settings: &Value, draw: &Draw, node: usize) -> Value {
+pub fn node_settings(settings: &Value, draw: &Draw, node: usize) -> Value {
     let mut settings = settings.clone();
     settings["Me"] = json!(node);
     settings["MyZone"] = json!(draw.zones[draw.nodes[node]]);
@@ -19,16 +19,16 @@
 }
 
 /// The settings that nodes are told, but for their own number and zone.
-pub fn settings(plan: &Plan, draw: &Draw) -> Value {
+pub fn fleet_settings(plan: &Plan, draw: &Draw) -> Value {
     let ms = |us: u64| us as f64 / 1e3;
     let classes = draw.classes.iter().map(|c| {
-        let effect = match c.effect {
-            Effect::Safe => "pure",
-            Effect::Keyed => "token",
-            Effect::Unsafe => "side_effect",
+        let effect = match c.idempotency {
+            Idempotency::Safe => "pure",
+            Idempotency::Keyed => "token",
+            Idempotency::Unsafe => "side_effect",
         };
         json!({"Name": c.name, "Slo": ms(c.aim), "Deadline": ms(c.deadline), "Value": c.worth, "LateValue": 0.0,
-            "Idempotency": effect, "DedupScope": "all", "MemorySpan": ms(c.window), "Stream": false})
+            "Idempotency": effect, "DedupScope": "all", "MemorySpan": ms(c.dedup_window), "Stream": false})
     });
     let (kind, rules) = (plan.server.get_ref(), &plan.rules);
     json!({
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -19,7 +19,7 @@
         self.advance(now);
         self.settle(server);
         let accepted = self.servers[server].power != Power::Off && self.servers[server].model.connect();
-        let second = self.tally.second(now);
+        let second = self.tally.second_mut(now);
         second.connections += 1;
         second.refused_connections += u64::from(!accepted);
         accepted.then_some(self.servers[server].life)
@@ -39,18 +39,18 @@
     pub fn attempt(&mut self, now: Us, server: usize, zone: usize, txn: &str, fresh: bool) -> Option<usize> {
         self.advance(now);
         let Some(of) = self.named(txn) else {
-            let about = About { server: Some(server), ..About::default() };
-            self.referee.note(Rule::Unknown, now, about, format!("no client sent {txn:?}"));
+            let about = BreachSubject { server: Some(server), ..BreachSubject::default() };
+            self.referee.record_breach(Rule::Unknown, now, about, format!("no client sent {txn:?}"));
             return None;
         };
-        let place = self.referee.sent(now, of, server, now, &self.list);
+        let place = self.referee.attempt_sent(now, of, server, now, &self.list);
         let node = self.tries[of].node;
-        let told = self.referee.told_of_start(node, server, self.servers[server].born_ms);
-        self.tally.attempt(now, server, self.servers[server].spec.zone != zone);
+        let told = self.referee.node_knows_start(node, server, self.servers[server].born_ms);
+        self.tally.record_attempt(now, server, self.servers[server].spec.zone != zone);
         let attempt = self.attempts.len();
         let life = self.servers[server].life;
-        let ails = self.removals.wrong(server, zone);
-        self.removals.sent(now, server, zone);
+        let ails = self.removals.is_faulty(server, zone);
+        self.removals.record_attempt(now, server, zone);
         let stage = Stage::OnWay;
         self.attempts.push(Attempt { of, place, server, life, zone, stage, told, ails, heard: false });
         let to = self.servers[server].spec.zone;
@@ -93,7 +93,7 @@
 
     /// An attempt failed, or was given up.
     fn failed(&mut self, attempt: usize) {
-        self.tally.failures[usize::from(!self.attempts[attempt].ails)] += 1;
+        self.tally.failed_attempts[usize::from(!self.attempts[attempt].ails)] += 1;
     }
 
     /// When a message that is sent at a time is there: one after the other where the link is narrow.
@@ -120,7 +120,7 @@
         }
         self.settle(server);
         let place = &mut self.servers[server];
-        let fails = place.errors.max(place.build).max(place.spec.figures.error_rate);
+        let fails = place.errors.max(place.build).max(place.spec.parameters.error_rate);
         if self.chance.random::<f64>() < fails {
             return self.answer(attempt, self.now, Reply::Error);
         }
@@ -132,7 +132,7 @@
         match place.model.arrive(attempt as u64, work, told) {
             Arrived::Taken => self.attempts[attempt].stage = Stage::Held,
             Arrived::TurnedAway => {
-                self.tally.second(self.now).turned_away += 1;
+                self.tally.second_mut(self.now).turned_away += 1;
                 self.answer(attempt, self.now, Reply::TurnedAway);
             }
             Arrived::Fell { told } => self.falls(attempt, told),
@@ -150,10 +150,10 @@
         let a = &self.attempts[attempt];
         let (server, node) = (a.server, self.tries[a.of].node);
         if told >= 2.0 / 3.0 {
-            let about = About { node: Some(node), server: Some(server), request: Some(a.of) };
+            let about = BreachSubject { node: Some(node), server: Some(server), request: Some(a.of) };
             let words =
                 format!("pushed over, by {:.0}% from nodes that were told of its start", told * 100.0);
-            self.referee.note(Rule::Cold, self.now, about, words);
+            self.referee.record_breach(Rule::Cold, self.now, about, words);
         }
         self.power_off(server);
     }
@@ -190,7 +190,7 @@
         let mut ended = Vec::new();
         self.servers[server].model.advance(self.now, &mut ended);
         if self.servers[server].model.choked() {
-            self.tally.choked.insert(server);
+            self.tally.choked_servers.insert(server);
         }
         for (attempt, at) in ended {
             self.keep(attempt as usize, at);
@@ -213,8 +213,8 @@
     fn keep(&mut self, attempt: usize, at: Us) {
         let request = self.tries[self.attempts[attempt].of].request;
         let class = &self.draw.classes[self.draw.arrivals[request].class];
-        if class.effect == Effect::Keyed {
-            self.requests[request].kept.get_or_insert(at + class.window);
+        if class.idempotency == Idempotency::Keyed {
+            self.requests[request].kept.get_or_insert(at + class.dedup_window);
         }
     }
 
@@ -246,7 +246,7 @@
             return;
         }
         match reply {
-            Reply::TurnedAway => self.referee.never_ran(a.of, a.place),
+            Reply::TurnedAway => self.referee.attempt_not_executed(a.of, a.place),
             Reply::Served => self.tries[a.of].served = true,
             Reply::Garbled | Reply::Error | Reply::Reset => self.failed(attempt),
         }
@@ -335,7 +335,7 @@
         }
         assert!(got.contains(&None) && got.contains(&Some(Reply::Reset)), "{got:?}");
         assert!(got.iter().all(|g| matches!(g, None | Some(Reply::Reset))), "{got:?}");
-        assert_eq!(world.tally.failures[0], 0);
+        assert_eq!(world.tally.failed_attempts[0], 0);
     }
 
     #[test]
@@ -349,7 +349,10 @@
             let txn = world.txn(ask);
             let attempt = world.attempt(world.now(), 0, 0, &txn, false).expect("a known request");
             assert_eq!(play(&mut world, attempt).map(|got| got.1), Some(reply), "{from} s");
-            assert_eq!((world.removals.wrong(0, 0), world.tally.failures[0]), (wrong, u64::from(wrong)));
+            assert_eq!(
+                (world.removals.is_faulty(0, 0), world.tally.failed_attempts[0]),
+                (wrong, u64::from(wrong))
+            );
         }
     }
 
@@ -365,7 +368,7 @@
             for (server, answered) in servers.into_iter().zip(answered) {
                 let attempt = world.attempt(world.now(), server, node, &txn, false).expect("a known request");
                 assert_eq!(play(&mut world, attempt).is_some(), answered, "zone {node}, server {server}");
-                assert_eq!(world.removals.wrong(server, node), !answered);
+                assert_eq!(world.removals.is_faulty(server, node), !answered);
             }
         }
     }
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -13,11 +13,11 @@
             tries: 0,
             ended: None,
             kept: None,
-            last: End::Unanswered,
-            rng: Pcg64::seed_from_u64(arrival.chance),
+            last: RequestOutcome::Unanswered,
+            rng: Pcg64::seed_from_u64(arrival.seed),
         });
-        self.tally.asked(arrival.class, arrival.at, self.worth(n));
-        self.tally.work += arrival.work;
+        self.tally.record_request(arrival.class, arrival.at, self.worth(n));
+        self.tally.offered_work += arrival.work;
         self.start_try(n);
     }
 
@@ -34,7 +34,7 @@
         else {
             return self.end(request, None);
         };
-        let wait = left.min((class.deadline as f64 * draw.clients.try_share) as Us);
+        let wait = left.min((class.deadline as f64 * draw.clients.try_timeout_share) as Us);
         let node = self.front(arrival.zone);
         let ask = self.tries.len();
         let again = self.requests[request].tries > 0;
@@ -51,13 +51,13 @@
             left: false,
             served: false,
         });
-        self.referee.asked(node, class);
-        self.tally.second(now).tries += 1;
+        self.referee.request_sent(node, class);
+        self.tally.second_mut(now).tries += 1;
         let there = now + self.jittered(draw.client_delay);
         self.at(there, Ev::ToNode(ask));
         self.at(now + wait, Ev::GivesUp(ask));
         self.at(now + wait + LOST_AFTER, Ev::Overdue(ask));
-        if let Some(share) = arrival.leaves.filter(|_| !again) {
+        if let Some(share) = arrival.leaves_after.filter(|_| !again) {
             self.at(now + (wait as f64 * share) as Us, Ev::Leaves(ask));
         }
     }
@@ -95,14 +95,14 @@
         if self.tries[ask].got.is_none() && !self.tries[ask].over {
             self.tries[ask].over = true;
             self.leave(ask);
-            self.end(self.tries[ask].request, Some(End::Unanswered));
+            self.end(self.tries[ask].request, Some(RequestOutcome::Unanswered));
         }
     }
 
     pub(super) fn gives_up(&mut self, ask: usize) {
         if !self.tries[ask].over {
             self.tries[ask].over = true;
-            self.requests[self.tries[ask].request].last = End::Unanswered;
+            self.requests[self.tries[ask].request].last = RequestOutcome::Unanswered;
             self.again(self.tries[ask].request, None);
         }
     }
@@ -114,8 +114,8 @@
             return;
         }
         if !self.nodes[t.node].excused(t.at, self.now) {
-            let about = About { node: Some(t.node), server: None, request: Some(ask) };
-            self.referee.note(Rule::Answer, self.now, about, "no final answer");
+            let about = BreachSubject { node: Some(t.node), server: None, request: Some(ask) };
+            self.referee.record_breach(Rule::Answer, self.now, about, "no final answer");
         }
         self.leave(ask);
     }
@@ -131,7 +131,7 @@
             wait: t.wait,
             at: t.at,
             work: arrival.work,
-            guess: arrival.guess,
+            guess: arrival.work_estimate,
             again: t.again,
         }
     }
@@ -153,18 +153,18 @@
                         .is_some_and(|a| a.of == ask && a.stage == Stage::Answered(Reply::Served))
                 };
                 let genuine = attempt.is_some_and(served);
-                self.referee.answered(now, ask, status, genuine);
+                self.referee.request_answered(now, ask, status, genuine);
                 if now > due + self.referee.answer_slack() {
-                    self.tally.overdue += 1;
+                    self.tally.overdue_answers += 1;
                 }
             }
             Got::Broken { begun: false } => {
                 if !self.nodes[node].excused(from, now) {
-                    self.tally.closed += 1;
-                    if self.tally.closed * CLOSED_ONE_IN > self.draw.arrivals.len() as u64 {
-                        let about = About { node: Some(node), server: None, request: Some(ask) };
+                    self.tally.unanswered_closes += 1;
+                    if self.tally.unanswered_closes * CLOSED_ONE_IN > self.draw.arrivals.len() as u64 {
+                        let about = BreachSubject { node: Some(node), server: None, request: Some(ask) };
                         let words = "connections that end with no answer, beyond one request in 200";
-                        self.referee.note(Rule::Answer, now, about, words);
+                        self.referee.record_breach(Rule::Answer, now, about, words);
                     }
                 }
             }
@@ -184,15 +184,15 @@
         match self.tries[ask].got {
             Some(Got::Answer { status: 200, .. }) => {
                 let late = self.now > arrival.at + self.draw.classes[arrival.class].aim;
-                self.tally.useful += arrival.work;
-                self.end(request, Some(if late { End::Late } else { End::InTime }));
+                self.tally.useful_work += arrival.work;
+                self.end(request, Some(if late { RequestOutcome::Late } else { RequestOutcome::InTime }));
             }
             Some(Got::Answer { status: 429 | 503, retry_after, .. }) => {
-                self.requests[request].last = End::Refused;
+                self.requests[request].last = RequestOutcome::Refused;
                 self.again(request, retry_after);
             }
             _ => {
-                self.requests[request].last = End::Failed;
+                self.requests[request].last = RequestOutcome::Failed;
                 self.again(request, None);
             }
         }
@@ -202,18 +202,18 @@
     fn again(&mut self, request: usize, told: Option<Us>) {
         let draw = self.draw.clone();
         let r = &mut self.requests[request];
-        if r.tries > draw.clients.retries {
+        if r.tries > draw.clients.max_retries {
             return self.end(request, None);
         }
         let full = draw.clients.backoff << (r.tries - 1).min(10);
         let mut wait = (full as f64 * r.rng.random_range(0.5..1.0)) as Us;
-        if let Some(told) = told.filter(|_| draw.arrivals[request].honours) {
+        if let Some(told) = told.filter(|_| draw.arrivals[request].honours_retry_after) {
             wait = wait.max(told.min(draw.clients.max_retry_after));
         }
         self.at(self.now + wait, Ev::Retry(request));
     }
 
-    fn end(&mut self, request: usize, end: Option<End>) {
+    fn end(&mut self, request: usize, end: Option<RequestOutcome>) {
         let r = &mut self.requests[request];
         let end = end.unwrap_or(r.last);
         if r.ended.replace(end).is_some() {
@@ -221,8 +221,10 @@
         }
         let arrival = &self.draw.arrivals[request];
         let (took, worth) = (self.now - arrival.at, self.worth(request));
-        self.tally.ended(arrival.class, arrival.at, worth, end, took);
-        if !matches!(end, End::InTime | End::Late) && took > self.draw.classes[arrival.class].aim {
+        self.tally.record_outcome(arrival.class, arrival.at, worth, end, took);
+        if !matches!(end, RequestOutcome::InTime | RequestOutcome::Late)
+            && took > self.draw.classes[arrival.class].aim
+        {
             self.tally.failed_late += worth;
         }
     }
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -9,59 +9,61 @@
         let step = |k: usize| (k * fault.steps / fault.targets.len().max(1)) as u64;
         let pause = (fault.until - fault.at) / fault.steps as u64;
         match fault.kind {
-            Trouble::Kill => fault.targets.iter().for_each(|t| self.kill(*t)),
-            Trouble::Restart => {
+            FaultKind::Kill => fault.targets.iter().for_each(|t| self.kill(*t)),
+            FaultKind::Restart => {
                 for (k, node) in fault.targets.iter().enumerate() {
                     self.at(self.now + step(k) * pause, Ev::RestartNode(*node));
                 }
             }
-            Trouble::Stop => {
+            FaultKind::Pause => {
                 for node in &fault.targets {
                     self.nodes[*node].away.push((self.now, fault.until));
                     self.out.push_back(Out::Signal(*node, Signal::Stop));
                 }
             }
-            Trouble::Crowd => {
+            FaultKind::IdleConnections => {
                 let (count, until) = (fault.factor as usize, fault.until);
                 self.out.extend(fault.targets.iter().map(|node| Out::Crowd { node: *node, count, until }));
             }
-            Trouble::Lose => {
+            FaultKind::Vanish => {
                 for server in &fault.targets {
                     self.settle(*server);
                     self.servers[*server].power = Power::Dark;
                     let life = self.servers[*server].life;
                     self.reaches(*server);
-                    self.at(self.now + draw.list.silent_notice, Ev::ListGone(*server, life));
+                    self.at(self.now + draw.discovery.vanish_delay, Ev::ListGone(*server, life));
                 }
             }
-            Trouble::Crash => fault.targets.iter().for_each(|t| self.power_off(*t)),
-            Trouble::Slow | Trouble::Errors | Trouble::Gray | Trouble::Reset => self.strain(fault, true),
-            Trouble::Neighbour => self.toggle(n, true),
-            Trouble::Release | Trouble::Replace => {
-                let replace = fault.kind == Trouble::Replace;
+            FaultKind::Crash => fault.targets.iter().for_each(|t| self.power_off(*t)),
+            FaultKind::Slow | FaultKind::Errors | FaultKind::GrayFailure | FaultKind::ResetConnections => {
+                self.strain(fault, true)
+            }
+            FaultKind::NoisyNeighbour => self.toggle(n, true),
+            FaultKind::Release | FaultKind::Replace => {
+                let replace = fault.kind == FaultKind::Replace;
                 for (k, server) in fault.targets.iter().enumerate() {
                     self.servers[*server].next_build = fault.factor;
-                    let listed = self.now + step(k) * pause + draw.list.notice;
+                    let listed = self.now + step(k) * pause + draw.discovery.leave_delay;
                     self.at(listed, Ev::Drain(*server, replace));
                 }
             }
-            Trouble::Cut => self.cut(fault, true),
-            Trouble::BreakLinks => self.break_links(fault),
-            Trouble::Narrow => self.link(fault, |link| link.us_per_byte = 1e6 / fault.factor),
-            Trouble::ListOutage => self.silence(true),
-            Trouble::StaleList => self.fall_behind(fault.factor as u64),
-            Trouble::ReorderedList => self.reorder(true),
-            Trouble::Uplink => fault.targets.iter().for_each(|t| self.nodes[*t].uplink = fault.factor),
+            FaultKind::Partition => self.cut(fault, true),
+            FaultKind::BreakConnections => self.break_links(fault),
+            FaultKind::LimitBandwidth => self.link(fault, |link| link.us_per_byte = 1e6 / fault.factor),
+            FaultKind::ListOutage => self.silence(true),
+            FaultKind::StaleList => self.fall_behind(fault.factor as u64),
+            FaultKind::ReorderedList => self.reorder(true),
+            FaultKind::UplinkLoss => fault.targets.iter().for_each(|t| self.nodes[*t].uplink = fault.factor),
             // Drawn with the arrivals.
-            Trouble::Burst => {}
-            Trouble::Policy
-            | Trouble::ReplicaKill
-            | Trouble::ReplicaStop
-            | Trouble::ReplicaRestart
-            | Trouble::GroupLost
-            | Trouble::CutControl
-            | Trouble::CutReplica
-            | Trouble::Liar => self.out.push_back(Out::Strike(n)),
+            FaultKind::Burst => {}
+            FaultKind::Policy
+            | FaultKind::ReplicaKill
+            | FaultKind::ReplicaPause
+            | FaultKind::ReplicaRestart
+            | FaultKind::GroupOutage
+            | FaultKind::PartitionControl
+            | FaultKind::PartitionReplica
+            | FaultKind::FaultyVoters => self.out.push_back(Out::Strike(n)),
         }
         self.look_over();
     }
@@ -70,46 +72,48 @@
         let draw = self.draw.clone();
         let fault = &draw.faults[n];
         match fault.kind {
-            Trouble::Kill => fault.targets.iter().for_each(|t| self.start_node(*t)),
-            Trouble::Stop => {
+            FaultKind::Kill => fault.targets.iter().for_each(|t| self.start_node(*t)),
+            FaultKind::Pause => {
                 let signal = |t: &usize| Out::Signal(*t, Signal::Continue);
                 self.out.extend(fault.targets.iter().map(signal));
             }
-            Trouble::Lose | Trouble::Crash => fault.targets.iter().for_each(|t| self.start_server(*t)),
-            Trouble::Slow | Trouble::Errors | Trouble::Gray | Trouble::Reset => self.strain(fault, false),
-            Trouble::Neighbour => self.burden(fault, |place| place.taken = 0.0),
-            Trouble::Cut => self.cut(fault, false),
-            Trouble::Narrow => self.link(fault, |link| link.us_per_byte = 0.0),
-            Trouble::ListOutage => self.silence(false),
-            Trouble::StaleList => self.fall_behind(0),
-            Trouble::ReorderedList => self.reorder(false),
-            Trouble::Uplink => fault.targets.iter().for_each(|t| self.nodes[*t].uplink = 0.0),
-            Trouble::Restart
-            | Trouble::Crowd
-            | Trouble::BreakLinks
-            | Trouble::Release
-            | Trouble::Replace
-            | Trouble::Burst => {}
-            Trouble::Policy
-            | Trouble::ReplicaKill
-            | Trouble::ReplicaStop
-            | Trouble::ReplicaRestart
-            | Trouble::GroupLost
-            | Trouble::CutControl
-            | Trouble::CutReplica
-            | Trouble::Liar => self.out.push_back(Out::Heal(n)),
+            FaultKind::Vanish | FaultKind::Crash => fault.targets.iter().for_each(|t| self.start_server(*t)),
+            FaultKind::Slow | FaultKind::Errors | FaultKind::GrayFailure | FaultKind::ResetConnections => {
+                self.strain(fault, false)
+            }
+            FaultKind::NoisyNeighbour => self.burden(fault, |place| place.taken = 0.0),
+            FaultKind::Partition => self.cut(fault, false),
+            FaultKind::LimitBandwidth => self.link(fault, |link| link.us_per_byte = 0.0),
+            FaultKind::ListOutage => self.silence(false),
+            FaultKind::StaleList => self.fall_behind(0),
+            FaultKind::ReorderedList => self.reorder(false),
+            FaultKind::UplinkLoss => fault.targets.iter().for_each(|t| self.nodes[*t].uplink = 0.0),
+            FaultKind::Restart
+            | FaultKind::IdleConnections
+            | FaultKind::BreakConnections
+            | FaultKind::Release
+            | FaultKind::Replace
+            | FaultKind::Burst => {}
+            FaultKind::Policy
+            | FaultKind::ReplicaKill
+            | FaultKind::ReplicaPause
+            | FaultKind::ReplicaRestart
+            | FaultKind::GroupOutage
+            | FaultKind::PartitionControl
+            | FaultKind::PartitionReplica
+            | FaultKind::FaultyVoters => self.out.push_back(Out::Heal(n)),
         }
         self.look_over();
     }
 
     fn strain(&mut self, fault: &FaultSpec, on: bool) {
         let share = if on { fault.factor } else { 0.0 };
-        let garbled = if on { fault.garbled } else { 0.0 };
+        let garbled = if on { fault.truncated_share } else { 0.0 };
         self.burden(fault, |place| match fault.kind {
-            Trouble::Slow => place.slower = if on { fault.factor } else { 1.0 },
-            Trouble::Errors => place.errors = share,
-            Trouble::Reset => place.resets = share,
-            _ => place.gray = (share, fault.slower, garbled),
+            FaultKind::Slow => place.slower = if on { fault.factor } else { 1.0 },
+            FaultKind::Errors => place.errors = share,
+            FaultKind::ResetConnections => place.resets = share,
+            _ => place.gray = (share, fault.answer_delay, garbled),
         });
     }
 
@@ -148,9 +152,9 @@
     fn link(&mut self, fault: &FaultSpec, change: impl Fn(&mut Link)) {
         for zone in &fault.targets {
             let others = (0..self.draw.zones.len()).filter(|z| z != zone);
-            for other in others.filter(|z| fault.to.is_none_or(|to| to == *z)) {
-                for (way, from, to) in [(Way::Out, *zone, other), (Way::In, other, *zone)] {
-                    if fault.way.is_none_or(|w| w == way) {
+            for other in others.filter(|z| fault.peer_zone.is_none_or(|to| to == *z)) {
+                for (way, from, to) in [(Direction::Out, *zone, other), (Direction::In, other, *zone)] {
+                    if fault.direction.is_none_or(|w| w == way) {
                         change(&mut self.links[from][to]);
                     }
                 }
--- a/crates/lab/src/world/figures.rs
+++ b/crates/lab/src/world/figures.rs
@@ -40,12 +40,12 @@
     /// Work that servers have done, over work that was asked for, without what answers brought their clients.
     pub fn wasted(&self) -> f64 {
         let done: f64 = self.servers.iter().map(|p| p.done_before + p.model.work_done()).sum();
-        (done - self.tally.useful).max(0.0) / self.tally.work.max(1.0)
+        (done - self.tally.useful_work).max(0.0) / self.tally.offered_work.max(1.0)
     }
 
     /// The share of servers that were choked by crowding.
     pub fn overdriven(&self) -> f64 {
-        self.tally.choked.len() as f64 / self.draw.servers.len() as f64
+        self.tally.choked_servers.len() as f64 / self.draw.servers.len() as f64
     }
 
     /// What servers were sent while they were cold: in the most pushed one's worst window as a part of what pushes it
@@ -70,7 +70,7 @@
             node: about.node.map(|n| format!("n{n}")),
             server: about.server.map(|s| name_of(&self.draw, s)),
             request: about.request.map(|r| self.txn(r)),
-            words: words.clone(),
+            description: words.clone(),
         });
         (count, named.collect())
     }
@@ -79,7 +79,7 @@
     /// request would begin to crowd it.
     pub fn truth(&self, server: usize) -> Option<(f64, f64)> {
         let place = self.servers.get(server).filter(|p| p.power == Power::Up)?;
-        let figures = &place.spec.figures;
+        let figures = &place.spec.parameters;
         let crowded =
             (place.model.held() + 1) as f64 > figures.choke.at.min(figures.thrash_at) * figures.cores as f64;
         (!crowded).then(|| (place.model.capacity(self.now), place.model.backlog()))
@@ -87,7 +87,7 @@
 
     /// How the servers that are up and newly listed as in service are doing.
     pub fn fleet_state(&self) -> FleetState {
-        let active = |n: &usize| self.list.newest(*n).is_some_and(|e| e.health == Health::Active);
+        let active = |n: &usize| self.list.newest_entry(*n).is_some_and(|e| e.health == Health::Active);
         let usable = (0..self.servers.len()).filter(active).map(|n| &self.servers[n]);
         let usable: Vec<&Place> = usable.filter(|p| p.power == Power::Up).collect();
         let held = |p: &&Place| p.model.held() as f64 / p.model.figures().cores as f64;
@@ -105,7 +105,7 @@
     /// The servers that a node's agent has listed as in service.
     pub fn listed(&self, node: usize) -> Vec<usize> {
         let mut active = BTreeMap::new();
-        for (server, entry) in self.list.between(0, self.nodes[node].version) {
+        for (server, entry) in self.list.changes_between(0, self.nodes[node].version) {
             active.insert(server, entry.health == Health::Active);
         }
         active.into_iter().filter(|(_, on)| *on).map(|(server, _)| server).collect()
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -18,20 +18,20 @@
         }
         n.away.push((now, now));
         if n.terminated.is_none() {
-            let about = About { node: Some(node), ..About::default() };
-            self.referee.note(Rule::Alive, now, about, "the process ended by itself");
+            let about = BreachSubject { node: Some(node), ..BreachSubject::default() };
+            self.referee.record_breach(Rule::Alive, now, about, "the process ended by itself");
         }
         if n.restart {
             self.at(now + 1, Ev::StartNode(node));
         }
-        self.at(now + self.draw.front_notice, Ev::FrontNotices(node));
+        self.at(now + self.draw.front_detection_delay, Ev::FrontNotices(node));
     }
 
     /// What a node holds, against what it may.
     pub fn over_limits(&mut self, now: Us, node: usize, words: String) {
         self.advance(now);
-        let about = About { node: Some(node), ..About::default() };
-        self.referee.note(Rule::Limits, now, about, words);
+        let about = BreachSubject { node: Some(node), ..BreachSubject::default() };
+        self.referee.record_breach(Rule::Limits, now, about, words);
     }
 
     pub(super) fn kill(&mut self, node: usize) {
@@ -39,7 +39,7 @@
         if std::mem::replace(&mut n.running, false) {
             n.away.push((self.now, self.now));
             self.out.push_back(Out::Signal(node, Signal::Kill));
-            self.at(self.now + self.draw.front_notice, Ev::FrontNotices(node));
+            self.at(self.now + self.draw.front_detection_delay, Ev::FrontNotices(node));
         }
     }
 
@@ -58,7 +58,7 @@
         }
         (n.running, n.restart, n.terminated) = (true, false, None);
         n.away.push((self.now, self.now));
-        self.referee.started(self.now, node, self.nodes[node].version, &self.list);
+        self.referee.node_started(self.now, node, self.nodes[node].version, &self.list);
         self.out.push_back(Out::Start(node));
     }
 
@@ -98,7 +98,7 @@
     pub(super) fn power_off(&mut self, server: usize) {
         self.end_process(server);
         let life = self.servers[server].life;
-        self.at(self.now + self.draw.list.silent_notice, Ev::ListGone(server, life));
+        self.at(self.now + self.draw.discovery.vanish_delay, Ev::ListGone(server, life));
     }
 
     /// A server's process ends, and its connections with it.
@@ -120,7 +120,7 @@
         }
         place.done_before += place.model.work_done();
         self.cold_before.push(place.model.cold_use(now));
-        place.model = Server::new(place.spec.figures.clone(), Some(now));
+        place.model = Server::new(place.spec.parameters.clone(), Some(now));
         place.model.burden(place.slower, place.taken);
         (place.power, place.born_ms, place.life, place.due) = (Power::Up, born_ms, place.life + 1, None);
         place.build = place.next_build;
@@ -128,7 +128,7 @@
         self.out.push_back(Out::Drop { server, zone: None });
         self.reaches(server);
         self.look_over();
-        self.at(now + self.draw.list.add, Ev::ListBack(server, life));
+        self.at(now + self.draw.discovery.join_delay, Ev::ListBack(server, life));
     }
 
     pub(super) fn drain(&mut self, server: usize, replace: bool) {
@@ -137,7 +137,7 @@
         }
         let life = self.servers[server].life;
         self.list(server, Health::Leaving);
-        let ends = self.now + self.draw.list.spread + DRAINS;
+        let ends = self.now + self.draw.discovery.node_spread + DRAINS;
         self.at(ends, Ev::EndServer(server, life, replace));
     }
 
@@ -152,7 +152,7 @@
             heir.power = Power::Off;
             heir.next_build = self.servers[server].next_build;
             self.servers.push(heir);
-            self.at(self.now + self.draw.list.notice, Ev::ListGone(server, life));
+            self.at(self.now + self.draw.discovery.leave_delay, Ev::ListGone(server, life));
             self.servers.len() - 1
         } else {
             server
--- a/crates/lab/src/world/list.rs
+++ b/crates/lab/src/world/list.rs
@@ -25,13 +25,13 @@
     }
 
     pub(super) fn list(&mut self, server: usize, health: Health) {
-        if self.list.newest(server).is_none() && health != Health::Active {
+        if self.list.newest_entry(server).is_none() && health != Health::Active {
             return;
         }
         let listed = entry(&self.draw, server, &self.servers[server], health);
-        let version = self.list.change(server, listed);
+        let version = self.list.record_change(server, listed);
         for node in 0..self.nodes.len() {
-            let after = (self.draw.list.spread as f64 * self.chance.random::<f64>()) as Us;
+            let after = (self.draw.discovery.node_spread as f64 * self.chance.random::<f64>()) as Us;
             self.at(self.now + after, Ev::Tell(node, version));
         }
     }
@@ -50,7 +50,7 @@
         }
         let before = self.nodes[node].overtaken.take();
         let held = self.reordered && before.is_none();
-        self.referee.has(self.now, node, to, held);
+        self.referee.agent_received(self.now, node, to, held);
         if held {
             self.nodes[node].overtaken = Some(from);
             return;
@@ -73,7 +73,7 @@
             if versions > 0 {
                 self.out.push_back(Out::EndWatches(node));
             } else if from < version {
-                self.referee.has(self.now, node, version, false);
+                self.referee.agent_received(self.now, node, version, false);
                 self.out.push_back(Out::Tell { node, from, to: version });
             }
         }
@@ -100,15 +100,15 @@
         let zone = self.nodes[node].zone;
         let dial = |server| (self.dial)(server, zone);
         if from == 0 {
-            self.list.whole(to, dial)
+            self.list.full(to, dial)
         } else {
-            self.list.line(from, to, dial)
+            self.list.delta(from, to, dial)
         }
     }
 
     /// A version was written to a node.
     pub fn told(&mut self, now: Us, node: usize, version: u64) {
         self.advance(now);
-        self.referee.told(now, node, version, &self.list);
+        self.referee.node_notified(now, node, version, &self.list);
     }
 }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -31,13 +31,13 @@
 use rand_pcg::Pcg64;
 
 use crate::draw::{Draw, FaultSpec, ServerSpec};
-use crate::epochs::Epochs;
-use crate::listing::{Entry, List};
-use crate::plan::{Effect, Rules, Trouble, Way};
-use crate::referee::{About, Breach, Referee, Rule};
-use crate::removals::Removals;
+use crate::epochs::EpochTracker;
+use crate::plan::{Direction, FaultKind, Idempotency, Rules};
+use crate::referee::{Breach, BreachSubject, Referee, Rule};
+use crate::removals::RemovalReferee;
 use crate::server::{Arrived, ColdUse, Server, Us};
-use crate::tally::{End, Tally};
+use crate::server_list::{ServerEntry, ServerList};
+use crate::tally::{RequestOutcome, Tally};
 
 /// An answer that comes later than this after its time, or never, is lost.
 const LOST_AFTER: Us = 500_000;
@@ -316,11 +316,11 @@
 #[derive(Debug)]
 struct Request {
     tries: usize,
-    ended: Option<End>,
+    ended: Option<RequestOutcome>,
     /// It has run, and until then its repeats are dropped.
     kept: Option<Us>,
     /// What its last try came to.
-    last: End,
+    last: RequestOutcome,
     rng: Pcg64,
 }
 
@@ -397,7 +397,7 @@
     requests: Vec<Request>,
     tries: Vec<Try>,
     attempts: Vec<Attempt>,
-    list: List,
+    list: ServerList,
     silent: bool,
     /// By how many versions the list tells less than it knew.
     behind: u64,
@@ -407,8 +407,8 @@
     tally: Tally,
     /// What servers' former lives were sent while cold.
     cold_before: Vec<ColdUse>,
-    epochs: Option<Epochs>,
-    removals: Removals,
+    epochs: Option<EpochTracker>,
+    removals: RemovalReferee,
 }
 
 impl World {
@@ -435,7 +435,7 @@
             queue: BinaryHeap::new(),
             order: 0,
             out: VecDeque::new(),
-            chance: draw.network_chance(),
+            chance: draw.network_rng(),
             unix_start_ms,
             dial,
             nodes: nodes.collect(),
@@ -443,7 +443,7 @@
             requests: Vec::with_capacity(draw.arrivals.len()),
             tries: Vec::new(),
             attempts: Vec::new(),
-            list: List::new(entries),
+            list: ServerList::new(entries),
             silent: false,
             behind: 0,
             reordered: false,
@@ -452,12 +452,12 @@
             tally: Tally::new(draw.classes.len()),
             cold_before: Vec::new(),
             epochs: None,
-            removals: Removals::new(votes::grace(&draw), &draw.zones),
+            removals: RemovalReferee::new(votes::grace(&draw), &draw.zones),
             servers,
             draw,
         };
         for node in 0..world.nodes.len() {
-            world.referee.started(0, node, 1, &world.list);
+            world.referee.node_started(0, node, 1, &world.list);
         }
         if !world.draw.arrivals.is_empty() {
             world.at(world.draw.arrivals[0].at, Ev::Arrive(0));
@@ -556,7 +556,7 @@
 impl Place {
     fn new(spec: ServerSpec, born: Option<Us>, born_ms: f64) -> Self {
         Self {
-            model: Server::new(spec.figures.clone(), born),
+            model: Server::new(spec.parameters.clone(), born),
             spec,
             power: Power::Up,
             life: 0,
@@ -590,8 +590,8 @@
     format!("s-{:08x}", rng.random::<u32>())
 }
 
-fn entry(draw: &Draw, server: usize, place: &Place, health: Health) -> Entry {
-    Entry {
+fn entry(draw: &Draw, server: usize, place: &Place, health: Health) -> ServerEntry {
+    ServerEntry {
         name: name_of(draw, server),
         zone: draw.zones[place.spec.zone].clone(),
         cell: place.spec.cell,
--- a/crates/lab/src/world/votes.rs
+++ b/crates/lab/src/world/votes.rs
@@ -5,7 +5,7 @@
 use member::votes::{Ballot, Evidence, Vote, VoteSettings, MAX_BALLOTS};
 
 use super::*;
-use crate::removals::{Told, VoteFigures, Word};
+use crate::removals::{GroupVerdicts, ReportedRemoval, VoteMetrics};
 
 /// What a liar claims to have seen of each server.
 const CLAIMED: u32 = 1000;
@@ -14,7 +14,7 @@
 pub(super) fn grace(draw: &Draw) -> Us {
     let figures = draw.faults.iter().filter_map(|f| f.policy.get("Votes"));
     let figures = figures.filter_map(|told| serde_json::from_value::<VoteSettings>(told.clone()).ok());
-    let spans = figures.map(|f| crate::draw::ms(f.evidence_window + f.ballot_ttl));
+    let spans = figures.map(|f| crate::draw::us_from_ms(f.evidence_window + f.ballot_ttl));
     spans.max().unwrap_or(0)
 }
 
@@ -29,7 +29,7 @@
         for server in 0..self.servers.len() {
             for zone in 0..self.draw.zones.len() {
                 let wrong = self.ails(server, zone);
-                self.removals.ails(self.now, server, zone, wrong);
+                self.removals.set_faulty(self.now, server, zone, wrong);
             }
         }
     }
@@ -45,14 +45,14 @@
     }
 
     /// What the group says of servers by now.
-    pub fn group_says(&mut self, now: Us, word: Word) {
+    pub fn group_says(&mut self, now: Us, word: GroupVerdicts) {
         self.advance(now);
         let numbers: BTreeMap<String, usize> =
             (0..self.servers.len()).map(|server| (name_of(&self.draw, server), server)).collect();
         // Nodes heed no verdict about another process than the one that is listed.
         let anew = |name: &str, born_ms| self.born_ms(name).is_some_and(|listed| listed != born_ms);
         let told = word.verdicts.into_iter().filter(|(name, born_ms, ..)| !anew(name, *born_ms)).map(
-            |(name, born_ms, zones, probed)| Told {
+            |(name, born_ms, zones, probed)| ReportedRemoval {
                 server: numbers.get(&name).copied(),
                 name,
                 born_ms,
@@ -62,12 +62,12 @@
                 probed,
             },
         );
-        self.removals.told(now, told.collect());
+        self.removals.record_verdicts(now, told.collect());
     }
 
     /// What came of votes on servers; `None` where the group was never heard of them.
-    pub fn votes(&self) -> Option<VoteFigures> {
-        self.removals.figures()
+    pub fn votes(&self) -> Option<VoteMetrics> {
+        self.removals.metrics()
     }
 
     /// How many servers of each zone are listed as in service.
@@ -79,19 +79,19 @@
         up.into_iter().collect()
     }
 
-    fn active(&self, server: usize) -> Option<&Entry> {
-        self.list.newest(server).filter(|entry| entry.health == Health::Active)
+    fn active(&self, server: usize) -> Option<&ServerEntry> {
+        self.list.newest_entry(server).filter(|entry| entry.health == Health::Active)
     }
 
     /// A ballot on a server as it is listed, where it is in service.
     pub fn ballot(&self, server: usize, vote: Vote, evidence: Evidence) -> Option<Ballot> {
-        let Entry { name, zone, born_ms, .. } = self.active(server)?.clone();
+        let ServerEntry { name, zone, born_ms, .. } = self.active(server)?.clone();
         Some(Ballot { server: name, born_ms, zone, vote, evidence })
     }
 
     /// When the process started that is listed by a name.
     pub fn born_ms(&self, name: &str) -> Option<f64> {
-        let listed = (0..self.servers.len()).filter_map(|server| self.list.newest(server));
+        let listed = (0..self.servers.len()).filter_map(|server| self.list.newest_entry(server));
         listed.filter(|entry| entry.name == name).map(|entry| entry.born_ms).next()
     }
 
--- a/crates/lab/tests/fleets.rs
+++ b/crates/lab/tests/fleets.rs
@@ -27,8 +27,8 @@
 /// Shares of the requests that were served late, and of the attempts that were turned away.
 fn shares(world: &World) -> (f64, f64) {
     let windows = || world.tally().windows.iter().flatten();
-    let all: u64 = windows().flat_map(|w| w.ends).sum();
-    let late: u64 = windows().map(|w| w.ends[1]).sum();
+    let all: u64 = windows().flat_map(|w| w.outcomes).sum();
+    let late: u64 = windows().map(|w| w.outcomes[1]).sum();
     let seconds = || world.tally().seconds.iter();
     let away: u64 = seconds().map(|s| s.turned_away).sum();
     let attempts: u64 = seconds().map(|s| s.attempts).sum();
--- a/crates/lab/tests/referee.rs
+++ b/crates/lab/tests/referee.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use lab::baseline::{self, Policy};
+use lab::baseline::{self, BaselinePolicy};
 use lab::draw::Draw;
-use lab::epochs::{ControlFigures, Outcome};
+use lab::epochs::{ControlMetrics, Outcome};
 use lab::live::{self, Options, Played};
 use lab::plan::Plan;
 use lab::referee::{Breach, Rule};
@@ -82,7 +82,7 @@
     let (count, breaches) = world.breaches();
     assert_eq!(count == 0, breaches.is_empty());
     for breach in &breaches {
-        assert!(breach.at_ms > 0.0 && !breach.words.is_empty(), "{breach}");
+        assert!(breach.at_ms > 0.0 && !breach.description.is_empty(), "{breach}");
     }
     breaches
 }
@@ -170,12 +170,12 @@
 #[test]
 fn fair_nodes_under_an_agreed_policy_break_none() {
     let see = |world: World| (breaches(&world), world.control().expect("a group"));
-    let fits = |(breaches, control): &(Vec<Breach>, ControlFigures)| {
+    let fits = |(breaches, control): &(Vec<Breach>, ControlMetrics)| {
         let change = &control.changes[0];
         breaches.is_empty()
             && (control.changes.len(), &change.outcome) == (1, &Outcome::Committed(1))
             && (change.active_ms > Some(0.0) && change.mixed_ms < Some(300.0))
-            && control.held == 0.0
+            && control.refused_share == 0.0
     };
     let seen = seen("fair", "fair", &asked(300), see, fits);
     assert!(fits(&seen), "{seen:?}");
@@ -210,11 +210,12 @@
     );
     let see = |world: World| {
         let plan = Plan::read("x.toml", &format!("{FLEET}{more}")).expect("it was played");
-        let [random, oracle] =
-            [Policy::Random, Policy::Oracle].map(|policy| baseline::play(world.draw(), &plan.rules, policy));
+        let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
+            .map(|policy| baseline::play(world.draw(), &plan.rules, policy));
         let played = Played { world, interrupted: false, held: (0.0, 0), busy: 0.0 };
         let result = RunResult::new(&plan, &played, &random, &oracle);
-        let failed: Vec<String> = result.held.into_iter().filter(|h| !h.held).map(|h| h.key).collect();
+        let failed: Vec<String> =
+            result.expectations.into_iter().filter(|h| !h.held).map(|h| h.key).collect();
         let mut wrong: Vec<bool> = result.votes.iter().flat_map(|v| &v.removals).map(|r| r.wrong).collect();
         wrong.sort_unstable();
         (failed, wrong)
--- a/crates/stoneshift/src/failure.rs
+++ b/crates/stoneshift/src/failure.rs
@@ -77,7 +77,7 @@
     #[test]
     fn every_failure_is_one_line_and_has_advice() {
         let io = || std::io::Error::from(std::io::ErrorKind::NotFound);
-        let file = || FileError::Nothing { folder: "x".into() };
+        let file = || FileError::NoResults { folder: "x".into() };
         /// A variant that is left out does not compile.
         macro_rules! each {
             ($($variant:pat => $failure:expr),+ $(,)?) => {{
--- a/crates/stoneshift/src/model.rs
+++ b/crates/stoneshift/src/model.rs
@@ -4,14 +4,14 @@
 use std::rc::Rc;
 
 use clap::Args;
-use lab::baseline::{self, Policy};
+use lab::baseline::{self, BaselinePolicy};
 use lab::draw::Draw;
 use lab::live::Played;
 use lab::modules::{self, Look, Watcher};
-use lab::plan::{Plan, Trouble};
+use lab::plan::{FaultKind, Plan};
 use lab::plot;
 use lab::result::{Ends, RunResult, Verdict};
-use lab::tally::Second;
+use lab::tally::SecondCounts;
 use lab::world::World;
 use tulipmount::Status;
 
@@ -30,7 +30,7 @@
     draws: u64,
     /// Leaves out the faults of a kind, such as policy, to compare with; may be given again.
     #[arg(long, value_name = "KIND", value_parser = crate::run::kind)]
-    without: Vec<Trouble>,
+    without: Vec<FaultKind>,
     /// Nodes, in place of the file's.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=1000))]
     nodes: Option<u32>,
@@ -66,8 +66,8 @@
             let mut show = |look: &Look<'_>| state(look);
             let look: Option<Watcher<'_>> = if self.seconds { Some((1_000_000, &mut show)) } else { None };
             let world = modules::play(&plan, &draw, look)?;
-            let [random, oracle] =
-                [Policy::Random, Policy::Oracle].map(|policy| baseline::play(&draw, &plan.rules, policy));
+            let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
+                .map(|policy| baseline::play(&draw, &plan.rules, policy));
             let played = Played { world, interrupted: false, held: (0.0, 0), busy: 0.0 };
             let result = RunResult::new(&plan, &played, &random, &oracle);
             if let Some(out) = &self.out {
@@ -116,7 +116,7 @@
 fn ends(result: &RunResult, world: &World) {
     for (s, (second, counts)) in result.seconds.iter().zip(&world.tally().seconds).enumerate() {
         let Ends { in_time, late, refused, failed, unanswered } = second.ends;
-        let Second { tries, attempts, turned_away, connections, refused_connections } = counts;
+        let SecondCounts { tries, attempts, turned_away, connections, refused_connections } = counts;
         println!(
             "{s:>4} s: {:>5} asked, {in_time:>5} in time, {late:>4} late, {refused:>4} refused, {failed:>4} failed, \
              {unanswered:>3} unanswered; {tries:>5} tries, {attempts:>5} attempts, {turned_away:>4} turned away, \
--- a/crates/stoneshift/src/run.rs
+++ b/crates/stoneshift/src/run.rs
@@ -5,11 +5,11 @@
 
 use clap::Args;
 use indicatif::ProgressBar;
-use lab::baseline::{self, Policy};
-use lab::draw::{Draw, ARRIVALS_MOST};
+use lab::baseline::{self, BaselinePolicy};
+use lab::draw::{Draw, MAX_ARRIVALS};
 use lab::error::FileError;
 use lab::live::{self, Options};
-use lab::plan::{Plan, Trouble};
+use lab::plan::{FaultKind, Plan};
 use lab::plot;
 use lab::result::{RunResult, Verdict};
 
@@ -28,7 +28,7 @@
     out: PathBuf,
     /// Leaves out the faults of a kind, such as policy, to compare with; may be given again.
     #[arg(long, value_name = "KIND", value_parser = kind)]
-    without: Vec<Trouble>,
+    without: Vec<FaultKind>,
     /// The node's program; without it, the `glenwood` beside this program.
     #[arg(long)]
     node: Option<PathBuf>,
@@ -52,8 +52,8 @@
             std::fs::remove_dir_all(&logs).map_err(FileError::write(&logs)).map_err(Failure::Out)?;
         }
         let draw = Rc::new(Draw::new(&plan, self.seed.unwrap_or(plan.seed)));
-        if draw.arrivals.len() >= ARRIVALS_MOST {
-            return Err(Failure::Load { file: self.file, most: ARRIVALS_MOST });
+        if draw.arrivals.len() >= MAX_ARRIVALS {
+            return Err(Failure::Load { file: self.file, most: MAX_ARRIVALS });
         }
         println!(
             "{}: seed {}, {} nodes, {} servers in {} zones, {} requests in {} s",
@@ -65,8 +65,8 @@
             draw.arrivals.len(),
             draw.length as f64 / 1e6
         );
-        let [random, oracle] =
-            [Policy::Random, Policy::Oracle].map(|policy| baseline::play(&draw, &plan.rules, policy));
+        let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
+            .map(|policy| baseline::play(&draw, &plan.rules, policy));
         // Hidden where standard error is not a terminal.
         let bar = ProgressBar::new(1000);
         bar.set_style(style("{bar:40} {percent}% {msg}"));
@@ -87,7 +87,7 @@
 }
 
 /// A fault's kind, as experiments' files word it.
-pub fn kind(word: &str) -> Result<Trouble, serde::de::value::Error> {
+pub fn kind(word: &str) -> Result<FaultKind, serde::de::value::Error> {
     use serde::de::IntoDeserializer;
     serde::Deserialize::deserialize(word.into_deserializer())
 }
--- a/crates/stoneshift/src/table.rs
+++ b/crates/stoneshift/src/table.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write;
 
-use lab::epochs::{ControlFigures, Outcome};
-use lab::removals::VoteFigures;
+use lab::epochs::{ControlMetrics, Outcome};
+use lab::removals::VoteMetrics;
 use lab::result::{RunResult, Service};
 
 /// Breaches that are shown in words.
@@ -78,7 +78,11 @@
         "a node held {:.1} MiB and {} descriptors at most; {} answers overdue",
         c.node_memory_mb, c.node_descriptors, c.overdue
     )?;
-    writeln!(out, "attempts failed at servers with something wrong: {}, at others: {}", c.paid, c.failures)?;
+    writeln!(
+        out,
+        "attempts failed at servers with something wrong: {}, at others: {}",
+        c.failures_at_faulty, c.failures_at_healthy
+    )?;
     for fault in &r.faults {
         let back =
             fault.recover_s.map_or("not back before the end".to_string(), |s| format!("back after {s:.0} s"));
@@ -100,13 +104,13 @@
         "the lab: late by {:.2} ms at p50, {:.2} at p99, {:.2} at most; {:.2} of a core; {:.0} messages a second",
         l.late_ms.p50, l.late_ms.p99, l.late_ms.max, l.busy, l.messages_per_s
     )?;
-    for breach in r.broken.iter().take(SHOWN) {
+    for breach in r.first_breaches.iter().take(SHOWN) {
         writeln!(out, "{breach}")?;
     }
     if r.breaches > SHOWN {
         writeln!(out, "and {} further breaches", r.breaches - SHOWN)?;
     }
-    for held in &r.held {
+    for held in &r.expectations {
         let got = held.got.map_or("unknown".to_string(), |got| format!("{got:.3}"));
         let word = if held.held { "held" } else { "DID NOT HOLD" };
         writeln!(out, "hold {} {:.3}: {got} {word}", held.key, held.wanted)?;
@@ -118,16 +122,20 @@
     ms.map_or("unknown".to_string(), |ms| format!("{ms:.0} ms"))
 }
 
-fn vote_lines(out: &mut String, v: &VoteFigures) -> std::fmt::Result {
+fn vote_lines(out: &mut String, v: &VoteMetrics) -> std::fmt::Result {
     writeln!(
         out,
         "votes: of {} servers with something wrong {} removed, after {} at most, back after {} at most",
-        v.bad,
+        v.faulty,
         v.removed,
         ms(v.remove_ms()),
         ms(v.return_ms())
     )?;
-    writeln!(out, "wrong removals: {}; attempts at removed servers: {}", v.wrong, v.late)?;
+    writeln!(
+        out,
+        "wrong removals: {}; attempts at removed servers: {}",
+        v.wrong_removals, v.attempts_after_removal
+    )?;
     for r in v.removals.iter().filter(|r| r.wrong).take(SHOWN) {
         let zones = if r.zones.is_empty() { "all zones".to_string() } else { r.zones.join(", ") };
         writeln!(out, "wrongly removed at {:.1} s for {zones}: {}", r.at_s, r.server)?;
@@ -135,7 +143,7 @@
     Ok(())
 }
 
-fn control_lines(out: &mut String, c: &ControlFigures) -> std::fmt::Result {
+fn control_lines(out: &mut String, c: &ControlMetrics) -> std::fmt::Result {
     for change in &c.changes {
         let outcome = match &change.outcome {
             Outcome::Committed(epoch) => format!("committed as epoch {epoch}"),
@@ -146,7 +154,7 @@
             out,
             "policy asked for at {:.1} s {outcome}: told after {}, active everywhere after {}, two in force for {}",
             change.at_s,
-            ms(change.told_ms),
+            ms(change.outcome_known_ms),
             ms(change.active_ms),
             ms(change.mixed_ms)
         )?;
@@ -154,5 +162,5 @@
     for gap in &c.write_gaps_ms {
         writeln!(out, "leader struck: nothing could be written for {}", ms(*gap))?;
     }
-    writeln!(out, "answers that refused for want of an agreed policy: {:.4}", c.held)
+    writeln!(out, "answers that refused for want of an agreed policy: {:.4}", c.refused_share)
 }
