--- a/crates/control/examples/fleet/sim.rs
+++ b/crates/control/examples/fleet/sim.rs
@@ -5,8 +5,8 @@
 
 use consensus::Machine as _;
 use control::command::{Command, PolicyCommand};
-use control::leader::{Effect, Input, Leader, Terms};
-use control::machine::Agreement;
+use control::leader::{Effect, Input, Leader, LeaderSettings};
+use control::machine::FleetState;
 use member::{
     AgreedState, ChangeId, Epoch, Heartbeat, HeartbeatReply, Member, MemberConfig, Millis, Policy, Process,
     StartMode, MAX_CLOCK_DRIFT,
@@ -52,7 +52,7 @@
 
 /// The longest that two policies may be in service at once.
 pub fn bound() -> Millis {
-    Terms::default().promise_ms * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
+    LeaderSettings::default().promise_ms * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
 }
 
 /// A quantile of sorted figures.
@@ -115,7 +115,7 @@
     nodes: Vec<Node>,
     tokens: u64,
     waiting: BTreeMap<u64, usize>,
-    log: Agreement,
+    log: FleetState,
     /// Elections so far; the leader of this term, unless it is lost.
     term: u64,
     leader: Option<Leader>,
@@ -152,7 +152,7 @@
         nodes,
         tokens: 0,
         waiting: BTreeMap::new(),
-        log: Agreement::new(),
+        log: FleetState::new(),
         term: 0,
         leader: None,
         synced: 0.0,
@@ -236,7 +236,7 @@
                     return self.after(link, Event::NoAnswer { node, token });
                 }
                 self.waiting.insert(token, node);
-                self.lead(Input::Beat { token, beat });
+                self.lead(Input::Heartbeat { token, heartbeat: beat });
             }
             Event::NoAnswer { node, token } => {
                 if self.nodes[node].out.is_some_and(|(out, _)| out == token) {
@@ -267,10 +267,12 @@
                 self.nodes[node].member.on_check_result(change, Ok(()), clock);
                 self.next_beat(node);
             }
-            Event::Confirmed { term, asked } if term == self.term => self.lead(Input::Confirmed { asked }),
+            Event::Confirmed { term, asked } if term == self.term => {
+                self.lead(Input::Confirmed { requested_at: asked })
+            }
             Event::Written { term, command } if term == self.term && self.leader.is_some() => {
                 let outcome = Some(self.apply(&command));
-                self.lead(Input::Written { command, outcome });
+                self.lead(Input::WriteResult { command, outcome });
             }
             Event::Tick { term } if term == self.term => self.lead(Input::Tick),
             Event::Confirmed { .. } | Event::Written { .. } | Event::Tick { .. } => {}
@@ -284,7 +286,7 @@
                 self.term += 1;
                 self.waiting.clear();
                 self.synced = self.now;
-                self.leader = Some(Leader::new(Terms::default(), self.term, self.now));
+                self.leader = Some(Leader::new(LeaderSettings::default(), self.term, self.now));
                 self.lead(Input::Applied);
                 self.after(0.0, Event::Tick { term: self.term });
             }
@@ -302,10 +304,10 @@
             (0..self.plan.classes).map(|class| format!("{{\"Name\":\"class-{class}\",\"Slo\":0.2}}"));
         let policy = format!("{{\"Classes\":[{}]}}", fields.collect::<Vec<_>>().join(","));
         let policy: Policy = serde_json::from_str(&policy).expect("JSON");
-        let base = self.log.book().epoch();
+        let base = self.log.policy_state().epoch();
         self.traffic = (0, 0);
-        self.apply(&Command::Policy(PolicyCommand::Propose { base, policy }));
-        let epoch = self.log.book().given();
+        self.apply(&Command::Policy(PolicyCommand::Propose { base_epoch: base, policy }));
+        let epoch = self.log.policy_state().highest_epoch();
         let missing = self.plan.nodes;
         self.watched = Some(Watched { proposed: self.now, epoch, missing, first: None, last_old: self.now });
         self.lead(Input::Applied);
@@ -317,9 +319,9 @@
 
     /// A command is committed: replicas apply it, and their watchers hear.
     fn apply(&mut self, command: &Command) -> control::command::Outcome {
-        let before = (self.log.book().epoch(), self.log.book().change().cloned());
+        let before = (self.log.policy_state().epoch(), self.log.policy_state().pending_change().cloned());
         let outcome = self.log.apply(self.log.version() + 1, command);
-        let agreed = self.log.agreed();
+        let agreed = self.log.agreed_state();
         if before == (agreed.epoch, agreed.change.clone()) {
             return outcome;
         }
@@ -342,14 +344,14 @@
         let Some(leader) = &mut self.leader else { return };
         let tick = input == Input::Tick;
         let effects = leader.handle(self.now, input, &self.log);
-        if let Some(next) = leader.next().filter(|_| tick) {
+        if let Some(next) = leader.next_tick_at().filter(|_| tick) {
             let event = Event::Tick { term: self.term };
             self.after(next - self.now, event);
         }
         let (term, asked) = (self.term, self.now);
         for effect in effects {
             match effect {
-                Effect::Answer { token, answer } => {
+                Effect::Reply { token, reply: answer } => {
                     self.count(&answer);
                     let node = self.waiting.remove(&token).expect("it was asked");
                     let link = self.link();
@@ -364,7 +366,7 @@
                     self.synced = self.synced.max(self.now + sync);
                     self.after(self.synced - self.now, Event::Written { term, command });
                 }
-                Effect::Confirm => {
+                Effect::ConfirmLeadership => {
                     let round = self.draw.random_range(1.0..6.0);
                     self.after(round, Event::Confirmed { term, asked });
                 }
--- a/crates/control/examples/votes/sim.rs
+++ b/crates/control/examples/votes/sim.rs
@@ -7,7 +7,7 @@
 
 use consensus::Machine as _;
 use control::command::{Command, PolicyCommand, RosterCommand, VerdictCommand};
-use control::machine::Agreement;
+use control::machine::FleetState;
 use control::tally::{Input, Tally};
 use member::votes::{Ballot, Evidence, Verdicts, Vote, VoteReport, VoteSettings, MAX_BALLOTS};
 use member::{ChangeId, Millis, Policy, Process, Stamp};
@@ -89,7 +89,7 @@
     due: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     nodes: Vec<Node>,
-    log: Agreement,
+    log: FleetState,
     tally: Tally,
     ticks: Option<Millis>,
     synced: Millis,
@@ -115,19 +115,26 @@
 pub fn run(plan: Plan) -> Report {
     let figures = VoteSettings::default();
     let mut draw = Pcg64Mcg::seed_from_u64(plan.seed);
-    let mut log = Agreement::new();
+    let mut log = FleetState::new();
     let policy = Policy(
         [("Votes".to_owned(), serde_json::to_value(&figures).expect("figures serialize"))]
             .into_iter()
             .collect(),
     );
-    log.apply(1, &Command::Policy(PolicyCommand::Propose { base: 0, policy }));
-    let commit = PolicyCommand::Commit { change: ChangeId(1), staged: vec![], fenced: vec![] };
+    log.apply(1, &Command::Policy(PolicyCommand::Propose { base_epoch: 0, policy }));
+    let commit =
+        PolicyCommand::Commit { change: ChangeId(1), staged_members: vec![], fenced_members: vec![] };
     log.apply(2, &Command::Policy(commit));
     let mut nodes = Vec::new();
     for node in 0..plan.nodes {
         let (life, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
-        let join = RosterCommand::Join { process, life, beside: false, fenced: false, active: None };
+        let join = RosterCommand::Join {
+            process,
+            liveness_addr: life,
+            coexists_with_previous: false,
+            fenced: false,
+            active_epoch: None,
+        };
         log.apply(log.version() + 1, &Command::Roster(join));
         let mut servers: Vec<usize> = (0..plan.servers).collect();
         for place in 0..plan.fan {
@@ -226,11 +233,17 @@
                 self.after(link, Event::Comes { node, echo, votes });
             }
             Event::Comes { node, echo, votes } => {
-                self.lead(vec![Input::Beat { process: process(node), echo, votes: Some(votes) }]);
+                self.lead(vec![Input::Heartbeat {
+                    process: process(node),
+                    echoed_stamp: echo,
+                    report: Some(votes),
+                }]);
                 // The leader answers once it has made sure that it leads.
                 let confirm = self.draw.random_range(1.0..6.0);
-                let (stamp, asked) =
-                    (Stamp { term: 1, time: self.now + confirm }, Rc::new(self.tally.asked().to_vec()));
+                let (stamp, asked) = (
+                    Stamp { term: 1, time: self.now + confirm },
+                    Rc::new(self.tally.queried_servers().to_vec()),
+                );
                 if !asked.is_empty() {
                     self.count(serde_json::to_vec(&*asked).expect("names serialize").len());
                 }
@@ -352,7 +365,7 @@
             self.synced = self.synced.max(self.now + sync);
             self.after(self.synced - self.now, Event::Written(command));
         }
-        if let Some(next) = self.tally.next().filter(|_| self.ticks.is_none()) {
+        if let Some(next) = self.tally.next_tick_at().filter(|_| self.ticks.is_none()) {
             self.ticks = Some(next);
             self.after((next - self.now).max(0.0) + 0.001, Event::Tick);
         }
@@ -371,12 +384,12 @@
                 self.unheard = self.nodes.iter().filter(|node| node.servers.contains(&0)).count();
             }
         }
-        let told = Rc::new(self.log.verdicts().told());
+        let told = Rc::new(self.log.verdicts().in_force());
         for node in 0..self.nodes.len() {
             let delay = self.draw.random_range(1.0..10.0) + self.link();
             self.after(delay, Event::News { node, told: told.clone() });
         }
-        self.lead(vec![Input::Written { command, outcome: Some(outcome) }]);
+        self.lead(vec![Input::WriteResult { command, outcome: Some(outcome) }]);
     }
 }
 
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -5,7 +5,7 @@
 use member::{AbortReason, ChangeId, Epoch, Policy, Process};
 use serde::{Deserialize, Serialize};
 
-use crate::verdicts::{Case, Why};
+use crate::verdicts::{EndReason, VoteResult};
 
 /// One entry of the log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -30,25 +30,29 @@
         /// Who.
         process: Process,
         /// Where it listens as long as it lives.
-        life: SocketAddr,
+        #[serde(rename = "life")]
+        liveness_addr: SocketAddr,
         /// An older process of its name stays a member.
-        beside: bool,
+        #[serde(rename = "beside")]
+        coexists_with_previous: bool,
         /// It takes nothing without a lease, from now to its end.
         #[serde(default)]
         fenced: bool,
         /// The epoch that it knows: none of the numbers up to this is given to another policy.
-        #[serde(default)]
-        active: Option<Epoch>,
+        #[serde(default, rename = "active")]
+        active_epoch: Option<Epoch>,
     },
     /// A process is no member any more.
-    Ended {
+    #[serde(rename = "ended")]
+    MarkEnded {
         /// Who.
         process: Process,
         /// How it is known.
         proof: Proof,
     },
     /// Operators say that a node is gone, with all its processes.
-    Remove {
+    #[serde(rename = "remove")]
+    RemoveNode {
         /// The node.
         name: String,
     },
@@ -59,47 +63,53 @@
 #[serde(rename_all = "snake_case")]
 pub enum Proof {
     /// It closed its session.
-    Closed,
+    #[serde(rename = "closed")]
+    SessionClosed,
     /// The address that it listens at as long as it lives refuses connections.
-    Refused,
+    #[serde(rename = "refused")]
+    ConnectionRefused,
 }
 
 /// What changes the policy.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyCommand {
-    /// Operators propose. Refused unless `base` is the agreed epoch and no change is under way.
+    /// Operators propose. Refused unless `base_epoch` is the agreed epoch and no change is under way.
     Propose {
         /// The epoch that they know.
-        base: Epoch,
+        #[serde(rename = "base")]
+        base_epoch: Epoch,
         /// What they want.
         policy: Policy,
     },
-    /// The change becomes the agreed policy. Void (nothing changes, [`Outcome::Uncovered`] tells who is missing) unless
-    /// every member of the roster at this entry is in `staged` or in `fenced`.
+    /// The change becomes the agreed policy. Void (nothing changes, [`Outcome::MissingMembers`] tells who is missing) unless
+    /// every member of the roster at this entry is in `staged_members` or in `fenced_members`.
     Commit {
         /// Which.
         change: ChangeId,
         /// Members that have staged it and whose promise still holds.
-        staged: Vec<Process>,
+        #[serde(rename = "staged")]
+        staged_members: Vec<Process>,
         /// Members whose lease is surely over (a fenced fleet only).
-        fenced: Vec<Process>,
+        #[serde(rename = "fenced")]
+        fenced_members: Vec<Process>,
     },
     /// The change takes hold nowhere.
     Abort {
         /// Which.
         change: ChangeId,
         /// Why.
-        why: AbortReason,
+        #[serde(rename = "why")]
+        reason: AbortReason,
     },
 }
 
-/// What changes verdicts on servers. All are void while the agreed policy has no `Votes`. `at` is the version that the
+/// What changes verdicts on servers. All are void while the agreed policy has no `Votes`. `changed_at` is the version that the
 /// verdict last changed at: at another one the command is void, too.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VerdictCommand {
-    /// A server is removed, or from more zones than it was. Void ([`Outcome::Capped`]) where it would be over the cap
+    /// A server is removed, or from more zones than it was. Void ([`Outcome::CapReached`]) where it would be over the cap
     /// of its zone.
     Remove {
         /// The server.
@@ -111,18 +121,22 @@
         /// For nodes of these zones alone; for all where there are none.
         zones: Vec<String>,
         /// Servers that are up in its zone.
-        up: u32,
+        #[serde(rename = "up")]
+        up_servers: u32,
         /// Terms that it had of late: the next one is as long as if these were this verdict's.
-        terms: u32,
+        #[serde(rename = "terms")]
+        term_index: u32,
         /// By what.
-        case: Case,
+        #[serde(rename = "case")]
+        vote_result: VoteResult,
     },
     /// Its term is over: these nodes send it a little again, and vote.
     Probe {
         /// The server.
         server: String,
         /// See above.
-        at: u64,
+        #[serde(rename = "at")]
+        changed_at: u64,
         /// Names of nodes.
         probers: Vec<String>,
     },
@@ -131,20 +145,25 @@
         /// The server.
         server: String,
         /// See above.
-        at: u64,
+        #[serde(rename = "at")]
+        changed_at: u64,
         /// By what.
-        case: Case,
+        #[serde(rename = "case")]
+        vote_result: VoteResult,
     },
     /// It is back.
     Return {
         /// The server.
         server: String,
         /// See above.
-        at: u64,
+        #[serde(rename = "at")]
+        changed_at: u64,
         /// Why.
-        why: Why,
+        #[serde(rename = "why")]
+        reason: EndReason,
         /// By what, where there was a vote.
-        case: Option<Case>,
+        #[serde(rename = "case")]
+        vote_result: Option<VoteResult>,
     },
 }
 
@@ -162,30 +181,37 @@
         epoch: Epoch,
     },
     /// Not the agreed epoch.
-    Stale {
+    #[serde(rename = "stale")]
+    StaleEpoch {
         /// The agreed one.
         epoch: Epoch,
     },
     /// Another change is under way.
-    Busy {
+    #[serde(rename = "busy")]
+    ChangePending {
         /// Which.
         change: ChangeId,
     },
     /// Members that neither staged the change nor are fenced; nothing has changed.
-    Uncovered {
+    #[serde(rename = "uncovered")]
+    MissingMembers {
         /// Who.
         missing: Vec<Process>,
     },
     /// No such change is under way, or the verdict is not as it was, or votes are off: nothing has changed.
-    Over,
+    #[serde(rename = "over")]
+    Obsolete,
     /// As many of the zone's servers are removed as may be; nothing has changed.
-    Capped,
+    #[serde(rename = "capped")]
+    CapReached,
     /// A newer process has taken this one's place, or operators have removed it.
     Superseded,
     /// The roster is full, or what came is too large; nothing has changed.
-    TooMuch,
+    #[serde(rename = "too_much")]
+    LimitExceeded,
     /// Nobody by that name.
-    Unknown,
+    #[serde(rename = "unknown")]
+    UnknownNode,
 }
 
 impl VerdictCommand {
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -12,13 +12,13 @@
 use member::MAX_CLOCK_DRIFT;
 use serde::Deserialize;
 
-use crate::leader::{Terms, TermsError, Unreachable};
-use crate::policy::POLICY_MOST;
+use crate::leader::{LeaderSettings, LeaderSettingsError, UnreachableAction};
+use crate::policy::MAX_POLICY_BYTES;
 
 /// The longest name of a cluster, in bytes.
-const CLUSTER_MOST: usize = 64;
+const MAX_CLUSTER_NAME_BYTES: usize = 64;
 /// How many replicas a group may have.
-const REPLICAS_MOST: usize = 7;
+const MAX_REPLICAS: usize = 7;
 
 /// One replica of a control group.
 #[derive(Clone, Debug)]
@@ -30,13 +30,13 @@
     /// Where it listens, for nodes, operators and the other replicas.
     pub listen: SocketAddr,
     /// Its state folder; made where it is not there.
-    pub dir: PathBuf,
+    pub state_dir: PathBuf,
     /// Where nodes, operators and the other replicas reach it.
     pub address: SocketAddr,
     /// The replicas that form the group, this one among them; none where it is added to a group that is there.
     pub peers: BTreeMap<u64, SocketAddr>,
     /// How long members may take for what.
-    pub terms: Terms,
+    pub leader: LeaderSettings,
     /// How replicas find a leader.
     pub election: Election,
     /// How much of everything there may be.
@@ -50,12 +50,13 @@
     /// How often the leader speaks to the other replicas.
     pub heartbeat_ms: u64,
     /// How long after the leader's last word a replica stands for election: drawn between the two.
-    pub after_ms: (u64, u64),
+    #[serde(rename = "after_ms")]
+    pub timeout_range_ms: (u64, u64),
 }
 
 impl Default for Election {
     fn default() -> Self {
-        Self { heartbeat_ms: 100, after_ms: (300, 600) }
+        Self { heartbeat_ms: 100, timeout_range_ms: (300, 600) }
     }
 }
 
@@ -64,14 +65,16 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
     /// Connections; each node has two, each other replica a few.
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
     /// Bytes of an operator's body, and so of a policy with what is round it.
-    pub body_bytes: usize,
+    #[serde(rename = "body_bytes")]
+    pub max_body_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { connections: 2048, body_bytes: POLICY_MOST + 1024 }
+        Self { max_connections: 2048, max_body_bytes: MAX_POLICY_BYTES + 1024 }
     }
 }
 
@@ -80,25 +83,25 @@
 pub enum ConfigError {
     /// The file can't be read.
     #[error("{}: {error}; name a file that this process may read", file.display())]
-    Unread {
+    Unreadable {
         /// The file.
         file: PathBuf,
         /// What the system says.
         error: std::io::Error,
     },
     /// A field is missing, unknown or of the wrong kind, or the file is no TOML.
-    #[error("{}: {path}: {words}", file.display())]
-    Form {
+    #[error("{}: {path}: {reason}", file.display())]
+    Malformed {
         /// The file.
         file: PathBuf,
         /// The field.
         path: String,
         /// What is wrong.
-        words: String,
+        reason: String,
     },
     /// A field has a value that it may not have.
     #[error("{}: {path}: {found}, but must be {expected}", file.display())]
-    Value {
+    InvalidValue {
         /// The file.
         file: PathBuf,
         /// The field.
@@ -108,13 +111,13 @@
         /// What it may have.
         expected: String,
     },
-    /// Terms that don't fit together.
+    /// Settings that don't fit together.
     #[error("{}: terms.{error}", file.display())]
-    Terms {
+    LeaderSettings {
         /// The file.
         file: PathBuf,
         /// Which.
-        error: TermsError,
+        error: LeaderSettingsError,
     },
 }
 
@@ -131,7 +134,7 @@
     #[serde(default)]
     joins: bool,
     #[serde(default)]
-    terms: Terms,
+    terms: LeaderSettings,
     #[serde(default)]
     election: Election,
     #[serde(default)]
@@ -145,7 +148,7 @@
     /// Where the file can't be read, or something in it is not as it must be.
     pub fn load(file: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(file)
-            .map_err(|error| ConfigError::Unread { file: file.to_owned(), error })?;
+            .map_err(|error| ConfigError::Unreadable { file: file.to_owned(), error })?;
         Self::parse(file, &text)
     }
 
@@ -154,10 +157,10 @@
     /// # Errors
     /// Where something in it is not as it must be.
     pub fn parse(file: &Path, text: &str) -> Result<Self, ConfigError> {
-        let form = |path: String, words: &str| ConfigError::Form {
+        let form = |path: String, words: &str| ConfigError::Malformed {
             file: file.to_owned(),
             path,
-            words: words.trim().replace('\n', ", "),
+            reason: words.trim().replace('\n', ", "),
         };
         let document = toml::Deserializer::parse(text).map_err(|e| {
             let line = e.span().map_or(1, |at| 1 + text[..at.start.min(text.len())].matches('\n').count());
@@ -165,8 +168,11 @@
         })?;
         let written: Written = serde_path_to_error::deserialize(document)
             .map_err(|e| form(e.path().to_string(), e.inner().message()))?;
-        written.terms.check().map_err(|error| ConfigError::Terms { file: file.to_owned(), error })?;
-        written.checked().map_err(|wrong| ConfigError::Value {
+        written
+            .terms
+            .check()
+            .map_err(|error| ConfigError::LeaderSettings { file: file.to_owned(), error })?;
+        written.checked().map_err(|wrong| ConfigError::InvalidValue {
             file: file.to_owned(),
             path: wrong.path,
             found: wrong.found,
@@ -194,15 +200,16 @@
 }
 
 /// Is this fit to name a cluster or node: at most so many bytes, and the same in a path, a log line and a shell?
-pub fn is_name(name: &str, most: usize) -> bool {
+pub fn is_valid_name(name: &str, most: usize) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     (1..=most).contains(&name.len()) && name.chars().all(plain)
 }
 
 impl Written {
     fn checked(self) -> Result<Config, Wrong> {
-        if !is_name(&self.cluster, CLUSTER_MOST) {
-            let expected = format!("1 to {CLUSTER_MOST} letters, digits, dots, dashes or underscores");
+        if !is_valid_name(&self.cluster, MAX_CLUSTER_NAME_BYTES) {
+            let expected =
+                format!("1 to {MAX_CLUSTER_NAME_BYTES} letters, digits, dots, dashes or underscores");
             return wrong("cluster", format!("{:?}", self.cluster), expected);
         }
         if self.listen.port() == 0 {
@@ -236,8 +243,8 @@
             if self.listen.ip().is_unspecified() {
                 return wrong("listen", self.listen, "the address that the others reach, where joins = true");
             }
-        } else if !(1..=REPLICAS_MOST).contains(&peers.len()) {
-            let expected = format!("1 to {REPLICAS_MOST}; 3 bear the loss of one");
+        } else if !(1..=MAX_REPLICAS).contains(&peers.len()) {
+            let expected = format!("1 to {MAX_REPLICAS}; 3 bear the loss of one");
             return wrong("peers", format!("{} replicas", peers.len()), expected);
         } else if !peers.contains_key(&self.id) {
             let ids: Vec<_> = peers.keys().map(u64::to_string).collect();
@@ -249,14 +256,14 @@
         self.limits.check()?;
         let Self { cluster, id, listen, dir, terms, election, limits, .. } = self;
         let address = peers.get(&id).copied().unwrap_or(listen);
-        Ok(Config { cluster, id, listen, address, dir, peers, terms, election, limits })
+        Ok(Config { cluster, id, listen, address, state_dir: dir, peers, leader: terms, election, limits })
     }
 }
 
 impl Election {
     fn check(&self) -> Result<(), Wrong> {
         const LONGEST: u64 = 60_000;
-        let (soonest, latest) = self.after_ms;
+        let (soonest, latest) = self.timeout_range_ms;
         within("election.heartbeat_ms", self.heartbeat_ms, 10..=LONGEST)?;
         let least = 2 * self.heartbeat_ms;
         if soonest < least || latest <= soonest || latest > LONGEST {
@@ -269,11 +276,12 @@
 
     /// Spans that members are granted outlast the loss of a leader: its lease at the others, the election (each up to
     /// `after_ms[1]`, told by heartbeats), two beats and the write's reserve. Measured: 1.48 s without writes (p99).
-    fn fits(&self, terms: &Terms) -> Result<(), Wrong> {
-        let gap = 2.0 * (self.after_ms.1 + self.heartbeat_ms) as f64 + 2.0 * terms.beat_ms;
-        let least = ((gap + terms.reserve_ms) / (1.0 - MAX_CLOCK_DRIFT)).ceil();
+    fn fits(&self, terms: &LeaderSettings) -> Result<(), Wrong> {
+        let gap =
+            2.0 * (self.timeout_range_ms.1 + self.heartbeat_ms) as f64 + 2.0 * terms.heartbeat_interval_ms;
+        let least = ((gap + terms.commit_reserve_ms) / (1.0 - MAX_CLOCK_DRIFT)).ceil();
         let mut spans = vec![("terms.promise_ms", terms.promise_ms)];
-        if terms.unreachable == Unreachable::Fence {
+        if terms.unreachable_action == UnreachableAction::Fence {
             spans.push(("terms.lease_ms", terms.lease_ms));
         }
         for (path, span) in spans {
@@ -288,8 +296,8 @@
 
 impl Limits {
     fn check(&self) -> Result<(), Wrong> {
-        within("limits.connections", self.connections as u64, 16..=65_536)?;
-        within("limits.body_bytes", self.body_bytes as u64, 1024..=1024 * 1024)
+        within("limits.connections", self.max_connections as u64, 16..=65_536)?;
+        within("limits.body_bytes", self.max_body_bytes as u64, 1024..=1024 * 1024)
     }
 }
 
@@ -317,10 +325,10 @@
     fn a_good_file_is_taken() {
         let config = Config::parse(Path::new("c.toml"), GOOD).expect("is good");
         assert_eq!(
-            (config.peers.len(), config.terms.promise_ms, config.limits.connections),
+            (config.peers.len(), config.leader.promise_ms, config.limits.max_connections),
             (2, 3000.0, 100)
         );
-        assert_eq!(config.terms.unreachable, Unreachable::Abort);
+        assert_eq!(config.leader.unreachable_action, UnreachableAction::Abort);
     }
 
     #[test]
@@ -329,7 +337,7 @@
         let sample = text.lines().skip_while(|line| !line.starts_with("    cluster = "));
         let sample: Vec<&str> = sample.take_while(|line| !line.is_empty()).collect();
         let config = Config::parse(Path::new("docs"), &sample.join("\n")).expect("is good");
-        assert_eq!((config.terms, config.election), (Terms::default(), Election::default()));
+        assert_eq!((config.leader, config.election), (LeaderSettings::default(), Election::default()));
         assert_eq!(config.limits, Limits::default());
     }
 
--- a/crates/control/src/edge/actor.rs
+++ b/crates/control/src/edge/actor.rs
@@ -18,11 +18,11 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use crate::command::{Command, Outcome, VerdictCommand};
-use crate::leader::{Effect, Input, Leader, Refusal, Terms};
-use crate::machine::Agreement;
-use crate::tally::shown::Shown;
+use crate::leader::{Effect, Input, Leader, LeaderSettings, Refusal};
+use crate::machine::FleetState;
+use crate::tally::view::TallyView;
 use crate::tally::{self, Tally};
-use crate::verdicts::Case;
+use crate::verdicts::VoteResult;
 
 /// How many calls may wait to be taken.
 const CALLS_MOST: usize = 4096;
@@ -35,7 +35,7 @@
 enum Call {
     Beat(Box<Heartbeat>, oneshot::Sender<Result<HeartbeatReply, Refusal>>),
     Nodes(oneshot::Sender<Nodes>),
-    Votes(oneshot::Sender<Option<Shown>>),
+    Votes(oneshot::Sender<Option<TallyView>>),
 }
 
 /// Why the leader here gives no answer.
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// Where there is none here.
-    pub async fn votes(&self) -> Result<Option<Shown>, Unanswered> {
+    pub async fn votes(&self) -> Result<Option<TallyView>, Unanswered> {
         self.call(Call::Votes).await
     }
 
@@ -130,17 +130,17 @@
 const STARTS_BITS: u32 = 24;
 
 /// The actor, to be run, and the way to it.
-pub fn new(replica: Replica<Agreement>, starts: u64, terms: Terms) -> (Handle, Actor) {
+pub fn new(replica: Replica<FleetState>, starts: u64, terms: LeaderSettings) -> (Handle, Actor) {
     let (sender, calls) = mpsc::channel(CALLS_MOST);
     (Handle(sender), Actor { replica, starts, terms, calls, start: Instant::now() })
 }
 
 /// See the module.
 pub struct Actor {
-    replica: Replica<Agreement>,
+    replica: Replica<FleetState>,
     /// How often the replica was started, this time too.
     starts: u64,
-    terms: Terms,
+    terms: LeaderSettings,
     calls: mpsc::Receiver<Call>,
     start: Instant,
 }
@@ -191,7 +191,8 @@
 /// What the term's own tasks and timer bring; waits for ever without a term.
 async fn next(term: &mut Option<Term>) -> Option<Input> {
     let Some(term) = term else { return std::future::pending().await };
-    let next = term.leader.next().into_iter().chain(term.tally.as_ref().and_then(Tally::next));
+    let next =
+        term.leader.next_tick_at().into_iter().chain(term.tally.as_ref().and_then(Tally::next_tick_at));
     let due = next.min_by(f64::total_cmp).map_or(Duration::MAX, |next| {
         let wait = (next - term.now()).clamp(0.0, 60_000.0);
         Duration::from_secs_f64(wait / 1000.0)
@@ -232,7 +233,7 @@
     leader: Leader,
     /// While the agreed policy has votes.
     tally: Option<Tally>,
-    replica: Replica<Agreement>,
+    replica: Replica<FleetState>,
     session_ms: Millis,
     start: Instant,
     /// Who waits for an answer, by token.
@@ -253,7 +254,7 @@
             leader: Leader::new(actor.terms.clone(), reign, now),
             tally: None,
             replica: actor.replica.clone(),
-            session_ms: actor.terms.session_ms,
+            session_ms: actor.terms.session_timeout_ms,
             start: actor.start,
             waiting: HashMap::new(),
             token: 0,
@@ -292,9 +293,9 @@
         for event in events {
             match event {
                 Event::Input(input) => match *input {
-                    Input::Written { command: Command::Verdict(command), outcome } => {
+                    Input::WriteResult { command: Command::Verdict(command), outcome } => {
                         log(&command, outcome.as_ref());
-                        ballots.push(tally::Input::Written { command, outcome });
+                        ballots.push(tally::Input::WriteResult { command, outcome });
                     }
                     Input::Applied => {
                         ballots.push(tally::Input::Applied);
@@ -315,8 +316,12 @@
                         beat.vote_report.as_ref().map(|_| beat.verdicts_version.unwrap_or_default());
                     self.waiting.insert(self.token, Waiting { answer, verdicts });
                     let (process, echo) = (beat.process.clone(), beat.echoed_stamp);
-                    ballots.push(tally::Input::Beat { process, echo, votes: beat.vote_report.take() });
-                    inputs.push(Input::Beat { token: self.token, beat: *beat });
+                    ballots.push(tally::Input::Heartbeat {
+                        process,
+                        echoed_stamp: echo,
+                        report: beat.vote_report.take(),
+                    });
+                    inputs.push(Input::Heartbeat { token: self.token, heartbeat: *beat });
                 }
             }
         }
@@ -324,7 +329,7 @@
         let (leader, tally, said, waiting) =
             (&mut self.leader, &mut self.tally, &mut self.said, &self.waiting);
         let (effects, commands) = self.replica.read(|agreement, _| {
-            let votes = agreement.book().policy().0.contains_key("Votes");
+            let votes = agreement.policy_state().policy().0.contains_key("Votes");
             *tally = tally.take().filter(|_| votes);
             let commands = match votes {
                 true => {
@@ -332,10 +337,10 @@
                 }
                 false => Vec::new(),
             };
-            let member = |process: &Process| agreement.roster().seat(process).is_some();
+            let member = |process: &Process| agreement.roster().member(process).is_some();
             for input in &inputs {
                 match input {
-                    Input::Beat { beat, .. } if member(&beat.process) => {
+                    Input::Heartbeat { heartbeat: beat, .. } if member(&beat.process) => {
                         said.insert(beat.process.clone(), (beat.active_epoch, beat.stage_reply.clone()));
                     }
                     Input::Applied => said.retain(|process, _| member(process)),
@@ -345,14 +350,14 @@
             let mut effects = leader.handle_all(now, inputs, agreement);
             if let Some(tally) = tally {
                 for effect in &mut effects {
-                    let Effect::Answer { token, answer } = effect else { continue };
+                    let Effect::Reply { token, reply: answer } = effect else { continue };
                     let Some(known) = waiting.get(token).and_then(|waiting| waiting.verdicts) else {
                         continue;
                     };
-                    answer.queried_servers = tally.asked().to_vec();
+                    answer.queried_servers = tally.queried_servers().to_vec();
                     // Another one, not a newer one: a group that was set up again counts from less.
                     if known != agreement.verdicts().version() {
-                        answer.verdicts = Some(agreement.verdicts().told());
+                        answer.verdicts = Some(agreement.verdicts().in_force());
                     }
                 }
             }
@@ -369,8 +374,8 @@
     fn carry_out(&mut self, now: Millis, effect: Effect) {
         let replica = self.replica.clone();
         match effect {
-            Effect::Answer { token, answer } => self.answer(token, Ok(*answer)),
-            Effect::Refuse { token, why } => self.answer(token, Err(why)),
+            Effect::Reply { token, reply: answer } => self.answer(token, Ok(*answer)),
+            Effect::Refuse { token, reason: why } => self.answer(token, Err(why)),
             Effect::Write(command) => {
                 let term = self.number;
                 self.tasks.spawn(async move {
@@ -380,10 +385,10 @@
                     if let Err(error) = &outcome {
                         tracing::debug!(%error, ?command, "a write of the leader failed");
                     }
-                    Input::Written { command, outcome: outcome.ok() }
+                    Input::WriteResult { command, outcome: outcome.ok() }
                 });
             }
-            Effect::Confirm => {
+            Effect::ConfirmLeadership => {
                 let term = self.number;
                 self.tasks.spawn(async move {
                     let confirmed = replica.confirm().await.is_ok();
@@ -391,18 +396,18 @@
                     // and has come back would confirm its next term.
                     let status = replica.status();
                     if confirmed && (status.role.as_str(), status.term) == ("leader", term) {
-                        Input::Confirmed { asked: now }
+                        Input::Confirmed { requested_at: now }
                     } else {
-                        Input::Unconfirmed { asked: now }
+                        Input::ConfirmFailed { requested_at: now }
                     }
                 });
             }
-            Effect::Probe { process, life } => {
+            Effect::Probe { process, liveness_addr: life } => {
                 self.tasks.spawn(async move {
                     let tried = timeout(PROBE, TcpStream::connect(life)).await;
                     let refused =
                         matches!(tried, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused);
-                    Input::Probed { process, refused }
+                    Input::ProbeResult { process, refused }
                 });
             }
         }
@@ -415,17 +420,17 @@
         }
     }
 
-    fn votes(&self) -> Option<Shown> {
+    fn votes(&self) -> Option<TallyView> {
         let now = self.now();
         let tally = self.tally.as_ref()?;
-        Some(self.replica.read(|agreement, _| tally.shown(now, agreement)))
+        Some(self.replica.read(|agreement, _| tally.view(now, agreement)))
     }
 
     fn nodes(&self) -> Nodes {
         let now = self.now();
-        let heard: BTreeMap<&Process, Millis> = self.leader.sessions(now).collect();
+        let heard: BTreeMap<&Process, Millis> = self.leader.silence_by_member(now).collect();
         self.replica.read(|agreement, version| {
-            let change = agreement.book().change().map(|change| change.id);
+            let change = agreement.policy_state().pending_change().map(|change| change.id);
             let nodes = agreement.roster().members().map(|(process, seat)| {
                 let heard_ms = heard.get(process).copied().unwrap_or_default();
                 let (active, word) = self.said.get(process).cloned().unwrap_or_default();
@@ -439,7 +444,7 @@
                 Node {
                     name: process.name.clone(),
                     boot: process.boot,
-                    life: seat.life,
+                    life: seat.liveness_addr,
                     fenced: seat.fenced,
                     heard_ms: heard_ms.round(),
                     silent: heard_ms >= self.session_ms,
@@ -451,7 +456,7 @@
             Nodes {
                 version,
                 term: self.number,
-                epoch: agreement.book().epoch(),
+                epoch: agreement.policy_state().epoch(),
                 change: change.map(|change| change.0),
                 nodes: nodes.collect(),
             }
@@ -461,21 +466,21 @@
 
 /// One line for each server that is removed, probed or back, with what was voted.
 fn log(command: &VerdictCommand, outcome: Option<&Outcome>) {
-    let case = |case: &Case| serde_json::to_string(case).unwrap_or_default();
+    let case = |case: &VoteResult| serde_json::to_string(case).unwrap_or_default();
     match (command, outcome) {
-        (VerdictCommand::Remove { server, zone, zones, case: by, .. }, Some(Outcome::Done)) => {
+        (VerdictCommand::Remove { server, zone, zones, vote_result: by, .. }, Some(Outcome::Done)) => {
             tracing::info!(server, zone, ?zones, votes = case(by), "removed by votes");
         }
-        (VerdictCommand::Remove { server, zone, up, .. }, Some(Outcome::Capped)) => {
+        (VerdictCommand::Remove { server, zone, up_servers: up, .. }, Some(Outcome::CapReached)) => {
             tracing::info!(server, zone, up, "not removed by votes: as many of its zone are as may be");
         }
         (VerdictCommand::Probe { server, probers, .. }, Some(Outcome::Done)) => {
             tracing::info!(server, ?probers, "removed by votes, its term is over: probed");
         }
-        (VerdictCommand::Extend { server, case: by, .. }, Some(Outcome::Done)) => {
+        (VerdictCommand::Extend { server, vote_result: by, .. }, Some(Outcome::Done)) => {
             tracing::info!(server, votes = case(by), "stays removed by votes for another term");
         }
-        (VerdictCommand::Return { server, why, case: by, .. }, Some(Outcome::Done)) => {
+        (VerdictCommand::Return { server, reason: why, vote_result: by, .. }, Some(Outcome::Done)) => {
             let votes = by.as_ref().map(case).unwrap_or_default();
             tracing::info!(server, ?why, votes, "back, no more removed by votes");
         }
--- a/crates/control/src/edge/calls.rs
+++ b/crates/control/src/edge/calls.rs
@@ -20,10 +20,10 @@
 use super::answer::{json, raw, Outgoing, Refused};
 use super::{http, watch, Edge};
 use crate::command::{Command, Outcome, PolicyCommand, RosterCommand};
-use crate::config::is_name;
-use crate::gate::Shut;
+use crate::config::is_valid_name;
 use crate::leader::Refusal;
-use crate::roster::NAME_MOST;
+use crate::limiter::LimitError;
+use crate::roster::MAX_NODE_NAME_BYTES;
 
 /// How long a body may take to come.
 const BODY_TIME: Duration = Duration::from_secs(5);
@@ -121,7 +121,7 @@
         let put = head.method == Method::PUT;
         match place {
             Place::Letter => {
-                let _pass = self.letters.enter().map_err(shut)?;
+                let _pass = self.letters.acquire().map_err(shut)?;
                 let body = whole(body, BODY_MOST).await?;
                 let (status, answer) = self.replica.serve(path, body).await;
                 Ok(raw(status, answer))
@@ -129,7 +129,7 @@
             Place::Session => self.beat(peer, parse(&whole(body, BEAT_MOST).await?)?).await,
             Place::Watch => self.watch(head.uri.query()),
             Place::Policy if put => {
-                self.propose(parse(&whole(body, self.config.limits.body_bytes).await?)?).await
+                self.propose(parse(&whole(body, self.config.limits.max_body_bytes).await?)?).await
             }
             Place::Policy => Ok(json(StatusCode::OK, &self.policy())),
             Place::Change => self.call_off().await,
@@ -140,7 +140,7 @@
             Place::Verdicts => self.verdicts().await,
             Place::Node(name) => self.remove(name).await,
             Place::Replica(id) if put => {
-                let At { address } = parse(&whole(body, self.config.limits.body_bytes).await?)?;
+                let At { address } = parse(&whole(body, self.config.limits.max_body_bytes).await?)?;
                 self.set_replica(number(id)?, Some(address)).await
             }
             Place::Replica(id) => self.set_replica(number(id)?, None).await,
@@ -150,9 +150,10 @@
     }
 
     async fn beat(&self, peer: SocketAddr, beat: Heartbeat) -> Answered {
-        if !is_name(&beat.process.name, NAME_MOST) {
-            let advice =
-                format!("a node's name has 1 to {NAME_MOST} letters, digits, dots, dashes or underscores");
+        if !is_valid_name(&beat.process.name, MAX_NODE_NAME_BYTES) {
+            let advice = format!(
+                "a node's name has 1 to {MAX_NODE_NAME_BYTES} letters, digits, dots, dashes or underscores"
+            );
             return Err(Refused::bad("process.name is no name", advice));
         }
         let life = beat.liveness_addr;
@@ -177,7 +178,7 @@
         }
         // What can't be read is as good as none: the whole state comes first.
         let from = query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("from=")));
-        let watcher = self.hub.watch(from.and_then(|from| from.parse().ok()));
+        let watcher = self.hub.subscribe(from.and_then(|from| from.parse().ok()));
         let mut response = Response::new(Either::Right(watch::Lines::new(watcher, http::WATCH)));
         let kind = hyper::header::HeaderValue::from_static("application/x-ndjson");
         response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
@@ -187,11 +188,11 @@
     fn policy(&self) -> serde_json::Value {
         let in_touch = *self.in_touch.borrow();
         self.replica.read(|agreement, version| {
-            let book = agreement.book();
-            let ended: Vec<&EndedChange> = book.ended().collect();
+            let book = agreement.policy_state();
+            let ended: Vec<&EndedChange> = book.ended_changes().collect();
             json!({
                 "version": version, "in_touch": in_touch, "epoch": book.epoch(), "policy": book.policy(),
-                "change": book.change(), "ended": ended,
+                "change": book.pending_change(), "ended": ended,
             })
         })
     }
@@ -205,11 +206,11 @@
         let in_touch = *self.in_touch.borrow();
         let said = self.replica.read(|agreement, version| {
             let verdicts = agreement.verdicts();
-            let past: Vec<_> = verdicts.past().collect();
+            let past: Vec<_> = verdicts.ended().collect();
             let removed: BTreeMap<_, _> = verdicts.entries().collect();
             json!({
                 "version": version, "in_touch": in_touch, "leads": leads, "leader": leader,
-                "on": agreement.book().policy().0.contains_key("Votes"), "changed": verdicts.version(),
+                "on": agreement.policy_state().policy().0.contains_key("Votes"), "changed": verdicts.version(),
                 "removed": removed, "ended": past, "votes": votes,
             })
         });
@@ -219,15 +220,15 @@
     async fn propose(self: &Arc<Self>, proposal: Proposal) -> Answered {
         let Proposal { base, policy } = proposal;
         policy.check().map_err(|e| Refused::bad(&e, e.advice()))?;
-        match self.write(Command::Policy(PolicyCommand::Propose { base, policy })).await? {
+        match self.write(Command::Policy(PolicyCommand::Propose { base_epoch: base, policy })).await? {
             Outcome::Proposed { change, epoch } => self.outcome(change, epoch).await,
-            Outcome::Stale { epoch } => {
+            Outcome::StaleEpoch { epoch } => {
                 let error = format!("the agreed epoch is {epoch}, not {base}");
                 let advice =
                     "look at GET /v1/policy, make your change to that, and propose it with its epoch as base";
                 Err(Refused::conflict(error, advice).with("outcome", "stale").with("epoch", epoch))
             }
-            Outcome::Busy { change } => {
+            Outcome::ChangePending { change } => {
                 let advice = "wait for its end (GET /v1/policy), or call it off: DELETE /v1/policy/change";
                 let refused = Refused::conflict(format!("change {} is under way", change.0), advice);
                 Err(refused.with("outcome", "busy").with("change", change))
@@ -238,15 +239,16 @@
 
     /// Waits for the end of a change.
     async fn outcome(&self, change: ChangeId, epoch: Epoch) -> Answered {
-        let terms = &self.config.terms;
-        let most = terms.stage_ms + 2.0 * terms.promise_ms.max(terms.lease_ms) + terms.session_ms;
+        let terms = &self.config.leader;
+        let most =
+            terms.stage_timeout_ms + 2.0 * terms.promise_ms.max(terms.lease_ms) + terms.session_timeout_ms;
         let end = Instant::now() + Duration::from_secs_f64(most / 1000.0) + MARGIN;
         let mut applied = self.replica.applied();
         let mut stopping = self.stopping.subscribe();
         let ended = loop {
             applied.borrow_and_update();
             let found = self.replica.read(|agreement, _| {
-                agreement.book().ended().rev().find(|ended| ended.id == change).cloned()
+                agreement.policy_state().ended_changes().rev().find(|ended| ended.id == change).cloned()
             });
             if let Some(ended) = found {
                 break ended;
@@ -276,32 +278,36 @@
 
     async fn call_off(self: &Arc<Self>) -> Answered {
         let none = || Refused::conflict("no change is under way", "look at GET /v1/policy");
-        let change = self.replica.read(|agreement, _| agreement.book().change().map(|change| change.id));
+        let change = self
+            .replica
+            .read(|agreement, _| agreement.policy_state().pending_change().map(|change| change.id));
         let Some(change) = change else {
             // What this replica knows may be old.
             self.replica.confirm().await?;
             return Err(none());
         };
-        match self.write(Command::Policy(PolicyCommand::Abort { change, why: AbortReason::Operator })).await?
+        match self
+            .write(Command::Policy(PolicyCommand::Abort { change, reason: AbortReason::Operator }))
+            .await?
         {
             Outcome::Done => Ok(json(StatusCode::OK, &json!({"outcome": "aborted", "change": change}))),
-            Outcome::Over => Err(none()),
+            Outcome::Obsolete => Err(none()),
             other => Err(unexpected(&other)),
         }
     }
 
     async fn remove(self: &Arc<Self>, name: &str) -> Answered {
-        let remove = RosterCommand::Remove { name: name.to_owned() };
+        let remove = RosterCommand::RemoveNode { name: name.to_owned() };
         let unknown = || {
             let error = format!("no node {name:?} is a member");
             Refused::new(StatusCode::NOT_FOUND, error, "GET /v1/nodes lists them")
         };
-        if !is_name(name, NAME_MOST) {
+        if !is_valid_name(name, MAX_NODE_NAME_BYTES) {
             return Err(unknown());
         }
         match self.write(Command::Roster(remove)).await? {
             Outcome::Done => Ok(json(StatusCode::OK, &json!({"outcome": "removed", "name": name}))),
-            Outcome::Unknown => Err(unknown()),
+            Outcome::UnknownNode => Err(unknown()),
             other => Err(unexpected(&other)),
         }
     }
@@ -322,12 +328,12 @@
         let store = self.store.clone();
         let disk_bytes = tokio::task::spawn_blocking(move || store.size().ok()).await.ok().flatten();
         let (epoch, members) =
-            self.replica.read(|agreement, _| (agreement.book().epoch(), agreement.roster().len()));
+            self.replica.read(|agreement, _| (agreement.policy_state().epoch(), agreement.roster().len()));
         json!({
             "replica": self.replica.status(), "listen": self.address, "ready": self.is_ready(),
             "in_touch": *self.in_touch.borrow(), "epoch": epoch, "members": members,
-            "disk_bytes": disk_bytes, "connections": self.connections.count(),
-            "watchers": self.hub.watchers(), "calls": self.calls.count(),
+            "disk_bytes": disk_bytes, "connections": self.connections.in_use(),
+            "watchers": self.hub.watcher_count(), "calls": self.calls.in_use(),
         })
     }
 
@@ -350,7 +356,7 @@
         &self,
         work: impl std::future::Future<Output = Result<T, WriteError>> + Send + 'static,
     ) -> Result<T, Refused> {
-        let pass = self.calls.enter().map_err(shut)?;
+        let pass = self.calls.acquire().map_err(shut)?;
         let done = tokio::spawn(async move {
             let done = work.await;
             drop(pass);
@@ -373,15 +379,15 @@
             Unanswered::Busy => Refused::unavailable("too many calls at a time", "ask again soon"),
             Unanswered::Refused(why) => {
                 let advice = match why {
-                    Refusal::Full => "GET /v1/nodes lists members, DELETE /v1/nodes/NAME removes one",
-                    Refusal::Alive => "end the other process, or wait until its session is over",
-                    Refusal::Name => "mend the node's name",
-                    Refusal::Late | Refusal::Replaced => "send another beat",
+                    Refusal::RosterFull => "GET /v1/nodes lists members, DELETE /v1/nodes/NAME removes one",
+                    Refusal::NameInUse => "end the other process, or wait until its session is over",
+                    Refusal::InvalidName => "mend the node's name",
+                    Refusal::TimedOut | Refusal::Superseded => "send another beat",
                 };
                 match why {
-                    Refusal::Name => Refused::bad(why, advice),
-                    Refusal::Alive | Refusal::Replaced => Refused::conflict(why, advice),
-                    Refusal::Full | Refusal::Late => Refused::unavailable(why, advice),
+                    Refusal::InvalidName => Refused::bad(why, advice),
+                    Refusal::NameInUse | Refusal::Superseded => Refused::conflict(why, advice),
+                    Refusal::RosterFull | Refusal::TimedOut => Refused::unavailable(why, advice),
                 }
             }
         }
@@ -403,15 +409,15 @@
     }
 }
 
-fn shut(shut: Shut) -> Refused {
+fn shut(shut: LimitError) -> Refused {
     match shut {
-        Shut::Full => Refused::unavailable("too many calls at a time", "ask again soon"),
-        Shut::Stopped => Refused::unavailable("this replica is stopping", "ask another replica"),
+        LimitError::Full => Refused::unavailable("too many calls at a time", "ask again soon"),
+        LimitError::Stopped => Refused::unavailable("this replica is stopping", "ask another replica"),
     }
 }
 
 fn unexpected(outcome: &Outcome) -> Refused {
-    if *outcome == Outcome::TooMuch {
+    if *outcome == Outcome::LimitExceeded {
         return Refused::new(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the policy is too large",
--- a/crates/control/src/edge/http.rs
+++ b/crates/control/src/edge/http.rs
@@ -57,7 +57,7 @@
             Ok((stream, peer)) => {
                 failing = false;
                 // Where there is no room the stream is dropped: the caller finds a closed connection and goes elsewhere.
-                let Ok(pass) = edge.connections.enter() else { continue };
+                let Ok(pass) = edge.connections.acquire() else { continue };
                 let edge = edge.clone();
                 tokio::spawn(async move {
                     serve(edge, stream, peer).await;
--- a/crates/control/src/edge/mod.rs
+++ b/crates/control/src/edge/mod.rs
@@ -33,9 +33,9 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use crate::config::Config;
-use crate::gate::Gate;
-use crate::hub::Hub;
-use crate::machine::Agreement;
+use crate::hub::WatchHub;
+use crate::limiter::Limiter;
+use crate::machine::FleetState;
 
 /// How many of operators' writes may be under way.
 const CALLS_MOST: usize = 64;
@@ -87,13 +87,13 @@
 struct Edge {
     config: Config,
     address: SocketAddr,
-    replica: Replica<Agreement>,
+    replica: Replica<FleetState>,
     store: Store,
-    hub: Hub,
+    hub: WatchHub,
     actor: actor::Handle,
-    connections: Gate,
-    calls: Gate,
-    letters: Gate,
+    connections: Limiter,
+    calls: Limiter,
+    letters: Limiter,
     in_touch: Receiver<bool>,
     stopping: Sender<bool>,
     /// The last entry that was on the disk at the start.
@@ -127,20 +127,20 @@
         let listener = http::listen(at).map_err(listen)?;
         let address = listener.local_addr().map_err(listen)?;
         let owner = Owner { cluster: config.cluster.clone(), replica: config.id };
-        let dir = config.dir.clone();
+        let dir = config.state_dir.clone();
         let opened = tokio::task::spawn_blocking(move || Store::open(&dir, &owner)).await;
         let store = opened.map_err(|_| ControlError::Ended("opens the disk"))??;
         let mut place = ReplicaConfig::new(config.id, &config.cluster, config.address, config.peers.clone());
         place.heartbeat_ms = config.election.heartbeat_ms;
-        place.election_ms = config.election.after_ms;
+        place.election_ms = config.election.timeout_range_ms;
         let starts = count_start(&store).await?;
-        let replica = Replica::start(place, store.clone(), Agreement::new()).await?;
+        let replica = Replica::start(place, store.clone(), FleetState::new()).await?;
         let begun_with = replica.status().last.unwrap_or_default();
 
         let (stopping, _) = channel(false);
         let (touch, in_touch) = channel(false);
-        let (handle, actor) = actor::new(replica.clone(), starts, config.terms.clone());
-        let hub = Hub::default();
+        let (handle, actor) = actor::new(replica.clone(), starts, config.leader.clone());
+        let hub = WatchHub::default();
         let mut tasks = JoinSet::new();
         let stop = stopping.subscribe();
         tasks.spawn(async move {
@@ -158,9 +158,9 @@
             "looks for the leader"
         });
         let edge = Arc::new(Edge {
-            connections: Gate::new(config.limits.connections),
-            calls: Gate::new(CALLS_MOST),
-            letters: Gate::new(LETTERS_MOST),
+            connections: Limiter::new(config.limits.max_connections),
+            calls: Limiter::new(CALLS_MOST),
+            letters: Limiter::new(LETTERS_MOST),
             config,
             address,
             replica,
@@ -204,13 +204,13 @@
         edge.stopping.send_replace(true);
         edge.calls.stop();
         edge.hub.close();
-        if timeout(STOP, edge.calls.empty()).await.is_err() {
+        if timeout(STOP, edge.calls.drained()).await.is_err() {
             tracing::warn!("calls in flight at the stop: what they wrote may hold");
         }
         edge.replica.stop().await;
         // Last answers are on their way.
-        if timeout(STOP, edge.connections.empty()).await.is_err() {
-            tracing::debug!(left = edge.connections.count(), "connections are cut off");
+        if timeout(STOP, edge.connections.drained()).await.is_err() {
+            tracing::debug!(left = edge.connections.in_use(), "connections are cut off");
         }
         self.tasks.shutdown().await;
         tracing::info!(id = self.edge.config.id, "replica has stopped");
@@ -251,14 +251,14 @@
 }
 
 /// Shows each change of policy and of verdicts to whoever watches, and each change of policy to the log.
-async fn follow(replica: Replica<Agreement>, hub: Hub) {
+async fn follow(replica: Replica<FleetState>, hub: WatchHub) {
     let mut applied = replica.applied();
     let mut shown = None;
     loop {
         applied.borrow_and_update();
         let fresh = replica.read(|agreement, _| {
-            let mark = (agreement.book().version(), agreement.verdicts().version());
-            let told = || (mark, agreement.agreed(), agreement.verdicts().told());
+            let mark = (agreement.policy_state().version(), agreement.verdicts().version());
+            let told = || (mark, agreement.agreed_state(), agreement.verdicts().in_force());
             (shown != Some(mark)).then(told)
         });
         if let Some((mark, agreed, verdicts)) = fresh {
@@ -296,7 +296,7 @@
 }
 
 /// Follows whether this replica is in touch with a leader that a majority follows; ends watches where it is not.
-async fn keep_touch(replica: Replica<Agreement>, hub: Hub, touch: Sender<bool>) {
+async fn keep_touch(replica: Replica<FleetState>, hub: WatchHub, touch: Sender<bool>) {
     let mut leading = replica.leading();
     let mut heard: Option<Instant> = None;
     loop {
@@ -313,7 +313,7 @@
         let changed = touch.send_if_modified(|touch| std::mem::replace(touch, now) != now);
         if changed && !now {
             tracing::warn!("out of touch with the leader: watches end");
-            hub.cut();
+            hub.disconnect_all();
         }
         tokio::select! {
             () = sleep(TOUCH) => {}
--- a/crates/control/src/edge/watch.rs
+++ b/crates/control/src/edge/watch.rs
@@ -38,7 +38,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        let line = match self.watcher.poll_line(cx) {
+        let line = match self.watcher.poll_next_line(cx) {
             Poll::Ready(None) => return Poll::Ready(None),
             Poll::Ready(Some(line)) => line,
             Poll::Pending if self.empty.as_mut().poll(cx).is_pending() => return Poll::Pending,
--- a/crates/control/src/hub.rs
+++ b/crates/control/src/hub.rs
@@ -16,11 +16,11 @@
 use crate::sync::Lock;
 
 /// Shared by whoever publishes and all who watch.
-pub struct Hub<L: Lock<Board> = Mutex<Board>>(Arc<L>);
+pub struct WatchHub<L: Lock<HubState> = Mutex<HubState>>(Arc<L>);
 
 /// What is under the hub's lock.
 #[derive(Default)]
-pub struct Board {
+pub struct HubState {
     /// The newest line, and the log's version that it tells of.
     line: Option<(u64, Bytes)>,
     /// How often watches were cut off.
@@ -32,19 +32,19 @@
     waiting: BTreeMap<u64, Waker>,
 }
 
-impl<L: Lock<Board>> Clone for Hub<L> {
+impl<L: Lock<HubState>> Clone for WatchHub<L> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
-impl<L: Lock<Board>> Default for Hub<L> {
+impl<L: Lock<HubState>> Default for WatchHub<L> {
     fn default() -> Self {
-        Self(Arc::new(L::new(Board::default())))
+        Self(Arc::new(L::new(HubState::default())))
     }
 }
 
-impl<L: Lock<Board>> Hub<L> {
+impl<L: Lock<HubState>> WatchHub<L> {
     /// Shows a line to all who watch, unless it is not newer than the one that is shown.
     pub fn publish(&self, version: u64, line: Bytes) {
         self.change(|board| {
@@ -55,7 +55,7 @@
     }
 
     /// Ends all watches that are on now; others may begin.
-    pub fn cut(&self) {
+    pub fn disconnect_all(&self) {
         self.change(|board| board.cuts += 1);
     }
 
@@ -65,13 +65,13 @@
     }
 
     /// How many watch.
-    pub fn watchers(&self) -> usize {
+    pub fn watcher_count(&self) -> usize {
         self.0.with(|board| board.watchers)
     }
 
     /// Begins a watch for whoever knows what was agreed at version `from`; of `None`, an older or an unknown version
     /// the newest line comes at once.
-    pub fn watch(&self, from: Option<u64>) -> Watcher<L> {
+    pub fn subscribe(&self, from: Option<u64>) -> Watcher<L> {
         self.0.with(|board| {
             board.watchers += 1;
             board.next += 1;
@@ -79,7 +79,7 @@
         })
     }
 
-    fn change(&self, f: impl FnOnce(&mut Board)) {
+    fn change(&self, f: impl FnOnce(&mut HubState)) {
         let woken = self.0.with(|board| {
             f(board);
             std::mem::take(&mut board.waiting)
@@ -89,21 +89,21 @@
 }
 
 /// One watch.
-pub struct Watcher<L: Lock<Board> = Mutex<Board>> {
-    hub: Hub<L>,
+pub struct Watcher<L: Lock<HubState> = Mutex<HubState>> {
+    hub: WatchHub<L>,
     number: u64,
     cuts: u64,
     seen: Option<u64>,
 }
 
-impl<L: Lock<Board>> Watcher<L> {
+impl<L: Lock<HubState>> Watcher<L> {
     /// The next line; `None` once the watch is over.
-    pub async fn line(&mut self) -> Option<Bytes> {
-        poll_fn(|cx| self.poll_line(cx)).await
+    pub async fn next_line(&mut self) -> Option<Bytes> {
+        poll_fn(|cx| self.poll_next_line(cx)).await
     }
 
-    /// As [`Watcher::line`].
-    pub fn poll_line(&mut self, cx: &mut Context<'_>) -> Poll<Option<Bytes>> {
+    /// As [`Watcher::next_line`].
+    pub fn poll_next_line(&mut self, cx: &mut Context<'_>) -> Poll<Option<Bytes>> {
         // Looked at and waited for under one lock: what is published in between would wake nobody.
         self.hub.0.with(|board| {
             if board.cuts != self.cuts {
@@ -124,7 +124,7 @@
     }
 }
 
-impl<L: Lock<Board>> Drop for Watcher<L> {
+impl<L: Lock<HubState>> Drop for Watcher<L> {
     fn drop(&mut self) {
         let waker = self.hub.0.with(|board| {
             board.watchers -= 1;
@@ -140,17 +140,17 @@
 
     use super::*;
 
-    type Shared = Hub<shuttle::sync::Mutex<Board>>;
+    type Shared = WatchHub<shuttle::sync::Mutex<HubState>>;
 
     fn line(version: u64) -> Bytes {
         version.to_string().into()
     }
 
     /// All lines of a watch until it ends.
-    fn all(mut watcher: Watcher<shuttle::sync::Mutex<Board>>) -> Vec<Bytes> {
+    fn all(mut watcher: Watcher<shuttle::sync::Mutex<HubState>>) -> Vec<Bytes> {
         future::block_on(async {
             let mut lines = Vec::new();
-            while let Some(line) = watcher.line().await {
+            while let Some(line) = watcher.next_line().await {
                 lines.push(line);
             }
             lines
@@ -163,7 +163,7 @@
         let run = || {
             let hub = Shared::default();
             hub.publish(1, line(1));
-            let watcher = hub.watch(Some(1));
+            let watcher = hub.subscribe(Some(1));
             let watching = thread::spawn(move || all(watcher));
             hub.publish(2, line(2));
             hub.publish(3, line(3));
@@ -171,7 +171,7 @@
             let seen = watching.join().expect("ends");
             assert_eq!(seen.last(), Some(&line(3)));
             assert!(seen.is_sorted() && !seen.contains(&line(1)), "{seen:?}");
-            assert_eq!(hub.watchers(), 0);
+            assert_eq!(hub.watcher_count(), 0);
         };
         shuttle::check_dfs(run, None);
     }
@@ -180,13 +180,13 @@
     fn a_cut_ends_present_watches_alone() {
         let run = || {
             let hub = Shared::default();
-            let first = hub.watch(None);
+            let first = hub.subscribe(None);
             let watching = thread::spawn(move || all(first));
-            hub.cut();
-            let mut second = hub.watch(None);
+            hub.disconnect_all();
+            let mut second = hub.subscribe(None);
             hub.publish(7, line(7));
             assert!(watching.join().expect("ends").is_empty());
-            assert_eq!(future::block_on(second.line()), Some(line(7)));
+            assert_eq!(future::block_on(second.next_line()), Some(line(7)));
         };
         shuttle::check_dfs(run, None);
     }
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -39,14 +39,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::command::{Command, Outcome, PolicyCommand, Proof, RosterCommand};
-use crate::machine::Agreement;
-use crate::policy::{EPOCH_MOST, NAMED};
-use crate::roster::{MEMBERS_MOST, NAME_MOST};
+use crate::machine::FleetState;
+use crate::policy::{MAX_EPOCH, MAX_NAMED_MEMBERS};
+use crate::roster::{MAX_MEMBERS, MAX_NODE_NAME_BYTES};
 
 /// What becomes of a change when members can't be reached.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unreachable {
+pub enum UnreachableAction {
     /// It is aborted: nodes serve on under the old policy, also without the control group.
     #[default]
     Abort,
@@ -57,74 +57,79 @@
 /// A leader's terms. All replicas of a group should have the same.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Terms {
+pub struct LeaderSettings {
     /// What becomes of a change when members can't be reached. Holds for processes that join from now on.
-    pub unreachable: Unreachable,
+    #[serde(rename = "unreachable")]
+    pub unreachable_action: UnreachableAction,
     /// From an answer to the next beat.
-    pub beat_ms: Millis,
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_interval_ms: Millis,
     /// For how long a member may be silent before its address is tried and a successor of its name taken.
-    pub session_ms: Millis,
+    #[serde(rename = "session_ms")]
+    pub session_timeout_ms: Millis,
     /// How long members have to stage a change.
-    pub stage_ms: Millis,
+    #[serde(rename = "stage_ms")]
+    pub stage_timeout_ms: Millis,
     /// How long a promise lasts: the longest that two policies can be in service at once.
     pub promise_ms: Millis,
     /// How long a lease lasts.
     pub lease_ms: Millis,
     /// What must be left of every promise when a commit is decided: the time that its write may take.
-    pub reserve_ms: Millis,
+    #[serde(rename = "reserve_ms")]
+    pub commit_reserve_ms: Millis,
 }
 
-impl Default for Terms {
+impl Default for LeaderSettings {
     fn default() -> Self {
         Self {
-            unreachable: Unreachable::Abort,
-            beat_ms: 250.0,
-            session_ms: 4000.0,
-            stage_ms: 2000.0,
+            unreachable_action: UnreachableAction::Abort,
+            heartbeat_interval_ms: 250.0,
+            session_timeout_ms: 4000.0,
+            stage_timeout_ms: 2000.0,
             promise_ms: 3000.0,
             lease_ms: 3000.0,
-            reserve_ms: 200.0,
+            commit_reserve_ms: 200.0,
         }
     }
 }
 
-/// Terms that can't hold: the field, what is wrong with it, what to set.
+/// Settings that can't hold: the field, what is wrong with it, what to set.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{field} = {is} must be at least {least} ({why}) and at most {MS_MOST}")]
-pub struct TermsError {
+#[error("{field} = {value} must be at least {minimum} ({reason}) and at most {MAX_SPAN_MS}")]
+pub struct LeaderSettingsError {
     field: &'static str,
-    is: Millis,
-    least: Millis,
-    why: &'static str,
+    value: Millis,
+    minimum: Millis,
+    reason: &'static str,
 }
 
 /// The longest span, in milliseconds.
-const MS_MOST: Millis = 600_000.0;
+const MAX_SPAN_MS: Millis = 600_000.0;
 
-impl Terms {
+impl LeaderSettings {
     /// Whether the spans fit together.
     ///
     /// # Errors
     /// The first one that does not.
-    pub fn check(&self) -> Result<(), TermsError> {
-        let twice = 2.0 * self.beat_ms;
+    pub fn check(&self) -> Result<(), LeaderSettingsError> {
+        let twice = 2.0 * self.heartbeat_interval_ms;
         let over = self.lease_ms * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
         let rules = [
-            ("beat_ms", self.beat_ms, 1.0, "a beat"),
-            ("reserve_ms", self.reserve_ms, 1.0, "a write's time"),
-            ("stage_ms", self.stage_ms, twice, "two beats"),
+            ("beat_ms", self.heartbeat_interval_ms, 1.0, "a beat"),
+            ("reserve_ms", self.commit_reserve_ms, 1.0, "a write's time"),
+            ("stage_ms", self.stage_timeout_ms, twice, "two beats"),
             (
                 "promise_ms",
                 self.promise_ms,
-                (twice + self.reserve_ms) / (1.0 - MAX_CLOCK_DRIFT),
+                (twice + self.commit_reserve_ms) / (1.0 - MAX_CLOCK_DRIFT),
                 "two beats and the reserve",
             ),
             ("lease_ms", self.lease_ms, twice, "two beats"),
-            ("session_ms", self.session_ms, over.max(twice), "a lease, with clocks that differ"),
+            ("session_ms", self.session_timeout_ms, over.max(twice), "a lease, with clocks that differ"),
         ];
-        for (field, is, least, why) in rules {
-            if !(is >= least && is <= MS_MOST) {
-                return Err(TermsError { field, is, least, why });
+        for (field, value, minimum, reason) in rules {
+            if !(value >= minimum && value <= MAX_SPAN_MS) {
+                return Err(LeaderSettingsError { field, value, minimum, reason });
             }
         }
         Ok(())
@@ -135,34 +140,34 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A beat came. `token` is the caller's, to find whom to answer.
-    Beat {
+    Heartbeat {
         /// Never the same again.
         token: u64,
         /// The beat.
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
     },
-    /// The confirm that was asked for at `asked` has succeeded: the replica still led *in this term* at some moment
+    /// The confirm that was asked for at `requested_at` has succeeded: the replica still led *in this term* at some moment
     /// after that, and the agreement given holds all that was committed by then.
     Confirmed {
-        /// The time of the call that gave [`Effect::Confirm`].
-        asked: Millis,
+        /// The time of the call that gave [`Effect::ConfirmLeadership`].
+        requested_at: Millis,
     },
     /// That confirm has failed. (If the term is over, drop this leader.)
-    Unconfirmed {
-        /// The time of the call that gave [`Effect::Confirm`].
-        asked: Millis,
+    ConfirmFailed {
+        /// The time of the call that gave [`Effect::ConfirmLeadership`].
+        requested_at: Millis,
     },
     /// The agreement has changed.
     Applied,
     /// How an [`Effect::Probe`] ended.
-    Probed {
+    ProbeResult {
         /// Whom it was for.
         process: Process,
         /// The connection was refused. Anything else (made, reset, timed out) proves nothing.
         refused: bool,
     },
     /// How an [`Effect::Write`] ended; comes for each, and with an agreement that holds it where it has an outcome.
-    Written {
+    WriteResult {
         /// What was to be written.
         command: Command,
         /// What came of it; `None`: it may have been written or not.
@@ -176,30 +181,30 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Answer a beat, now.
-    Answer {
+    Reply {
         /// Which.
         token: u64,
         /// With what.
-        answer: Box<HeartbeatReply>,
+        reply: Box<HeartbeatReply>,
     },
     /// Say no to a beat, or let go of it.
     Refuse {
         /// Which.
         token: u64,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
     },
-    /// Write this to the log, and say how it ended by [`Input::Written`].
+    /// Write this to the log, and say how it ended by [`Input::WriteResult`].
     Write(Command),
     /// Make sure that this replica still leads, and say so by [`Input::Confirmed`] or [`Input::Unconfirmed`]. One is
     /// out at a time.
-    Confirm,
-    /// Try to connect to where a process listens as long as it lives, and say how it ended by [`Input::Probed`].
+    ConfirmLeadership,
+    /// Try to connect to where a process listens as long as it lives, and say how it ended by [`Input::ProbeResult`].
     Probe {
         /// Who.
         process: Process,
         /// Where.
-        life: SocketAddr,
+        liveness_addr: SocketAddr,
     },
 }
 
@@ -208,19 +213,19 @@
 pub enum Refusal {
     /// No more members.
     #[error("the roster is full, or this node has too many processes: remove nodes that are gone")]
-    Full,
+    RosterFull,
     /// Another process of this name is alive.
     #[error("another process of this name is alive: end it, or give this node another name")]
-    Alive,
+    NameInUse,
     /// The name is none.
-    #[error("the node's name must have 1 to {NAME_MOST} bytes")]
-    Name,
+    #[error("the node's name must have 1 to {MAX_NODE_NAME_BYTES} bytes")]
+    InvalidName,
     /// It could not be made sure of in time that this replica leads, or that another process has ended.
     #[error("no answer could be given in time: try again")]
-    Late,
+    TimedOut,
     /// The same process has sent another beat since.
     #[error("a newer beat of this process has come")]
-    Replaced,
+    Superseded,
 }
 
 /// What this leader knows of a member.
@@ -268,7 +273,7 @@
 /// The leader of one term. Started when the replica has become leader, dropped when the term is over.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leader {
-    terms: Terms,
+    terms: LeaderSettings,
     term: u64,
     /// The version that sessions and change were last taken from.
     synced: Option<u64>,
@@ -292,7 +297,7 @@
 
 impl Leader {
     /// A leader whose term has begun before `now`.
-    pub fn new(terms: Terms, term: u64, now: Millis) -> Self {
+    pub fn new(terms: LeaderSettings, term: u64, now: Millis) -> Self {
         Self {
             terms,
             term,
@@ -313,7 +318,7 @@
     }
 
     /// Takes what has happened; `agreement` is the replica's state at this moment.
-    pub fn handle(&mut self, now: Millis, input: Input, agreement: &Agreement) -> Vec<Effect> {
+    pub fn handle(&mut self, now: Millis, input: Input, agreement: &FleetState) -> Vec<Effect> {
         self.handle_all(now, [input], agreement)
     }
 
@@ -323,7 +328,7 @@
         &mut self,
         now: Millis,
         inputs: impl IntoIterator<Item = Input>,
-        agreement: &Agreement,
+        agreement: &FleetState,
     ) -> Vec<Effect> {
         self.now = now;
         let mut effects = Vec::new();
@@ -341,62 +346,62 @@
         {
             self.begun += 1;
             self.asked = Some(now);
-            effects.push(Effect::Confirm);
+            effects.push(Effect::ConfirmLeadership);
         }
         effects
     }
 
-    fn take(&mut self, now: Millis, input: Input, agreement: &Agreement, effects: &mut Vec<Effect>) {
+    fn take(&mut self, now: Millis, input: Input, agreement: &FleetState, effects: &mut Vec<Effect>) {
         match input {
-            Input::Beat { token, beat } => self.beat(now, token, beat, agreement, effects),
-            Input::Confirmed { asked } => {
+            Input::Heartbeat { token, heartbeat: beat } => self.beat(now, token, beat, agreement, effects),
+            Input::Confirmed { requested_at: asked } => {
                 if self.asked == Some(asked) {
                     self.asked = None;
                     self.done = self.begun;
                 }
             }
-            Input::Unconfirmed { asked } => {
+            Input::ConfirmFailed { requested_at: asked } => {
                 if self.asked == Some(asked) {
                     self.asked = None;
                     self.confirm_at = now + self.pace();
                 }
             }
-            Input::Probed { process, refused } => self.probed(now, process, refused, effects),
-            Input::Written { command, outcome } => self.written(now, &command, outcome, effects),
+            Input::ProbeResult { process, refused } => self.probed(now, process, refused, effects),
+            Input::WriteResult { command, outcome } => self.written(now, &command, outcome, effects),
             Input::Applied | Input::Tick => {}
         }
     }
 
     /// When [`Input::Tick`] is due.
-    pub fn next(&self) -> Option<Millis> {
+    pub fn next_tick_at(&self) -> Option<Millis> {
         let busy = self.staging.is_some() || !self.waiting.is_empty();
-        Some(self.now + if busy { self.pace() } else { self.terms.beat_ms })
+        Some(self.now + if busy { self.pace() } else { self.terms.heartbeat_interval_ms })
     }
 
     /// Members, and for how long each has been silent.
-    pub fn sessions(&self, now: Millis) -> impl Iterator<Item = (&Process, Millis)> {
+    pub fn silence_by_member(&self, now: Millis) -> impl Iterator<Item = (&Process, Millis)> {
         self.sessions.iter().map(move |(process, session)| (process, now - session.heard))
     }
 
     /// Members whose promise about the change under way holds at `now`.
-    pub fn staged(&self, now: Millis) -> usize {
+    pub fn staged_count(&self, now: Millis) -> usize {
         self.sessions.values().filter(|session| session.until.is_some_and(|until| until > now)).count()
     }
 
     fn pace(&self) -> Millis {
-        self.terms.beat_ms / 4.0
+        self.terms.heartbeat_interval_ms / 4.0
     }
 
     /// Sessions are those of the roster's members, and the change is the log's.
-    fn sync(&mut self, now: Millis, agreement: &Agreement) {
+    fn sync(&mut self, now: Millis, agreement: &FleetState) {
         if self.synced == Some(agreement.version()) {
             return;
         }
         self.synced = Some(agreement.version());
-        if self.known.map(|known| known.version) != Some(agreement.book().version()) {
-            self.known = Some(agreement.agreed().state_id());
+        if self.known.map(|known| known.version) != Some(agreement.policy_state().version()) {
+            self.known = Some(agreement.agreed_state().state_id());
         }
-        self.sessions.retain(|process, _| agreement.roster().seat(process).is_some());
+        self.sessions.retain(|process, _| agreement.roster().member(process).is_some());
         for (process, _) in agreement.roster().members() {
             if !self.sessions.contains_key(process) {
                 let session = Session {
@@ -404,13 +409,13 @@
                     granted: now,
                     until: None,
                     refused: None,
-                    probed: now - MS_MOST,
+                    probed: now - MAX_SPAN_MS,
                     alive: None,
                 };
                 self.sessions.insert(process.clone(), session);
             }
         }
-        let id = agreement.book().change().map(|change| change.id);
+        let id = agreement.policy_state().pending_change().map(|change| change.id);
         if self.staging.as_ref().map(|staging| staging.id) != id {
             self.staging = id.map(|id| Staging { id, began: now, deciding: false, frozen: BTreeSet::new() });
             for session in self.sessions.values_mut() {
@@ -424,7 +429,7 @@
         now: Millis,
         token: u64,
         beat: Heartbeat,
-        agreement: &Agreement,
+        agreement: &FleetState,
         effects: &mut Vec<Effect>,
     ) {
         let Heartbeat {
@@ -438,28 +443,30 @@
             leaving: bye,
             ..
         } = beat;
-        if process.name.is_empty() || process.name.len() > NAME_MOST {
-            effects.push(Effect::Refuse { token, why: Refusal::Name });
+        if process.name.is_empty() || process.name.len() > MAX_NODE_NAME_BYTES {
+            effects.push(Effect::Refuse { token, reason: Refusal::InvalidName });
             return;
         }
         if let Some(session) = self.sessions.get_mut(&process) {
             session.heard = now;
             session.note(now, self.term, self.staging.as_ref(), echo, change, self.terms.promise_ms);
             if bye {
-                let proof = Proof::Closed;
-                self.write(&process, RosterCommand::Ended { process: process.clone(), proof }, effects);
-            } else if active.is_some_and(|active| active > agreement.book().given() && active <= EPOCH_MOST) {
+                let proof = Proof::SessionClosed;
+                self.write(&process, RosterCommand::MarkEnded { process: process.clone(), proof }, effects);
+            } else if active.is_some_and(|active| {
+                active > agreement.policy_state().highest_epoch() && active <= MAX_EPOCH
+            }) {
                 let join = self.join_of(&process, life, beside, active);
                 self.write(&process, join, effects);
             }
-        } else if self.waiting.len() >= 2 * MEMBERS_MOST {
-            effects.push(Effect::Refuse { token, why: Refusal::Full });
+        } else if self.waiting.len() >= 2 * MAX_MEMBERS {
+            effects.push(Effect::Refuse { token, reason: Refusal::RosterFull });
             return;
         }
         let round = self.begun + 1;
         let waiting = Waiting { token, came: now, round, life, beside, active, known, bye };
         if let Some(older) = self.waiting.insert(process, waiting) {
-            effects.push(Effect::Refuse { token: older.token, why: Refusal::Replaced });
+            effects.push(Effect::Refuse { token: older.token, reason: Refusal::Superseded });
         }
     }
 
@@ -470,8 +477,14 @@
         beside: bool,
         active: Option<Epoch>,
     ) -> RosterCommand {
-        let fenced = self.terms.unreachable == Unreachable::Fence;
-        RosterCommand::Join { process: process.clone(), life, beside, fenced, active }
+        let fenced = self.terms.unreachable_action == UnreachableAction::Fence;
+        RosterCommand::Join {
+            process: process.clone(),
+            liveness_addr: life,
+            coexists_with_previous: beside,
+            fenced,
+            active_epoch: active,
+        }
     }
 
     /// Writes about a process, unless something is on its way already.
@@ -482,12 +495,12 @@
     }
 
     /// Newcomers that wait. Whoever has waited for a session is let go: it is gone, or sends another beat.
-    fn join(&mut self, now: Millis, agreement: &Agreement, effects: &mut Vec<Effect>) {
-        let session_ms = self.terms.session_ms;
+    fn join(&mut self, now: Millis, agreement: &FleetState, effects: &mut Vec<Effect>) {
+        let session_ms = self.terms.session_timeout_ms;
         self.waiting.retain(|_, waiting| {
             let keep = now - waiting.came < session_ms;
             if !keep {
-                effects.push(Effect::Refuse { token: waiting.token, why: Refusal::Late });
+                effects.push(Effect::Refuse { token: waiting.token, reason: Refusal::TimedOut });
             }
             keep
         });
@@ -499,7 +512,7 @@
             .waiting
             .iter()
             .filter(|(process, waiting)| {
-                !waiting.bye && roster.seat(process).is_none() && !roster.left(process)
+                !waiting.bye && roster.member(process).is_none() && !roster.has_left(process)
             })
             .filter(|(process, _)| !self.writing.contains(*process))
             .map(|(process, _)| process.clone())
@@ -508,20 +521,20 @@
             let Waiting { token, came, life, beside, active, .. } = self.waiting[&process].clone();
             let mut blocked = false;
             let mut alive = false;
-            let older = roster.of(&process.name).filter(|_| !beside);
+            let older = roster.processes_of(&process.name).filter(|_| !beside);
             for (older, seat) in older.collect::<Vec<_>>() {
                 let session = &self.sessions[older];
-                let silent = now - session.heard >= self.terms.session_ms;
+                let silent = now - session.heard >= self.terms.session_timeout_ms;
                 if silent && (!seat.fenced || self.lease_over(now, session)) {
                     continue;
                 }
                 blocked = true;
                 alive |= session.alive.is_some_and(|alive| alive >= came);
-                self.try_life(now, self.terms.beat_ms, older, seat.life, effects);
+                self.try_life(now, self.terms.heartbeat_interval_ms, older, seat.liveness_addr, effects);
             }
             if alive {
                 self.waiting.remove(&process);
-                effects.push(Effect::Refuse { token, why: Refusal::Alive });
+                effects.push(Effect::Refuse { token, reason: Refusal::NameInUse });
             } else if !blocked {
                 let join = self.join_of(&process, life, beside, active);
                 self.write(&process, join, effects);
@@ -530,11 +543,12 @@
     }
 
     /// Answers whom it may: a member, or one that is none any more, whose beat came before a confirm was begun.
-    fn answer(&mut self, now: Millis, agreement: &Agreement, effects: &mut Vec<Effect>) {
+    fn answer(&mut self, now: Millis, agreement: &FleetState, effects: &mut Vec<Effect>) {
         let roster = agreement.roster();
         let ready = |process: &Process, waiting: &Waiting| {
-            let member = roster.seat(process).is_some();
-            waiting.round <= self.done && if waiting.bye { !member } else { member || roster.left(process) }
+            let member = roster.member(process).is_some();
+            waiting.round <= self.done
+                && if waiting.bye { !member } else { member || roster.has_left(process) }
         };
         let ready: Vec<Process> =
             self.waiting.iter().filter(|(p, w)| ready(p, w)).map(|(process, _)| process.clone()).collect();
@@ -546,9 +560,9 @@
             let Waiting { token, known, .. } = self.waiting.remove(&process).expect("it was just found");
             let told = match known.filter(|_| known == self.known) {
                 Some(known) => AgreedUpdate::Unchanged(known),
-                None => AgreedUpdate::Changed(agreed.get_or_init(|| agreement.agreed()).clone()),
+                None => AgreedUpdate::Changed(agreed.get_or_init(|| agreement.agreed_state()).clone()),
             };
-            let seat = roster.seat(&process);
+            let seat = roster.member(&process);
             let fenced = seat.is_some_and(|seat| seat.fenced);
             let frozen = self.staging.as_ref().is_some_and(|staging| staging.frozen.contains(&process));
             if let Some(session) = self.sessions.get_mut(&process).filter(|_| fenced && !frozen) {
@@ -557,7 +571,7 @@
             let answer = Box::new(HeartbeatReply {
                 stamp: Stamp { term: self.term, time: now },
                 update: told,
-                heartbeat_interval_ms: self.terms.beat_ms,
+                heartbeat_interval_ms: self.terms.heartbeat_interval_ms,
                 lease_ms: (fenced && !frozen).then_some(self.terms.lease_ms),
                 fenced,
                 promise_ms: self.terms.promise_ms,
@@ -565,7 +579,7 @@
                 queried_servers: Vec::new(),
                 verdicts: None,
             });
-            effects.push(Effect::Answer { token, answer });
+            effects.push(Effect::Reply { token, reply: answer });
         }
     }
 
@@ -575,15 +589,15 @@
     }
 
     /// Whether the change under way can end now.
-    fn decide(&mut self, now: Millis, agreement: &Agreement, effects: &mut Vec<Effect>) {
+    fn decide(&mut self, now: Millis, agreement: &FleetState, effects: &mut Vec<Effect>) {
         let Some(staging) = self.staging.as_ref().filter(|staging| !staging.deciding) else { return };
         if now < self.write_at {
             return;
         }
         let (change, began) = (staging.id, staging.began);
-        let due = began + self.terms.stage_ms;
-        let last = due + self.terms.lease_ms * (1.0 + MAX_CLOCK_DRIFT) + self.terms.beat_ms;
-        let may_fence = self.terms.unreachable == Unreachable::Fence;
+        let due = began + self.terms.stage_timeout_ms;
+        let last = due + self.terms.lease_ms * (1.0 + MAX_CLOCK_DRIFT) + self.terms.heartbeat_interval_ms;
+        let may_fence = self.terms.unreachable_action == UnreachableAction::Fence;
         let mut abort = None;
         let (mut staged, mut fenced, mut missing) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
         let mut waits = false;
@@ -593,7 +607,7 @@
                 abort = Some(AbortReason::Refused { node: process.name.clone(), reason: words.clone() });
                 break;
             }
-            if session.until.is_some_and(|until| until > now + self.terms.reserve_ms) {
+            if session.until.is_some_and(|until| until > now + self.terms.commit_reserve_ms) {
                 staged.push(process.clone());
             } else if may_fence && seat.fenced && self.lease_over(now, session) {
                 fenced.insert(process.clone());
@@ -604,15 +618,19 @@
             }
         }
         let command = if let Some(why) = abort {
-            PolicyCommand::Abort { change, why }
+            PolicyCommand::Abort { change, reason: why }
         } else if missing.is_empty() {
             if !self.writing.is_empty() && now < due {
                 return; // A join on its way would make it void, or be asked nothing.
             }
-            PolicyCommand::Commit { change, staged, fenced: fenced.iter().cloned().collect() }
+            PolicyCommand::Commit {
+                change,
+                staged_members: staged,
+                fenced_members: fenced.iter().cloned().collect(),
+            }
         } else if now >= due && !waits {
-            let nodes = missing.into_iter().take(NAMED).collect();
-            PolicyCommand::Abort { change, why: AbortReason::Unresponsive { nodes } }
+            let nodes = missing.into_iter().take(MAX_NAMED_MEMBERS).collect();
+            PolicyCommand::Abort { change, reason: AbortReason::Unresponsive { nodes } }
         } else {
             return;
         };
@@ -634,26 +652,26 @@
         match command {
             Command::Roster(RosterCommand::Join { process, .. }) => {
                 self.writing.remove(process);
-                if outcome == Some(Outcome::TooMuch) {
+                if outcome == Some(Outcome::LimitExceeded) {
                     if let Some(waiting) = self.waiting.remove(process) {
-                        effects.push(Effect::Refuse { token: waiting.token, why: Refusal::Full });
+                        effects.push(Effect::Refuse { token: waiting.token, reason: Refusal::RosterFull });
                     }
                 }
                 if outcome.is_none() {
                     self.write_at = now + self.pace();
                 }
             }
-            Command::Roster(RosterCommand::Ended { process, .. }) => {
+            Command::Roster(RosterCommand::MarkEnded { process, .. }) => {
                 self.writing.remove(process);
             }
-            Command::Roster(RosterCommand::Remove { .. }) => {}
+            Command::Roster(RosterCommand::RemoveNode { .. }) => {}
             Command::Policy(PolicyCommand::Commit { change, .. } | PolicyCommand::Abort { change, .. }) => {
                 let Some(staging) = self.staging.as_mut().filter(|staging| staging.id == *change) else {
                     return;
                 };
                 staging.deciding = false;
                 match outcome {
-                    Some(Outcome::Uncovered { .. }) => staging.frozen.clear(),
+                    Some(Outcome::MissingMembers { .. }) => staging.frozen.clear(),
                     Some(_) => {}
                     None => self.write_at = now + self.pace(),
                 }
@@ -664,18 +682,19 @@
     }
 
     /// Tries the addresses of silent members: sooner where a change waits for them.
-    fn probe(&mut self, now: Millis, agreement: &Agreement, effects: &mut Vec<Effect>) {
+    fn probe(&mut self, now: Millis, agreement: &FleetState, effects: &mut Vec<Effect>) {
         if now < self.probe_at {
             return;
         }
-        self.probe_at = now + self.terms.beat_ms / 2.0;
+        self.probe_at = now + self.terms.heartbeat_interval_ms / 2.0;
         let staged = |session: &Session| session.until.is_some_and(|until| until > now);
         for (process, seat) in agreement.roster().members() {
             let session = &self.sessions[process];
             let hurry = self.staging.is_some() && !staged(session);
-            let pace = if hurry { 2.0 * self.terms.beat_ms } else { self.terms.session_ms };
+            let pace =
+                if hurry { 2.0 * self.terms.heartbeat_interval_ms } else { self.terms.session_timeout_ms };
             if now - session.heard >= pace {
-                self.try_life(now, pace, process, seat.life, effects);
+                self.try_life(now, pace, process, seat.liveness_addr, effects);
             }
         }
     }
@@ -691,15 +710,15 @@
         let session = self.sessions.get_mut(process).expect("each member has a session");
         if now - session.probed >= pace {
             session.probed = now;
-            effects.push(Effect::Probe { process: process.clone(), life });
+            effects.push(Effect::Probe { process: process.clone(), liveness_addr: life });
         }
     }
 
     fn probed(&mut self, now: Millis, process: Process, refused: bool, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&process) else { return };
         if refused {
-            let proof = Proof::Refused;
-            self.write(&process, RosterCommand::Ended { process: process.clone(), proof }, effects);
+            let proof = Proof::ConnectionRefused;
+            self.write(&process, RosterCommand::MarkEnded { process: process.clone(), proof }, effects);
         } else {
             session.alive = Some(now);
         }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -10,7 +10,7 @@
 //! | [`leader`] | pure too, but not on the log: sessions, promises and leases by one leader's monotonic clock; what it would have written, answered and asked |
 //! | [`tally`] | as the leader, beside it: ballots on servers, and the verdicts that follow from them |
 //! | [`config`] | one replica's configuration, checked whole |
-//! | [`hub`], [`gate`], [`sync`] | what threads share: the watch's newest line, and who is inside |
+//! | [`hub`], [`limiter`], [`sync`] | what threads share: the watch's newest line, and who is inside |
 //! | [`edge`] | HTTP: nodes' beats and watches, operators' calls, the replicas' own messages |
 //!
 //! Adding a subject (the list, the catalog) is adding a module, its commands and its part of the snapshot.
@@ -21,9 +21,9 @@
 pub mod command;
 pub mod config;
 pub mod edge;
-pub mod gate;
 pub mod hub;
 pub mod leader;
+pub mod limiter;
 pub mod machine;
 pub mod policy;
 pub mod roster;
--- a/crates/control/src/gate.rs
+++ b/crates/control/src/limiter.rs
@@ -10,10 +10,10 @@
 use crate::sync::Lock;
 
 /// Shared by all who go through.
-pub struct Gate<L: Lock<Inside> = Mutex<Inside>>(Arc<L>);
+pub struct Limiter<L: Lock<LimiterState> = Mutex<LimiterState>>(Arc<L>);
 
 /// What is under the gate's lock.
-pub struct Inside {
+pub struct LimiterState {
     count: usize,
     most: usize,
     stopped: bool,
@@ -22,44 +22,44 @@
 
 /// Why somebody may not enter.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Shut {
+pub enum LimitError {
     /// As many are inside as may be.
     Full,
     /// It was stopped.
     Stopped,
 }
 
-impl<L: Lock<Inside>> Clone for Gate<L> {
+impl<L: Lock<LimiterState>> Clone for Limiter<L> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
-impl<L: Lock<Inside>> Gate<L> {
+impl<L: Lock<LimiterState>> Limiter<L> {
     /// A gate that lets so many in at once.
     pub fn new(most: usize) -> Self {
-        Self(Arc::new(L::new(Inside { count: 0, most, stopped: false, waiting: Vec::new() })))
+        Self(Arc::new(L::new(LimiterState { count: 0, most, stopped: false, waiting: Vec::new() })))
     }
 
     /// Enters, until the pass is dropped.
     ///
     /// # Errors
     /// Where it is full or stopped.
-    pub fn enter(&self) -> Result<Pass<L>, Shut> {
+    pub fn acquire(&self) -> Result<Permit<L>, LimitError> {
         self.0.with(|inside| {
             if inside.stopped {
-                return Err(Shut::Stopped);
+                return Err(LimitError::Stopped);
             }
             if inside.count >= inside.most {
-                return Err(Shut::Full);
+                return Err(LimitError::Full);
             }
             inside.count += 1;
-            Ok(Pass(self.clone()))
+            Ok(Permit(self.clone()))
         })
     }
 
     /// How many are inside.
-    pub fn count(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.0.with(|inside| inside.count)
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Until nobody is inside.
-    pub async fn empty(&self) {
+    pub async fn drained(&self) {
         let look = |waker: &Waker| {
             self.0.with(|inside| {
                 if inside.count == 0 {
@@ -84,9 +84,9 @@
 }
 
 /// Somebody's stay inside.
-pub struct Pass<L: Lock<Inside> = Mutex<Inside>>(Gate<L>);
+pub struct Permit<L: Lock<LimiterState> = Mutex<LimiterState>>(Limiter<L>);
 
-impl<L: Lock<Inside>> Drop for Pass<L> {
+impl<L: Lock<LimiterState>> Drop for Permit<L> {
     fn drop(&mut self) {
         let woken = self.0 .0.with(|inside| {
             inside.count -= 1;
@@ -111,19 +111,19 @@
     #[test]
     fn a_stop_waits_for_a_write_in_flight() {
         let run = || {
-            let gate = Gate::<shuttle::sync::Mutex<Inside>>::new(2);
+            let gate = Limiter::<shuttle::sync::Mutex<LimiterState>>::new(2);
             let writing = Arc::new(AtomicUsize::new(0));
             let (through, count) = (gate.clone(), writing.clone());
             let writer = thread::spawn(move || {
-                let Ok(pass) = through.enter() else { return };
+                let Ok(pass) = through.acquire() else { return };
                 count.fetch_add(1, Ordering::SeqCst);
                 count.fetch_sub(1, Ordering::SeqCst);
                 drop(pass);
             });
             gate.stop();
-            future::block_on(gate.empty());
+            future::block_on(gate.drained());
             assert_eq!(writing.load(Ordering::SeqCst), 0, "a write is in flight");
-            assert_eq!(gate.enter().err(), Some(Shut::Stopped));
+            assert_eq!(gate.acquire().err(), Some(LimitError::Stopped));
             writer.join().expect("ends");
         };
         shuttle::check_dfs(run, None);
@@ -131,11 +131,11 @@
 
     #[test]
     fn no_more_than_may_are_inside() {
-        let gate = Gate::<Mutex<Inside>>::new(2);
-        let first = gate.enter().expect("has room");
-        let _second = gate.enter().expect("has room");
-        assert_eq!((gate.enter().err(), gate.count()), (Some(Shut::Full), 2));
+        let gate = Limiter::<Mutex<LimiterState>>::new(2);
+        let first = gate.acquire().expect("has room");
+        let _second = gate.acquire().expect("has room");
+        assert_eq!((gate.acquire().err(), gate.in_use()), (Some(LimitError::Full), 2));
         drop(first);
-        assert!(gate.enter().is_ok());
+        assert!(gate.acquire().is_ok());
     }
 }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::command::{Command, Outcome, RosterCommand};
-use crate::policy::Book;
+use crate::policy::PolicyState;
 use crate::roster::Roster;
-use crate::verdicts::Verdicts;
+use crate::verdicts::VerdictState;
 
 /// The newest schema of snapshots that this program reads. It writes the oldest one that tells all, so that a fleet
 /// which never had votes can go back to a program without them.
@@ -15,11 +15,11 @@
 
 /// All that the fleet agrees on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Agreement {
+pub struct FleetState {
     version: u64,
     roster: Roster,
-    book: Book,
-    verdicts: Verdicts,
+    policy: PolicyState,
+    verdicts: VerdictState,
 }
 
 /// A snapshot as JSON; a later schema may be another shape, but keeps this field.
@@ -34,12 +34,12 @@
     schema: u32,
     version: u64,
     roster: Roster,
-    policy: Book,
+    policy: PolicyState,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    verdicts: Option<Verdicts>,
+    verdicts: Option<VerdictState>,
 }
 
-impl Agreement {
+impl FleetState {
     /// Nobody and epoch 0.
     pub fn new() -> Self {
         Self::default()
@@ -56,22 +56,22 @@
     }
 
     /// What is agreed on policy.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn policy_state(&self) -> &PolicyState {
+        &self.policy
     }
 
     /// What is agreed on servers.
-    pub fn verdicts(&self) -> &Verdicts {
+    pub fn verdicts(&self) -> &VerdictState {
         &self.verdicts
     }
 
     /// What nodes are told of policy.
-    pub fn agreed(&self) -> AgreedState {
-        self.book.agreed()
+    pub fn agreed_state(&self) -> AgreedState {
+        self.policy.agreed_state()
     }
 }
 
-impl Machine for Agreement {
+impl Machine for FleetState {
     type Command = Command;
     type Reply = Outcome;
 
@@ -79,27 +79,27 @@
         self.version = version;
         match command {
             Command::Roster(command) => {
-                if let RosterCommand::Join { active: Some(active), .. } = command {
-                    self.book.raise(*active);
+                if let RosterCommand::Join { active_epoch: Some(active), .. } = command {
+                    self.policy.reserve_epochs_up_to(*active);
                 }
                 self.roster.apply(command)
             }
             Command::Policy(command) => {
-                let outcome = self.book.apply(version, command, &self.roster);
-                self.verdicts.policy(version, self.book.policy());
+                let outcome = self.policy.apply(version, command, &self.roster);
+                self.verdicts.apply_policy(version, self.policy.policy());
                 outcome
             }
-            Command::Verdict(command) => self.verdicts.apply(version, command, self.book.policy()),
+            Command::Verdict(command) => self.verdicts.apply(version, command, self.policy.policy()),
         }
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let verdicts = Some(&self.verdicts).filter(|verdicts| **verdicts != Verdicts::default());
+        let verdicts = Some(&self.verdicts).filter(|verdicts| **verdicts != VerdictState::default());
         let snapshot = Snapshot {
             schema: if verdicts.is_some() { SCHEMA } else { 1 },
             version: self.version,
             roster: self.roster.clone(),
-            policy: self.book.clone(),
+            policy: self.policy.clone(),
             verdicts: verdicts.cloned(),
         };
         serde_json::to_vec(&snapshot).expect("names and JSON values always serialize")
@@ -116,6 +116,6 @@
         }
         let Snapshot { version, roster, policy, verdicts, .. } =
             serde_json::from_slice(bytes).map_err(|e| format!("snapshot is damaged: {e}"))?;
-        Ok(Self { version, roster, book: policy, verdicts: verdicts.unwrap_or_default() })
+        Ok(Self { version, roster, policy, verdicts: verdicts.unwrap_or_default() })
     }
 }
--- a/crates/control/src/policy.rs
+++ b/crates/control/src/policy.rs
@@ -3,7 +3,7 @@
 //! Need: one change at a time, with one outcome, and no number of an epoch that stands for two policies. Shape: a
 //! number is given when a change is proposed and never again, so that "nothing was admitted under an aborted epoch"
 //! can be told from requests alone. A member may have known a higher number than the log does (a group that was set up
-//! again from an old backup): [`Book::raise`] keeps clear of it.
+//! again from an old backup): [`PolicyState::reserve_epochs_up_to`] keeps clear of it.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hasher as _};
@@ -15,37 +15,39 @@
 use crate::roster::Roster;
 
 /// The largest policy, in bytes of JSON.
-pub const POLICY_MOST: usize = 64 * 1024;
+pub const MAX_POLICY_BYTES: usize = 64 * 1024;
 /// How many ended changes are kept.
-pub const HISTORY: usize = 32;
+pub const MAX_ENDED_CHANGES: usize = 32;
 /// How many of them each [`AgreedState`] tells of.
-pub const TOLD: usize = 4;
+pub const MAX_REPORTED_CHANGES: usize = 4;
 /// How many nodes or processes a list of missing ones names.
-pub const NAMED: usize = 8;
+pub const MAX_NAMED_MEMBERS: usize = 8;
 /// The longest words of a refusal, in bytes.
-const WORDS_MOST: usize = 256;
+const MAX_REASON_BYTES: usize = 256;
 /// The highest number that is believed of a member: far from where counting on would overflow.
-pub const EPOCH_MOST: Epoch = 1 << 52;
+pub const MAX_EPOCH: Epoch = 1 << 52;
 
 /// What is agreed on policy.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Book {
+pub struct PolicyState {
     epoch: Epoch,
     policy: Policy,
     /// The highest number that was given, or that a member has known.
-    given: Epoch,
+    #[serde(rename = "given")]
+    highest_epoch: Epoch,
     change: Option<Change>,
-    ended: VecDeque<EndedChange>,
+    #[serde(rename = "ended")]
+    ended_changes: VecDeque<EndedChange>,
 }
 
-impl Book {
+impl PolicyState {
     /// Takes a command at a version of the log; `roster` is the one at this entry.
     pub fn apply(&mut self, version: u64, command: &PolicyCommand, roster: &Roster) -> Outcome {
         match command {
-            PolicyCommand::Propose { base, policy } => self.propose(version, *base, policy),
-            PolicyCommand::Commit { change, staged, fenced } => {
+            PolicyCommand::Propose { base_epoch: base, policy } => self.propose(version, *base, policy),
+            PolicyCommand::Commit { change, staged_members: staged, fenced_members: fenced } => {
                 if self.change.as_ref().map(|change| change.id) != Some(*change) {
-                    return Outcome::Over;
+                    return Outcome::Obsolete;
                 }
                 let staged: BTreeSet<&Process> = staged.iter().collect();
                 let fenced: BTreeSet<&Process> = fenced.iter().collect();
@@ -56,29 +58,29 @@
                     .members()
                     .filter(|(process, seat)| !covered(process, seat.fenced))
                     .map(|(process, _)| process.clone())
-                    .take(NAMED)
+                    .take(MAX_NAMED_MEMBERS)
                     .collect();
                 if missing.is_empty() {
                     self.end(None);
                     Outcome::Done
                 } else {
-                    Outcome::Uncovered { missing }
+                    Outcome::MissingMembers { missing }
                 }
             }
-            PolicyCommand::Abort { change, why } => match &self.change {
+            PolicyCommand::Abort { change, reason: why } => match &self.change {
                 Some(under_way) if under_way.id == *change => {
                     self.end(Some(bounded(why)));
                     Outcome::Done
                 }
-                _ => Outcome::Over,
+                _ => Outcome::Obsolete,
             },
         }
     }
 
     /// A member has known this epoch: no number up to it is given again.
-    pub fn raise(&mut self, known: Epoch) {
-        if known <= EPOCH_MOST {
-            self.given = self.given.max(known);
+    pub fn reserve_epochs_up_to(&mut self, known: Epoch) {
+        if known <= MAX_EPOCH {
+            self.highest_epoch = self.highest_epoch.max(known);
         }
     }
 
@@ -93,25 +95,25 @@
     }
 
     /// The highest number that was given, or that a member has known.
-    pub fn given(&self) -> Epoch {
-        self.given
+    pub fn highest_epoch(&self) -> Epoch {
+        self.highest_epoch
     }
 
     /// The change under way.
-    pub fn change(&self) -> Option<&Change> {
+    pub fn pending_change(&self) -> Option<&Change> {
         self.change.as_ref()
     }
 
     /// How the last changes ended, newest last.
-    pub fn ended(&self) -> impl DoubleEndedIterator<Item = &EndedChange> {
-        self.ended.iter()
+    pub fn ended_changes(&self) -> impl DoubleEndedIterator<Item = &EndedChange> {
+        self.ended_changes.iter()
     }
 
     /// The version of what nodes are told: the number of the change under way, or one past that of the last one that
     /// ended. Who joins or leaves moves the log and not this; the next change's number is greater than both, as an
     /// entry of the log ended the one before it.
     pub fn version(&self) -> u64 {
-        match (&self.change, self.ended.back()) {
+        match (&self.change, self.ended_changes.back()) {
             (Some(change), _) => change.id.0,
             (None, Some(ended)) => ended.id.0 + 1,
             (None, None) => 0,
@@ -119,15 +121,15 @@
     }
 
     /// What nodes are told.
-    pub fn agreed(&self) -> AgreedState {
-        let told = self.ended.len().saturating_sub(TOLD);
+    pub fn agreed_state(&self) -> AgreedState {
+        let told = self.ended_changes.len().saturating_sub(MAX_REPORTED_CHANGES);
         let mut agreed = AgreedState {
             version: self.version(),
             fingerprint: 0,
             epoch: self.epoch,
             policy: self.policy.clone(),
             change: self.change.clone(),
-            ended_changes: self.ended.iter().skip(told).cloned().collect(),
+            ended_changes: self.ended_changes.iter().skip(told).cloned().collect(),
         };
         let mut hasher = DefaultHasher::new();
         hasher.write(&serde_json::to_vec(&agreed).expect("names and JSON values always serialize"));
@@ -137,30 +139,30 @@
 
     fn propose(&mut self, version: u64, base: Epoch, policy: &Policy) -> Outcome {
         if let Some(change) = &self.change {
-            return Outcome::Busy { change: change.id };
+            return Outcome::ChangePending { change: change.id };
         }
         if base != self.epoch {
-            return Outcome::Stale { epoch: self.epoch };
+            return Outcome::StaleEpoch { epoch: self.epoch };
         }
         let size = serde_json::to_vec(policy).map_or(usize::MAX, |bytes| bytes.len());
-        if size > POLICY_MOST {
-            return Outcome::TooMuch;
+        if size > MAX_POLICY_BYTES {
+            return Outcome::LimitExceeded;
         }
-        self.given += 1;
-        let (id, epoch) = (ChangeId(version), self.given);
+        self.highest_epoch += 1;
+        let (id, epoch) = (ChangeId(version), self.highest_epoch);
         self.change = Some(Change { id, epoch, policy: policy.clone() });
         Outcome::Proposed { change: id, epoch }
     }
 
     fn end(&mut self, aborted: Option<AbortReason>) {
         let Some(change) = self.change.take() else { return };
-        self.ended.push_back(EndedChange {
+        self.ended_changes.push_back(EndedChange {
             id: change.id,
             epoch: change.epoch,
             abort_reason: aborted.clone(),
         });
-        if self.ended.len() > HISTORY {
-            self.ended.pop_front();
+        if self.ended_changes.len() > MAX_ENDED_CHANGES {
+            self.ended_changes.pop_front();
         }
         if aborted.is_none() {
             (self.epoch, self.policy) = (change.epoch, change.policy);
@@ -172,11 +174,11 @@
 fn bounded(why: &AbortReason) -> AbortReason {
     match why {
         AbortReason::Refused { node, reason: words } => {
-            let end = (0..=words.len().min(WORDS_MOST)).rev().find(|&at| words.is_char_boundary(at));
+            let end = (0..=words.len().min(MAX_REASON_BYTES)).rev().find(|&at| words.is_char_boundary(at));
             AbortReason::Refused { node: node.clone(), reason: words[..end.unwrap_or(0)].to_owned() }
         }
         AbortReason::Unresponsive { nodes } => {
-            AbortReason::Unresponsive { nodes: nodes.iter().take(NAMED).cloned().collect() }
+            AbortReason::Unresponsive { nodes: nodes.iter().take(MAX_NAMED_MEMBERS).cloned().collect() }
         }
         AbortReason::Operator => AbortReason::Operator,
         AbortReason::NoLeader => AbortReason::NoLeader,
--- a/crates/control/src/tally.rs
+++ b/crates/control/src/tally.rs
@@ -23,7 +23,7 @@
 //!   left: the verdict's own case stands for them where the others are counted. A zone in which a single node sends to
 //!   the server would else never lose it.
 //! - *Term.* Counted from when this leader has seen the verdict; one that finds a verdict does not know how long it has
-//!   held and takes its term to be over. Each further term is twice as long, up to [`TERM_GROWTH`] times.
+//!   held and takes its term to be over. Each further term is twice as long, up to [`MAX_TERM_FACTOR`] times.
 //! - *Return.* A term over, a few nodes probe. If they agree early, that decides; if not, what they weigh after `Window` and
 //!   `Ballot`. If none has said anything, the server is back: nobody stays removed without a vote, and if it is bad
 //!   still, it is removed again by what it then costs. (Rejected: to draw again, as that adds up to a long time
@@ -39,39 +39,41 @@
 use member::{Millis, Process, Stamp};
 
 use crate::command::{Outcome, VerdictCommand};
-use crate::machine::Agreement;
-use crate::roster::PROCESSES_MOST;
-use crate::verdicts::{allowed, figures, Case, Entry, Verdicts, Why, PROBERS_MOST};
+use crate::machine::FleetState;
+use crate::roster::MAX_PROCESSES_PER_NODE;
+use crate::verdicts::{
+    max_removed, vote_settings, EndReason, VerdictEntry, VerdictState, VoteResult, MAX_PROBERS,
+};
 
 use poll::{case, draw, Poll, Voice, Voter};
 
 mod poll;
-pub mod shown;
+pub mod view;
 
 /// The most questions at a time, and the most servers that are probed at a time.
-pub const ASKED_MOST: usize = 64;
+pub const MAX_QUERIES: usize = 64;
 /// How much longer than the first one a verdict's terms become.
-pub const TERM_GROWTH: u32 = 8;
+pub const MAX_TERM_FACTOR: u32 = 8;
 /// From one judgement to the next; a write that failed is tried again after ten times that.
-const PACE: Millis = 25.0;
+const EVALUATION_INTERVAL_MS: Millis = 25.0;
 /// For how many terms after its return a server's earlier terms count.
-const RECALL: Millis = 12.0;
+const RETURN_MEMORY_TERMS: Millis = 12.0;
 
 /// What has happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A beat came.
-    Beat {
+    Heartbeat {
         /// Who speaks.
         process: Process,
         /// The stamp that it echoes.
-        echo: Option<Stamp>,
+        echoed_stamp: Option<Stamp>,
         /// What it says of servers.
-        votes: Option<VoteReport>,
+        report: Option<VoteReport>,
     },
     /// How a command ended that was to be written; comes for each, and with an agreement that holds it where it has an
     /// outcome.
-    Written {
+    WriteResult {
         /// Which.
         command: VerdictCommand,
         /// What came of it; `None`: it may have been written or not.
@@ -133,49 +135,51 @@
             back: BTreeMap::new(),
             writing: BTreeMap::new(),
             write_at: now,
-            judged: now - PACE,
+            judged: now - EVALUATION_INTERVAL_MS,
             dirty: false,
         }
     }
 
     /// Takes what has happened up to `now`, in its order; `agreement` is the replica's state at this moment. What comes
-    /// out is to be written, and how it ended said by [`Input::Written`]. It is called before the leader gives its
+    /// out is to be written, and how it ended said by [`Input::WriteResult`]. It is called before the leader gives its
     /// answers, so that they hold what is asked now.
     pub fn handle_all(
         &mut self,
         now: Millis,
         inputs: impl IntoIterator<Item = Input>,
-        agreement: &Agreement,
+        agreement: &FleetState,
     ) -> Vec<VerdictCommand> {
         let figures = self.sync(now, agreement);
         for input in inputs {
             match input {
-                Input::Beat { process, echo, votes } if figures.is_some() => {
+                Input::Heartbeat { process, echoed_stamp: echo, report: votes } if figures.is_some() => {
                     self.beat(now, process, echo, votes, agreement);
                 }
-                Input::Written { command, outcome } => self.written(now, &command, outcome),
-                Input::Beat { .. } | Input::Applied | Input::Tick => {}
+                Input::WriteResult { command, outcome } => self.written(now, &command, outcome),
+                Input::Heartbeat { .. } | Input::Applied | Input::Tick => {}
             }
         }
-        let Some(figures) = figures.filter(|_| now >= self.judged + PACE) else { return Vec::new() };
+        let Some(figures) = figures.filter(|_| now >= self.judged + EVALUATION_INTERVAL_MS) else {
+            return Vec::new();
+        };
         (self.judged, self.dirty) = (now, false);
         self.judge(now, &figures, agreement)
     }
 
     /// Servers that each answer asks about (`Answer.asked`).
-    pub fn asked(&self) -> &[String] {
+    pub fn queried_servers(&self) -> &[String] {
         &self.asked
     }
 
     /// When [`Input::Tick`] is due.
-    pub fn next(&self) -> Option<Millis> {
+    pub fn next_tick_at(&self) -> Option<Millis> {
         let busy = self.dirty || !self.questions.is_empty() || !self.held.is_empty();
-        (self.on && busy).then_some(self.judged + PACE)
+        (self.on && busy).then_some(self.judged + EVALUATION_INTERVAL_MS)
     }
 
     /// Voters are of the roster, clocks are of the verdicts; without figures nothing is kept.
-    fn sync(&mut self, now: Millis, agreement: &Agreement) -> Option<VoteSettings> {
-        let figures = figures(agreement.book().policy());
+    fn sync(&mut self, now: Millis, agreement: &FleetState) -> Option<VoteSettings> {
+        let figures = vote_settings(agreement.policy_state().policy());
         if figures.is_some() != self.on {
             *self =
                 Self { on: figures.is_some(), writing: self.writing.clone(), ..Self::new(self.term, now) };
@@ -184,24 +188,28 @@
         if self.synced != Some(agreement.version()) {
             let first = self.synced.is_none();
             let roster = agreement.roster();
-            self.voters.retain(|name, _| roster.of(name).next().is_some());
+            self.voters.retain(|name, _| roster.processes_of(name).next().is_some());
             let verdicts = agreement.verdicts();
-            for past in verdicts.past().filter(|past| self.synced.is_some_and(|synced| past.until > synced)) {
-                if matches!(past.why, Why::Probed | Why::Unprobed) {
-                    self.back.insert(past.server.clone(), (now, past.terms));
+            for past in
+                verdicts.ended().filter(|past| self.synced.is_some_and(|synced| past.ended_at > synced))
+            {
+                if matches!(past.reason, EndReason::ProbesPassed | EndReason::NoProbeVotes) {
+                    self.back.insert(past.server.clone(), (now, past.term_index));
                 }
             }
             let held = std::mem::take(&mut self.held);
             for (server, entry) in verdicts.entries() {
-                let clock = held.get(server).filter(|(at, _)| *at == entry.at).copied();
+                let clock = held.get(server).filter(|(at, _)| *at == entry.changed_at).copied();
                 // It has held for nobody knows how long: its term is over, its probing starts anew.
                 let since = if first && entry.probers.is_empty() { Millis::NEG_INFINITY } else { now };
-                self.held.insert(server.clone(), clock.unwrap_or((entry.at, since)));
+                self.held.insert(server.clone(), clock.unwrap_or((entry.changed_at, since)));
             }
             self.synced = Some(agreement.version());
             self.dirty = true;
         }
-        self.back.retain(|_, (at, _)| now - *at < RECALL * figures.verdict_term * Millis::from(TERM_GROWTH));
+        self.back.retain(|_, (at, _)| {
+            now - *at < RETURN_MEMORY_TERMS * figures.verdict_term * Millis::from(MAX_TERM_FACTOR)
+        });
         Some(figures)
     }
 
@@ -211,10 +219,10 @@
         process: Process,
         echo: Option<Stamp>,
         votes: Option<VoteReport>,
-        agreement: &Agreement,
+        agreement: &FleetState,
     ) {
         let roster = agreement.roster();
-        if roster.seat(&process).is_none() {
+        if roster.member(&process).is_none() {
             return;
         }
         let echo = echo.filter(|echo| echo.term == self.term && echo.time <= now).map(|echo| echo.time);
@@ -227,12 +235,12 @@
                 known.older.clone()
             }
             Some(known) => {
-                let lives = |boot: u64| roster.seat(&Process { name: name.clone(), boot }).is_some();
+                let lives = |boot: u64| roster.member(&Process { name: name.clone(), boot }).is_some();
                 if known.older.contains(&boot) && lives(known.boot) {
                     return;
                 }
                 let others = known.older.iter().chain([&known.boot]).copied();
-                others.filter(|&other| other != boot && lives(other)).take(PROCESSES_MOST).collect()
+                others.filter(|&other| other != boot && lives(other)).take(MAX_PROCESSES_PER_NODE).collect()
             }
             None => Vec::new(),
         };
@@ -254,13 +262,13 @@
     fn written(&mut self, now: Millis, command: &VerdictCommand, outcome: Option<Outcome>) {
         self.writing.remove(command.server());
         if outcome != Some(Outcome::Done) {
-            self.write_at = now + 10.0 * PACE;
+            self.write_at = now + 10.0 * EVALUATION_INTERVAL_MS;
         }
         self.dirty = true;
     }
 
     /// Looks at all that stands: what is asked from now on, and what is to be written.
-    fn judge(&mut self, now: Millis, figures: &VoteSettings, agreement: &Agreement) -> Vec<VerdictCommand> {
+    fn judge(&mut self, now: Millis, figures: &VoteSettings, agreement: &FleetState) -> Vec<VerdictCommand> {
         let voters = std::mem::take(&mut self.voters);
         let poll = Poll::new(now, self.began, figures, &voters, agreement.roster());
         self.ask(&poll, agreement.verdicts());
@@ -274,7 +282,7 @@
     }
 
     /// Opens and ends questions.
-    fn ask(&mut self, poll: &Poll, verdicts: &Verdicts) {
+    fn ask(&mut self, poll: &Poll, verdicts: &VerdictState) {
         let VoteSettings { min_voters: voters, min_failures: evidence, max_voter_weight: weight, .. } =
             *poll.figures;
         let mut suspects = BTreeMap::new();
@@ -288,8 +296,9 @@
             }
             if let Some((&process, &(count, sum))) = by_process.iter().max_by_key(|(_, counted)| **counted) {
                 let born_ms = f64::from_bits(process);
-                let before = entry.filter(|entry| entry.born_ms == born_ms).map(|entry| &entry.case.favour);
-                let (known, failed) = before.map_or((0, 0), |side| (side.voters, side.failed));
+                let before =
+                    entry.filter(|entry| entry.born_ms == born_ms).map(|entry| &entry.vote_result.in_favor);
+                let (known, failed) = before.map_or((0, 0), |side| (side.voters, side.failures));
                 if count.saturating_add(known) >= voters && sum.saturating_add(failed) >= evidence {
                     suspects.insert(server, (born_ms, sum));
                 }
@@ -312,7 +321,7 @@
                 continue;
             }
             let open = self.questions.values().filter(|question| question.rests.is_none()).count();
-            if open < ASKED_MOST && (known.is_some() || self.questions.len() < 8 * ASKED_MOST) {
+            if open < MAX_QUERIES && (known.is_some() || self.questions.len() < 8 * MAX_QUERIES) {
                 let question = Question { born_ms, since: now, rests: None, capped: false };
                 self.questions.insert(server.to_owned(), question);
             }
@@ -325,7 +334,7 @@
     }
 
     /// Servers that are condemned, the worst first.
-    fn remove(&mut self, poll: &Poll, verdicts: &Verdicts, commands: &mut Vec<VerdictCommand>) {
+    fn remove(&mut self, poll: &Poll, verdicts: &VerdictState, commands: &mut Vec<VerdictCommand>) {
         let mut condemned = Vec::new();
         for (server, question) in self.questions.iter_mut().filter(|(_, question)| question.rests.is_none()) {
             if self.writing.contains_key(server) {
@@ -336,7 +345,7 @@
                 .filter(|voice| voice.ballot.born_ms == question.born_ms)
                 .collect();
             let whole = poll.count(&voices, question.since, None);
-            let before = known.map(|entry| &entry.case.favour);
+            let before = known.map(|entry| &entry.vote_result.in_favor);
             let zones = if poll.condemns(&whole, before) && whole.spans() {
                 Some(Vec::new())
             } else {
@@ -352,7 +361,7 @@
                 Some(zones).filter(|zones| !zones.is_empty())
             };
             let over = poll.now >= question.since + poll.figures.ballot_ttl || whole.hopeless(poll.figures);
-            let weight = whole.case.favour.weight;
+            let weight = whole.case.in_favor.weight;
             match zones {
                 Some(zones) => {
                     condemned.push((server.clone(), question.born_ms, zones, whole.case, zone_of(&voices)))
@@ -364,26 +373,34 @@
                 None => {}
             }
         }
-        condemned.sort_by_key(|(.., case, _)| std::cmp::Reverse(case.favour.weight));
+        condemned.sort_by_key(|(.., case, _)| std::cmp::Reverse(case.in_favor.weight));
         for (server, born_ms, zones, case, zone) in condemned {
             let up = poll.up(&zone).unwrap_or(0);
             let coming = self.writing.values().flatten().filter(|other| **other == zone).count();
             let others =
                 verdicts.entries().filter(|(other, entry)| **other != server && entry.zone == zone).count();
-            if others + coming >= allowed(poll.figures.removal_cap, up) {
+            if others + coming >= max_removed(poll.figures.removal_cap, up) {
                 let question = self.questions.get_mut(&server).expect("it was condemned by one");
-                question.rests = Some((poll.now + poll.figures.evidence_window, case.favour.weight));
+                question.rests = Some((poll.now + poll.figures.evidence_window, case.in_favor.weight));
                 question.capped = true;
                 continue;
             }
             self.writing.insert(server.clone(), Some(zone.clone()));
             let terms = self.back.get(&server).map_or(0, |(_, terms)| terms + 1);
-            commands.push(VerdictCommand::Remove { server, born_ms, zone, zones, up, terms, case });
+            commands.push(VerdictCommand::Remove {
+                server,
+                born_ms,
+                zone,
+                zones,
+                up_servers: up,
+                term_index: terms,
+                vote_result: case,
+            });
         }
     }
 
     /// Verdicts whose term or probing is over, whose server has started anew, or that are over the cap.
-    fn review(&mut self, poll: &Poll, verdicts: &Verdicts, commands: &mut Vec<VerdictCommand>) {
+    fn review(&mut self, poll: &Poll, verdicts: &VerdictState, commands: &mut Vec<VerdictCommand>) {
         let now = poll.now;
         let mut probed = verdicts.entries().filter(|(_, entry)| !entry.probers.is_empty()).count();
         // A leader that knows nobody yet would take all for silent.
@@ -393,35 +410,47 @@
                 continue;
             }
             let Some((_, since)) = self.held.get(server).copied() else { continue };
-            let back =
-                |why, case| Some(VerdictCommand::Return { server: server.clone(), at: entry.at, why, case });
+            let back = |why, case| {
+                Some(VerdictCommand::Return {
+                    server: server.clone(),
+                    changed_at: entry.changed_at,
+                    reason: why,
+                    vote_result: case,
+                })
+            };
             let command = if restarted(poll, server, entry) {
-                back(Why::Restarted, None)
+                back(EndReason::Restarted, None)
             } else if over_cap(poll, verdicts, entry) {
-                back(Why::Cap, None)
+                back(EndReason::CapReduced, None)
             } else if !entry.probers.is_empty() {
                 match probed_so_far(poll, server, entry, since) {
-                    Some(Heard::Nothing) => back(Why::Unprobed, None),
-                    Some(Heard::Good(case)) => back(Why::Probed, Some(case)),
-                    Some(Heard::Bad(case)) => {
-                        Some(VerdictCommand::Extend { server: server.clone(), at: entry.at, case })
-                    }
+                    Some(Heard::Nothing) => back(EndReason::NoProbeVotes, None),
+                    Some(Heard::Good(case)) => back(EndReason::ProbesPassed, Some(case)),
+                    Some(Heard::Bad(case)) => Some(VerdictCommand::Extend {
+                        server: server.clone(),
+                        changed_at: entry.changed_at,
+                        vote_result: case,
+                    }),
                     None => None,
                 }
-            } else if now >= since + term(poll.figures, entry.terms) && probed < ASKED_MOST {
+            } else if now >= since + term(poll.figures, entry.term_index) && probed < MAX_QUERIES {
                 let may = |voter: &Voter| {
                     let zone = voter.zone.as_ref();
                     !voter.doubts && (entry.zones.is_empty() || zone.is_some_and(|z| entry.zones.contains(z)))
                 };
                 let names = poll.standing.iter().filter(|(_, voter)| may(voter)).map(|(name, _)| *name);
-                let most = (poll.figures.prober_count as usize).min(PROBERS_MOST);
-                let drawn = draw(entry.at, server, names, &entry.case).into_iter().take(most);
+                let most = (poll.figures.prober_count as usize).min(MAX_PROBERS);
+                let drawn = draw(entry.changed_at, server, names, &entry.vote_result).into_iter().take(most);
                 let probers: Vec<String> = drawn.map(str::to_owned).collect();
                 if probers.is_empty() {
-                    back(Why::Unprobed, None)
+                    back(EndReason::NoProbeVotes, None)
                 } else {
                     probed += 1;
-                    Some(VerdictCommand::Probe { server: server.clone(), at: entry.at, probers })
+                    Some(VerdictCommand::Probe {
+                        server: server.clone(),
+                        changed_at: entry.changed_at,
+                        probers,
+                    })
                 }
             } else {
                 None
@@ -437,19 +466,19 @@
 /// What came of probing.
 enum Heard {
     Nothing,
-    Good(Case),
-    Bad(Case),
+    Good(VoteResult),
+    Bad(VoteResult),
 }
 
 /// How long the term is that follows so many.
 fn term(figures: &VoteSettings, terms: u32) -> Millis {
-    figures.verdict_term * Millis::from(2_u32.saturating_pow(terms).min(TERM_GROWTH))
+    figures.verdict_term * Millis::from(2_u32.saturating_pow(terms).min(MAX_TERM_FACTOR))
 }
 
 /// Ballots of voters that no verdict keeps from the server that they are about.
 fn uncovered<'a, 'b>(
     voices: &'b [Voice<'a>],
-    entry: Option<&'b Entry>,
+    entry: Option<&'b VerdictEntry>,
 ) -> impl Iterator<Item = Voice<'a>> + 'b {
     voices.iter().copied().filter(move |voice| {
         entry.filter(|entry| entry.born_ms == voice.ballot.born_ms).is_none_or(|entry| {
@@ -472,28 +501,30 @@
 }
 
 /// Enough voters know another process of the server, and more than know this one.
-fn restarted(poll: &Poll, server: &str, entry: &Entry) -> bool {
+fn restarted(poll: &Poll, server: &str, entry: &VerdictEntry) -> bool {
     let voices = poll.on(server);
     let other = voices.iter().filter(|voice| voice.ballot.born_ms != entry.born_ms).count();
     other >= poll.figures.min_voters as usize && 2 * other > voices.len()
 }
 
 /// More are removed of its zone than may be now, and it is the newest of them.
-fn over_cap(poll: &Poll, verdicts: &Verdicts, entry: &Entry) -> bool {
+fn over_cap(poll: &Poll, verdicts: &VerdictState, entry: &VerdictEntry) -> bool {
     let up = poll.up(&entry.zone);
-    let newest =
-        || verdicts.entries().all(|(_, other)| other.zone != entry.zone || other.since <= entry.since);
-    up.is_some_and(|up| verdicts.removed(&entry.zone) > allowed(poll.figures.removal_cap, up)) && newest()
+    let newest = || {
+        verdicts.entries().all(|(_, other)| other.zone != entry.zone || other.created_at <= entry.created_at)
+    };
+    up.is_some_and(|up| verdicts.removed_count(&entry.zone) > max_removed(poll.figures.removal_cap, up))
+        && newest()
 }
 
 /// What probers say, once that decides.
-fn probed_so_far(poll: &Poll, server: &str, entry: &Entry, since: Millis) -> Option<Heard> {
+fn probed_so_far(poll: &Poll, server: &str, entry: &VerdictEntry, since: Millis) -> Option<Heard> {
     let of = |voice: &&Voice| {
         voice.ballot.born_ms == entry.born_ms && entry.probers.iter().any(|name| name == voice.name)
     };
     let voices: Vec<Voice> = poll.on(server).iter().filter(of).copied().collect();
     let case = case(&voices, poll.figures.max_voter_weight);
-    let (favour, against) = (&case.favour, &case.against);
+    let (favour, against) = (&case.in_favor, &case.against);
     let over = poll.now >= since + poll.figures.evidence_window + poll.figures.ballot_ttl;
     let live = entry.probers.iter().filter(|name| poll.standing.contains_key(name.as_str())).count();
     let agree = favour.voters == 0 || against.voters == 0;
--- a/crates/control/src/tally/poll.rs
+++ b/crates/control/src/tally/poll.rs
@@ -6,7 +6,7 @@
 use member::Millis;
 
 use crate::roster::Roster;
-use crate::verdicts::{Case, Side, NAMED};
+use crate::verdicts::{VoteResult, VoteSide, MAX_NAMED_VOTERS};
 
 /// A node's voice.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,7 +57,7 @@
 
 /// What some ballots on a server amount to.
 pub(super) struct Count {
-    pub case: Case,
+    pub case: VoteResult,
     /// What those weigh that are waited for.
     pub waited: u32,
     /// Zones of those for the removal, and of all.
@@ -146,13 +146,13 @@
     }
 
     /// Whether what was counted is enough to remove a server; `before` are those who have condemned it for other zones.
-    pub fn condemns(&self, count: &Count, before: Option<&Side>) -> bool {
-        let Case { favour, against } = &count.case;
-        let (voters, failed) = before.map_or((0, 0), |side| (side.voters, side.failed));
+    pub fn condemns(&self, count: &Count, before: Option<&VoteSide>) -> bool {
+        let VoteResult { in_favor: favour, against } = &count.case;
+        let (voters, failed) = before.map_or((0, 0), |side| (side.voters, side.failures));
         let all = f64::from(favour.weight) + f64::from(against.weight) + f64::from(count.waited);
         favour.voters > 0
             && favour.voters.saturating_add(voters) >= self.figures.min_voters
-            && favour.failed.saturating_add(failed) >= self.figures.min_failures
+            && favour.failures.saturating_add(failed) >= self.figures.min_failures
             && f64::from(favour.weight) >= self.figures.majority * all - 1e-9
     }
 }
@@ -165,28 +165,28 @@
 
     /// Nobody is waited for, and far from enough is for the removal.
     pub fn hopeless(&self, figures: &VoteSettings) -> bool {
-        let Case { favour, against } = &self.case;
+        let VoteResult { in_favor: favour, against } = &self.case;
         let all = f64::from(favour.weight) + f64::from(against.weight);
         self.waited == 0 && 2.0 * f64::from(favour.weight) < figures.majority * all
     }
 }
 
 /// Both sides, each voice weighing no more than `lid`.
-pub(super) fn case(voices: &[Voice], lid: u32) -> Case {
+pub(super) fn case(voices: &[Voice], lid: u32) -> VoteResult {
     let side = |stand: Vote| {
         let mut of: Vec<&Voice> = voices.iter().filter(|voice| voice.ballot.vote == stand).collect();
         of.sort_by_key(|voice| std::cmp::Reverse(voice.ballot.evidence.attempts));
-        let mut side = Side { voters: of.len() as u32, ..Side::default() };
+        let mut side = VoteSide { voters: of.len() as u32, ..VoteSide::default() };
         for voice in &of {
             let evidence = &voice.ballot.evidence;
             side.weight = side.weight.saturating_add(evidence.attempts.min(lid));
-            side.failed = side.failed.saturating_add(evidence.failures().min(lid));
+            side.failures = side.failures.saturating_add(evidence.failures().min(lid));
             side.evidence = side.evidence.combined(evidence);
         }
-        side.named = of.iter().take(NAMED).map(|voice| voice.name.to_owned()).collect();
+        side.voter_names = of.iter().take(MAX_NAMED_VOTERS).map(|voice| voice.name.to_owned()).collect();
         side
     };
-    Case { favour: side(Vote::For), against: side(Vote::Against) }
+    VoteResult { in_favor: side(Vote::For), against: side(Vote::Against) }
 }
 
 /// The one in the middle; of two the smaller one, of none 0.
@@ -203,7 +203,7 @@
     at: u64,
     server: &str,
     names: impl Iterator<Item = &'a str>,
-    prefer: &Case,
+    prefer: &VoteResult,
 ) -> Vec<&'a str> {
     let hash = |name: &str| {
         // FNV-1a, then mixed: the same at every replica and in every version of the program.
@@ -217,7 +217,7 @@
         hash ^ (hash >> 32)
     };
     let sends = |name: &str| {
-        [&prefer.favour, &prefer.against].iter().any(|side| side.named.iter().any(|n| n == name))
+        [&prefer.in_favor, &prefer.against].iter().any(|side| side.voter_names.iter().any(|n| n == name))
     };
     let mut names: Vec<&str> = names.collect();
     names.sort_by_cached_key(|name| (!sends(name), hash(name)));
--- a/crates/control/src/verdicts.rs
+++ b/crates/control/src/verdicts.rs
@@ -14,69 +14,75 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use member::votes::{Evidence, Verdict, Verdicts as Told, VoteSettings, MAX_NAME_BYTES, MAX_ZONES};
+use member::votes::{Evidence, Verdict, Verdicts, VoteSettings, MAX_NAME_BYTES, MAX_ZONES};
 use member::Policy;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 use crate::command::{Outcome, VerdictCommand};
-use crate::roster::NAME_MOST;
+use crate::roster::MAX_NODE_NAME_BYTES;
 
 /// The most verdicts in force.
-pub const VERDICTS_MOST: usize = 256;
+pub const MAX_VERDICTS: usize = 256;
 /// How many ended verdicts are kept.
-pub const HISTORY: usize = 64;
+pub const MAX_ENDED_VERDICTS: usize = 64;
 /// The most nodes that probe a server.
-pub const PROBERS_MOST: usize = 16;
+pub const MAX_PROBERS: usize = 16;
 /// How many voters of each side a case names.
-pub const NAMED: usize = 16;
+pub const MAX_NAMED_VOTERS: usize = 16;
 /// The most terms that are counted of one verdict.
-pub const TERMS_MOST: u32 = 1000;
+pub const MAX_TERM_INDEX: u32 = 1000;
 
 /// What one side said of a server.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct Side {
+pub struct VoteSide {
     /// How many voters.
     pub voters: u32,
     /// What their evidence weighs together.
     pub weight: u32,
     /// How many failures that counts.
-    pub failed: u32,
+    #[serde(rename = "failed")]
+    pub failures: u32,
     /// Their evidence, added up.
     pub evidence: Evidence,
-    /// Who; those whose evidence weighs most, [`NAMED`] at most.
-    pub named: Vec<String>,
+    /// Who; those whose evidence weighs most, [`MAX_NAMED_VOTERS`] at most.
+    #[serde(rename = "named")]
+    pub voter_names: Vec<String>,
 }
 
 /// What was voted of a server, for operators.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct Case {
+pub struct VoteResult {
     /// For its removal, or for its staying removed.
     #[serde(rename = "for")]
-    pub favour: Side,
+    pub in_favor: VoteSide,
     /// Against.
-    pub against: Side,
+    pub against: VoteSide,
 }
 
-/// Why a verdict ended.
+/// EndReason a verdict ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum EndReason {
     /// Those that probed it are for its return.
-    Probed,
+    #[serde(rename = "probed")]
+    ProbesPassed,
     /// None of those that were to probe it has said anything: without a vote nobody stays removed.
-    Unprobed,
+    #[serde(rename = "unprobed")]
+    NoProbeVotes,
     /// It has started anew.
     Restarted,
     /// The cap has become smaller, as there are fewer servers or as operators say.
-    Cap,
+    #[serde(rename = "cap")]
+    CapReduced,
     /// The agreed policy has no votes any more.
-    Off,
+    #[serde(rename = "off")]
+    VotesDisabled,
 }
 
 /// A verdict in force.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Entry {
+pub struct VerdictEntry {
     /// When the process started that it is about.
     pub born_ms: f64,
     /// The server's zone.
@@ -84,22 +90,27 @@
     /// It holds for nodes of these zones alone; for all where there are none.
     pub zones: Vec<String>,
     /// Servers up in its zone when it was written.
-    pub up: u32,
+    #[serde(rename = "up")]
+    pub up_servers: u32,
     /// The version of the log that it came at.
-    pub since: u64,
+    #[serde(rename = "since")]
+    pub created_at: u64,
     /// The version that it last changed at.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub changed_at: u64,
     /// Its how manieth term this is, counted from 0.
-    pub terms: u32,
+    #[serde(rename = "terms")]
+    pub term_index: u32,
     /// Who probes the server; nobody while the term lasts.
     pub probers: Vec<String>,
     /// What was voted last.
-    pub case: Case,
+    #[serde(rename = "case")]
+    pub vote_result: VoteResult,
 }
 
 /// How a verdict ended.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Past {
+pub struct EndedVerdict {
     /// The server.
     pub server: String,
     /// When the process started that it was about.
@@ -109,28 +120,34 @@
     /// The zones that it held in; all where there are none.
     pub zones: Vec<String>,
     /// The versions of the log that it came and ended at.
-    pub since: u64,
-    /// See `since`.
-    pub until: u64,
+    #[serde(rename = "since")]
+    pub created_at: u64,
+    /// See `created_at`.
+    #[serde(rename = "until")]
+    pub ended_at: u64,
     /// How many terms it had, counted from 0.
-    pub terms: u32,
-    /// Why it ended.
-    pub why: Why,
+    #[serde(rename = "terms")]
+    pub term_index: u32,
+    /// EndReason it ended.
+    #[serde(rename = "why")]
+    pub reason: EndReason,
     /// What was voted last.
-    pub case: Case,
+    #[serde(rename = "case")]
+    pub vote_result: VoteResult,
 }
 
 /// What is agreed on servers.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Verdicts {
+pub struct VerdictState {
     /// The version that they last changed at.
     version: u64,
-    entries: BTreeMap<String, Entry>,
-    past: VecDeque<Past>,
+    entries: BTreeMap<String, VerdictEntry>,
+    #[serde(rename = "past")]
+    ended: VecDeque<EndedVerdict>,
 }
 
 /// The figures of the votes, where the policy has them on. One that can't be read has them off.
-pub fn figures(policy: &Policy) -> Option<VoteSettings> {
+pub fn vote_settings(policy: &Policy) -> Option<VoteSettings> {
     let figures: VoteSettings = serde_json::from_value(policy.0.get("Votes")?.clone()).ok()?;
     figures.check().ok().map(|()| figures)
 }
@@ -142,16 +159,24 @@
 }
 
 /// How many of a zone's servers may be removed at a time, of so many that are up.
-pub fn allowed(cap: f64, up: u32) -> usize {
+pub fn max_removed(cap: f64, up: u32) -> usize {
     (cap * f64::from(up) + 1e-9) as usize
 }
 
-impl Verdicts {
+impl VerdictState {
     /// Takes a command at a version of the log; `policy` is the agreed one at this entry.
     pub fn apply(&mut self, version: u64, command: &VerdictCommand, policy: &Policy) -> Outcome {
-        let Some(cap) = cap(policy) else { return Outcome::Over };
+        let Some(cap) = cap(policy) else { return Outcome::Obsolete };
         match command {
-            VerdictCommand::Remove { server, born_ms, zone, zones, up, terms, case } => {
+            VerdictCommand::Remove {
+                server,
+                born_ms,
+                zone,
+                zones,
+                up_servers: up,
+                term_index: terms,
+                vote_result: case,
+            } => {
                 let long = |name: &String| name.len() > MAX_NAME_BYTES;
                 let known = self.entries.get(server).filter(|entry| entry.born_ms == *born_ms);
                 if known.is_some_and(|entry| within(zones, &entry.zones)) {
@@ -163,50 +188,50 @@
                     || long(zone)
                     || zones.len() > MAX_ZONES
                     || zones.iter().any(long)
-                    || (new && self.entries.len() >= VERDICTS_MOST)
+                    || (new && self.entries.len() >= MAX_VERDICTS)
                 {
-                    return Outcome::TooMuch;
+                    return Outcome::LimitExceeded;
                 }
                 let others =
                     self.entries.iter().filter(|(other, entry)| *other != server && entry.zone == *zone);
-                if others.count() >= allowed(cap, *up) {
-                    return Outcome::Capped;
+                if others.count() >= max_removed(cap, *up) {
+                    return Outcome::CapReached;
                 }
                 let (since, up, zones) = match known {
-                    Some(entry) => (entry.since, entry.up, both(zones, &entry.zones)),
+                    Some(entry) => (entry.created_at, entry.up_servers, both(zones, &entry.zones)),
                     None => (version, *up, zones.clone()),
                 };
                 if known.is_none() {
-                    self.end(version, server, Why::Restarted, None);
+                    self.end(version, server, EndReason::Restarted, None);
                 }
-                let entry = Entry {
+                let entry = VerdictEntry {
                     born_ms: *born_ms,
                     zone: zone.clone(),
                     zones,
-                    up,
-                    since,
-                    at: version,
-                    terms: (*terms).min(TERMS_MOST),
+                    up_servers: up,
+                    created_at: since,
+                    changed_at: version,
+                    term_index: (*terms).min(MAX_TERM_INDEX),
                     probers: Vec::new(),
-                    case: bounded(case),
+                    vote_result: bounded(case),
                 };
                 self.entries.insert(server.clone(), entry);
             }
-            VerdictCommand::Probe { server, at, probers } => {
-                let Some(entry) = self.entry(server, *at) else { return Outcome::Over };
-                let names = probers.iter().filter(|name| name.len() <= NAME_MOST);
-                entry.probers = names.take(PROBERS_MOST).cloned().collect();
-                entry.at = version;
+            VerdictCommand::Probe { server, changed_at: at, probers } => {
+                let Some(entry) = self.entry(server, *at) else { return Outcome::Obsolete };
+                let names = probers.iter().filter(|name| name.len() <= MAX_NODE_NAME_BYTES);
+                entry.probers = names.take(MAX_PROBERS).cloned().collect();
+                entry.changed_at = version;
             }
-            VerdictCommand::Extend { server, at, case } => {
-                let Some(entry) = self.entry(server, *at) else { return Outcome::Over };
+            VerdictCommand::Extend { server, changed_at: at, vote_result: case } => {
+                let Some(entry) = self.entry(server, *at) else { return Outcome::Obsolete };
                 entry.probers.clear();
-                (entry.at, entry.case) = (version, bounded(case));
-                entry.terms = (entry.terms + 1).min(TERMS_MOST);
+                (entry.changed_at, entry.vote_result) = (version, bounded(case));
+                entry.term_index = (entry.term_index + 1).min(MAX_TERM_INDEX);
             }
-            VerdictCommand::Return { server, at, why, case } => {
+            VerdictCommand::Return { server, changed_at: at, reason: why, vote_result: case } => {
                 if self.entry(server, *at).is_none() {
-                    return Outcome::Over;
+                    return Outcome::Obsolete;
                 }
                 self.end(version, server, *why, case.as_ref());
             }
@@ -216,19 +241,19 @@
     }
 
     /// The agreed policy may be another one from this version on.
-    pub fn policy(&mut self, version: u64, policy: &Policy) {
+    pub fn apply_policy(&mut self, version: u64, policy: &Policy) {
         let cap = cap(policy);
         let mut newest: Vec<(u64, String)> =
-            self.entries.iter().map(|(server, entry)| (entry.since, server.clone())).collect();
+            self.entries.iter().map(|(server, entry)| (entry.created_at, server.clone())).collect();
         newest.sort_unstable_by(|a, b| b.cmp(a));
         // What is up in a zone is what the newest one there says.
         let mut ups = BTreeMap::new();
         for (_, server) in newest {
             let entry = &self.entries[&server];
-            let up = *ups.entry(entry.zone.clone()).or_insert(entry.up);
+            let up = *ups.entry(entry.zone.clone()).or_insert(entry.up_servers);
             let why = match cap {
-                None => Why::Off,
-                Some(cap) if self.removed(&entry.zone) > allowed(cap, up) => Why::Cap,
+                None => EndReason::VotesDisabled,
+                Some(cap) if self.removed_count(&entry.zone) > max_removed(cap, up) => EndReason::CapReduced,
                 Some(_) => continue,
             };
             self.end(version, &server, why, None);
@@ -237,23 +262,23 @@
     }
 
     /// Those in force, in the order of servers.
-    pub fn entries(&self) -> impl ExactSizeIterator<Item = (&String, &Entry)> {
+    pub fn entries(&self) -> impl ExactSizeIterator<Item = (&String, &VerdictEntry)> {
         self.entries.iter()
     }
 
     /// The one about a server.
-    pub fn get(&self, server: &str) -> Option<&Entry> {
+    pub fn get(&self, server: &str) -> Option<&VerdictEntry> {
         self.entries.get(server)
     }
 
     /// How many of a zone's servers are removed.
-    pub fn removed(&self, zone: &str) -> usize {
+    pub fn removed_count(&self, zone: &str) -> usize {
         self.entries.values().filter(|entry| entry.zone == zone).count()
     }
 
     /// How the last ones ended, newest last.
-    pub fn past(&self) -> impl DoubleEndedIterator<Item = &Past> {
-        self.past.iter()
+    pub fn ended(&self) -> impl DoubleEndedIterator<Item = &EndedVerdict> {
+        self.ended.iter()
     }
 
     /// The version that they last changed at.
@@ -262,35 +287,35 @@
     }
 
     /// What nodes are told.
-    pub fn told(&self) -> Told {
-        let verdict = |(server, entry): (&String, &Entry)| Verdict {
+    pub fn in_force(&self) -> Verdicts {
+        let verdict = |(server, entry): (&String, &VerdictEntry)| Verdict {
             server: server.clone(),
             born_ms: entry.born_ms,
             zones: entry.zones.clone(),
             probers: entry.probers.clone(),
         };
-        Told { version: self.version, verdicts: self.entries.iter().map(verdict).collect() }
+        Verdicts { version: self.version, verdicts: self.entries.iter().map(verdict).collect() }
     }
 
-    fn entry(&mut self, server: &str, at: u64) -> Option<&mut Entry> {
-        self.entries.get_mut(server).filter(|entry| entry.at == at)
+    fn entry(&mut self, server: &str, at: u64) -> Option<&mut VerdictEntry> {
+        self.entries.get_mut(server).filter(|entry| entry.changed_at == at)
     }
 
-    fn end(&mut self, version: u64, server: &str, why: Why, case: Option<&Case>) {
+    fn end(&mut self, version: u64, server: &str, why: EndReason, case: Option<&VoteResult>) {
         let Some(entry) = self.entries.remove(server) else { return };
-        self.past.push_back(Past {
+        self.ended.push_back(EndedVerdict {
             server: server.to_owned(),
             born_ms: entry.born_ms,
             zone: entry.zone,
             zones: entry.zones,
-            since: entry.since,
-            until: version,
-            terms: entry.terms,
-            why,
-            case: case.map_or(entry.case, bounded),
+            created_at: entry.created_at,
+            ended_at: version,
+            term_index: entry.term_index,
+            reason: why,
+            vote_result: case.map_or(entry.vote_result, bounded),
         });
-        if self.past.len() > HISTORY {
-            self.past.pop_front();
+        if self.ended.len() > MAX_ENDED_VERDICTS {
+            self.ended.pop_front();
         }
     }
 }
@@ -310,10 +335,16 @@
 }
 
 /// The case with its lists cut to their bounds.
-fn bounded(case: &Case) -> Case {
-    let side = |side: &Side| {
-        let named = side.named.iter().filter(|name| name.len() <= NAME_MOST).take(NAMED).cloned().collect();
-        Side { named, ..side.clone() }
+fn bounded(case: &VoteResult) -> VoteResult {
+    let side = |side: &VoteSide| {
+        let named = side
+            .voter_names
+            .iter()
+            .filter(|name| name.len() <= MAX_NODE_NAME_BYTES)
+            .take(MAX_NAMED_VOTERS)
+            .cloned()
+            .collect();
+        VoteSide { voter_names: named, ..side.clone() }
     };
-    Case { favour: side(&case.favour), against: side(&case.against) }
+    VoteResult { in_favor: side(&case.in_favor), against: side(&case.against) }
 }
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -4,8 +4,8 @@
 
 use consensus::Machine as _;
 use control::command::{Command, Outcome, PolicyCommand, Proof, RosterCommand};
-use control::leader::{Effect, Input, Leader, Refusal, Terms, Unreachable};
-use control::machine::Agreement;
+use control::leader::{Effect, Input, Leader, LeaderSettings, Refusal, UnreachableAction};
+use control::machine::FleetState;
 use control::{policy, roster};
 use member::{
     AbortReason, AgreedUpdate, ChangeId, Epoch, Heartbeat, HeartbeatReply, Millis, Policy, Process,
@@ -46,36 +46,42 @@
 
 fn join(process: &Process, fenced: bool) -> Command {
     let (process, active) = (process.clone(), None);
-    Command::Roster(RosterCommand::Join { process, life: life(), beside: false, fenced, active })
+    Command::Roster(RosterCommand::Join {
+        process,
+        liveness_addr: life(),
+        coexists_with_previous: false,
+        fenced,
+        active_epoch: active,
+    })
 }
 
 fn ended(process: &Process, proof: Proof) -> Command {
-    Command::Roster(RosterCommand::Ended { process: process.clone(), proof })
+    Command::Roster(RosterCommand::MarkEnded { process: process.clone(), proof })
 }
 
 fn propose(base: Epoch) -> Command {
-    Command::Policy(PolicyCommand::Propose { base, policy: Policy::default() })
+    Command::Policy(PolicyCommand::Propose { base_epoch: base, policy: Policy::default() })
 }
 
 /// A leader on a log of one: what it writes is applied when the test says so.
 struct Desk {
     leader: Leader,
-    agreement: Agreement,
+    agreement: FleetState,
     tokens: u64,
 }
 
 impl Desk {
-    fn new(unreachable: Unreachable, members: &[&Process]) -> Self {
-        let mut agreement = Agreement::new();
+    fn new(unreachable: UnreachableAction, members: &[&Process]) -> Self {
+        let mut agreement = FleetState::new();
         for (version, process) in members.iter().enumerate() {
-            agreement.apply(version as u64 + 1, &join(process, unreachable == Unreachable::Fence));
+            agreement.apply(version as u64 + 1, &join(process, unreachable == UnreachableAction::Fence));
         }
-        let terms = Terms {
-            unreachable,
-            session_ms: 3000.0,
+        let terms = LeaderSettings {
+            unreachable_action: unreachable,
+            session_timeout_ms: 3000.0,
             promise_ms: 2000.0,
             lease_ms: 2000.0,
-            ..Terms::default()
+            ..LeaderSettings::default()
         };
         terms.check().expect("the defaults hold");
         Self { leader: Leader::new(terms, TERM, 0.0), agreement, tokens: 0 }
@@ -86,9 +92,9 @@
     }
 
     fn propose(&mut self, now: Millis) -> ChangeId {
-        self.apply(&propose(self.agreement.book().epoch()));
+        self.apply(&propose(self.agreement.policy_state().epoch()));
         self.input(now, Input::Applied);
-        self.agreement.book().change().expect("it was just proposed").id
+        self.agreement.policy_state().pending_change().expect("it was just proposed").id
     }
 
     fn input(&mut self, now: Millis, input: Input) -> Vec<Effect> {
@@ -97,23 +103,23 @@
 
     fn beat(&mut self, now: Millis, beat: Heartbeat) -> Vec<Effect> {
         self.tokens += 1;
-        self.input(now, Input::Beat { token: self.tokens, beat })
+        self.input(now, Input::Heartbeat { token: self.tokens, heartbeat: beat })
     }
 
     /// Applies what was to be written, and tells the leader.
     fn write(&mut self, now: Millis, command: &Command) -> Vec<Effect> {
         let outcome = Some(self.apply(command));
-        self.input(now, Input::Written { command: command.clone(), outcome })
+        self.input(now, Input::WriteResult { command: command.clone(), outcome })
     }
 
     /// A beat and the confirm that it waits for.
     fn answered(&mut self, now: Millis, beat: Heartbeat) -> (Option<HeartbeatReply>, Vec<Command>) {
         let mut effects = self.beat(now, beat);
-        if effects.contains(&Effect::Confirm) {
-            effects.extend(self.input(now, Input::Confirmed { asked: now }));
+        if effects.contains(&Effect::ConfirmLeadership) {
+            effects.extend(self.input(now, Input::Confirmed { requested_at: now }));
         }
         let answers = effects.iter().find_map(|effect| match effect {
-            Effect::Answer { answer, .. } => Some((**answer).clone()),
+            Effect::Reply { reply: answer, .. } => Some((**answer).clone()),
             _ => None,
         });
         (answers, written(&effects))
@@ -129,7 +135,7 @@
 }
 
 fn answers(effects: &[Effect]) -> usize {
-    effects.iter().filter(|effect| matches!(effect, Effect::Answer { .. })).count()
+    effects.iter().filter(|effect| matches!(effect, Effect::Reply { .. })).count()
 }
 
 fn is_commit(commands: &[Command]) -> bool {
@@ -138,7 +144,7 @@
 
 fn silent(commands: &[Command]) -> Vec<String> {
     match commands {
-        [Command::Policy(PolicyCommand::Abort { why: AbortReason::Unresponsive { nodes }, .. })] => {
+        [Command::Policy(PolicyCommand::Abort { reason: AbortReason::Unresponsive { nodes }, .. })] => {
             nodes.clone()
         }
         _ => Vec::new(),
@@ -148,34 +154,35 @@
 #[test]
 fn an_answer_waits_for_a_confirm_begun_after_its_beat_came() {
     let (a, b) = (process("a", 1), process("b", 1));
-    let mut desk = Desk::new(Unreachable::Abort, &[&a, &b]);
-    assert_eq!(desk.beat(10.0, beat(&a, None)), [Effect::Confirm]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&a, &b]);
+    assert_eq!(desk.beat(10.0, beat(&a, None)), [Effect::ConfirmLeadership]);
     // The clock reads the same, yet the confirm was begun before.
     assert_eq!(desk.beat(10.0, beat(&b, None)), []);
-    let effects = desk.input(11.0, Input::Confirmed { asked: 10.0 });
-    assert_eq!((answers(&effects), effects.contains(&Effect::Confirm)), (1, true));
+    let effects = desk.input(11.0, Input::Confirmed { requested_at: 10.0 });
+    assert_eq!((answers(&effects), effects.contains(&Effect::ConfirmLeadership)), (1, true));
     assert_eq!(
-        answers(&desk.input(12.0, Input::Confirmed { asked: 10.0 })),
+        answers(&desk.input(12.0, Input::Confirmed { requested_at: 10.0 })),
         0,
         "an old one counts for nothing"
     );
-    assert_eq!(answers(&desk.input(13.0, Input::Confirmed { asked: 11.0 })), 1);
+    assert_eq!(answers(&desk.input(13.0, Input::Confirmed { requested_at: 11.0 })), 1);
     desk.beat(20.0, beat(&a, None));
-    assert_eq!(answers(&desk.input(21.0, Input::Unconfirmed { asked: 20.0 })), 0);
-    assert!(desk.input(500.0, Input::Tick).contains(&Effect::Confirm), "it is tried again");
+    assert_eq!(answers(&desk.input(21.0, Input::ConfirmFailed { requested_at: 20.0 })), 0);
+    assert!(desk.input(500.0, Input::Tick).contains(&Effect::ConfirmLeadership), "it is tried again");
 }
 
 #[test]
 fn a_newcomer_is_answered_once_it_stands_in_the_roster() {
     let a = process("a", 1);
-    let mut desk = Desk::new(Unreachable::Fence, &[]);
+    let mut desk = Desk::new(UnreachableAction::Fence, &[]);
     let (answer, commands) = desk.answered(10.0, beat(&a, None));
     assert_eq!(answer, None);
-    let [Command::Roster(RosterCommand::Join { fenced: true, active: Some(0), .. })] = &commands[..] else {
+    let [Command::Roster(RosterCommand::Join { fenced: true, active_epoch: Some(0), .. })] = &commands[..]
+    else {
         panic!("{commands:?}")
     };
     let effects = desk.write(20.0, &commands[0]);
-    let Some(Effect::Answer { answer, .. }) = effects.first() else { panic!("{effects:?}") };
+    let Some(Effect::Reply { reply: answer, .. }) = effects.first() else { panic!("{effects:?}") };
     assert_eq!((answer.lease_ms, answer.fenced), (Some(2000.0), true));
     assert!(matches!(&answer.update, AgreedUpdate::Changed(agreed) if agreed.epoch == 0), "{answer:?}");
 }
@@ -183,7 +190,7 @@
 #[test]
 fn only_news_are_told() {
     let a = process("a", 1);
-    let mut desk = Desk::new(Unreachable::Abort, &[&a]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&a]);
     let tell = |desk: &mut Desk, now, known| {
         desk.answered(now, Heartbeat { known_state: known, ..beat(&a, None) }).0.expect("a member").update
     };
@@ -199,7 +206,7 @@
     };
     let known = asked.state_id();
     assert_eq!(tell(&mut desk, 50.0, Some(known)), AgreedUpdate::Unchanged(known));
-    desk.apply(&Command::Policy(PolicyCommand::Abort { change, why: AbortReason::Operator }));
+    desk.apply(&Command::Policy(PolicyCommand::Abort { change, reason: AbortReason::Operator }));
     let AgreedUpdate::Changed(ended) = tell(&mut desk, 60.0, Some(known)) else { panic!("it has ended") };
     assert!(ended.version > asked.version && ended.change.is_none());
     let next = desk.propose(70.0);
@@ -209,7 +216,7 @@
 #[test]
 fn a_commit_needs_every_promise_by_this_terms_own_stamps() {
     let (a, b) = (process("a", 1), process("b", 1));
-    let mut desk = Desk::new(Unreachable::Abort, &[&a, &b]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&a, &b]);
     let change = desk.propose(100.0);
     assert!(!is_commit(&desk.answered(200.0, staged(&a, 190.0, change, 2000.0)).1));
     // b: another term's stamp, one from the future, a word on another change, a promise nearly over.
@@ -229,13 +236,16 @@
     let (_, commands) = desk.answered(400.0, staged(&b, 390.0, change, 2000.0));
     assert!(is_commit(&commands));
     desk.write(410.0, &commands[0]);
-    assert_eq!((desk.agreement.book().epoch(), desk.agreement.book().change()), (1, None));
+    assert_eq!(
+        (desk.agreement.policy_state().epoch(), desk.agreement.policy_state().pending_change()),
+        (1, None)
+    );
 }
 
 #[test]
 fn a_promise_counts_from_the_echo_and_not_from_the_beats_coming() {
     let a = process("a", 1);
-    let mut desk = Desk::new(Unreachable::Abort, &[&a]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&a]);
     let change = desk.propose(100.0);
     // It was 1800 ms on its way: at the member, 1980 - 1800 are left at most.
     assert!(!is_commit(&desk.answered(2000.0, staged(&a, 200.0, change, 2000.0)).1));
@@ -244,7 +254,7 @@
 #[test]
 fn a_word_that_comes_out_of_order_takes_no_promise_back() {
     let (a, b) = (process("a", 1), process("b", 1));
-    let mut desk = Desk::new(Unreachable::Abort, &[&a, &b]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&a, &b]);
     let change = desk.propose(100.0);
     desk.answered(1900.0, staged(&a, 1800.0, change, 2000.0));
     desk.answered(1950.0, staged(&a, 110.0, change, 2000.0));
@@ -254,10 +264,10 @@
 #[test]
 fn a_successor_waits_for_the_lease_of_the_silent_one() {
     let (old, new) = (process("a", 1), process("a", 2));
-    let mut desk = Desk::new(Unreachable::Fence, &[&old]);
+    let mut desk = Desk::new(UnreachableAction::Fence, &[&old]);
     desk.beat(10.0, beat(&old, None));
     // Its answer, with a lease, is late.
-    assert_eq!(answers(&desk.input(1500.0, Input::Confirmed { asked: 10.0 })), 1);
+    assert_eq!(answers(&desk.input(1500.0, Input::Confirmed { requested_at: 10.0 })), 1);
     assert_eq!(written(&desk.beat(3500.0, beat(&new, None))), []);
     assert!(matches!(
         &written(&desk.input(3521.0, Input::Tick))[..],
@@ -268,14 +278,14 @@
 #[test]
 fn a_change_is_aborted_when_its_time_is_over_or_a_member_refuses() {
     let (a, b) = (process("a", 1), process("b", 1));
-    let mut desk = Desk::new(Unreachable::Abort, &[&a, &b]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&a, &b]);
     let change = desk.propose(100.0);
     desk.answered(200.0, staged(&a, 190.0, change, 2000.0));
     assert_eq!(silent(&written(&desk.input(2099.0, Input::Tick))), [] as [&str; 0]);
     desk.answered(2099.0, staged(&a, 2090.0, change, 2000.0));
     assert_eq!(silent(&written(&desk.input(2100.0, Input::Tick))), ["b"]);
 
-    let mut desk = Desk::new(Unreachable::Abort, &[&a, &b]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&a, &b]);
     let change = desk.propose(100.0);
     let words = "no class gold".to_owned();
     let no = Heartbeat {
@@ -283,14 +293,14 @@
         ..beat(&b, None)
     };
     let why = AbortReason::Refused { node: "b".to_owned(), reason: words };
-    let abort = Command::Policy(PolicyCommand::Abort { change, why });
+    let abort = Command::Policy(PolicyCommand::Abort { change, reason: why });
     assert_eq!(desk.answered(200.0, no).1, [abort]);
 }
 
 #[test]
 fn a_silent_member_is_fenced_only_when_its_lease_is_over_and_gets_none_meanwhile() {
     let (a, b) = (process("a", 1), process("b", 1));
-    let mut desk = Desk::new(Unreachable::Fence, &[&a, &b]);
+    let mut desk = Desk::new(UnreachableAction::Fence, &[&a, &b]);
     desk.input(0.0, Input::Tick);
     assert_eq!(desk.answered(50.0, beat(&b, None)).0.expect("a member").lease_ms, Some(2000.0));
     let change = desk.propose(100.0);
@@ -299,13 +309,15 @@
     }
     // 50 + 2000 * 1.01
     let (_, commands) = desk.answered(2070.5, staged(&a, 2070.0, change, 2000.0));
-    let [Command::Policy(PolicyCommand::Commit { staged: counted, fenced, .. })] = &commands[..] else {
+    let [Command::Policy(PolicyCommand::Commit { staged_members: counted, fenced_members: fenced, .. })] =
+        &commands[..]
+    else {
         panic!("{commands:?}")
     };
     assert_eq!((&counted[..], &fenced[..]), (&[a.clone()][..], &[b.clone()][..]));
     // Its commit is on its way, and then of unknown fate: b is back and gets no lease.
     assert_eq!(desk.answered(2080.0, beat(&b, None)).0.expect("a member").lease_ms, None);
-    desk.input(2090.0, Input::Written { command: commands[0].clone(), outcome: None });
+    desk.input(2090.0, Input::WriteResult { command: commands[0].clone(), outcome: None });
     assert_eq!(desk.answered(2100.0, beat(&b, None)).0.expect("a member").lease_ms, None);
     desk.write(2200.0, &commands[0]);
     assert_eq!(desk.answered(2300.0, beat(&b, None)).0.expect("a member").lease_ms, Some(2000.0));
@@ -314,29 +326,29 @@
 #[test]
 fn a_void_commit_gives_the_lease_back_and_the_leader_waits_on() {
     let (a, b, c) = (process("a", 1), process("b", 1), process("c", 1));
-    let mut desk = Desk::new(Unreachable::Fence, &[&a, &b]);
+    let mut desk = Desk::new(UnreachableAction::Fence, &[&a, &b]);
     desk.input(0.0, Input::Tick);
     let change = desk.propose(100.0);
     let (_, commands) = desk.answered(2025.0, staged(&a, 2020.0, change, 2000.0));
     assert!(is_commit(&commands));
     // c's join comes before it in the log.
     desk.apply(&join(&c, true));
-    assert_eq!(desk.apply(&commands[0]), Outcome::Uncovered { missing: vec![c.clone()] });
-    let outcome = Some(Outcome::Uncovered { missing: vec![c.clone()] });
-    desk.input(2030.0, Input::Written { command: commands[0].clone(), outcome });
+    assert_eq!(desk.apply(&commands[0]), Outcome::MissingMembers { missing: vec![c.clone()] });
+    let outcome = Some(Outcome::MissingMembers { missing: vec![c.clone()] });
+    desk.input(2030.0, Input::WriteResult { command: commands[0].clone(), outcome });
     assert_eq!(
         desk.answered(2030.0, staged(&b, 2030.0, change, 2000.0)).0.expect("a member").lease_ms,
         Some(2000.0)
     );
     let (_, commands) = desk.answered(2040.0, staged(&c, 2040.0, change, 2000.0));
     assert_eq!(desk.write(2050.0, &commands[0]), []);
-    assert_eq!(desk.agreement.book().epoch(), 1);
+    assert_eq!(desk.agreement.policy_state().epoch(), 1);
 }
 
 #[test]
 fn a_member_that_is_up_and_does_not_stage_has_it_aborted_and_so_has_one_without_leases() {
     let (a, b) = (process("a", 1), process("b", 1));
-    let mut desk = Desk::new(Unreachable::Fence, &[&a, &b]);
+    let mut desk = Desk::new(UnreachableAction::Fence, &[&a, &b]);
     let change = desk.propose(100.0);
     for now in [1000.0, 2000.0, 2099.0] {
         desk.answered(now, staged(&a, now, change, 2000.0));
@@ -344,7 +356,7 @@
     }
     assert_eq!(silent(&desk.answered(2101.0, beat(&b, Some(2099.0))).1), ["b"]);
 
-    let mut desk = Desk::new(Unreachable::Fence, &[&a]);
+    let mut desk = Desk::new(UnreachableAction::Fence, &[&a]);
     desk.apply(&join(&b, false));
     desk.input(0.0, Input::Tick);
     let change = desk.propose(100.0);
@@ -356,14 +368,14 @@
 #[test]
 fn a_dead_process_is_found_by_its_address_and_its_successor_must_stage() {
     let (old, new) = (process("a", 1), process("a", 2));
-    let mut desk = Desk::new(Unreachable::Abort, &[&old]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&old]);
     let change = desk.propose(100.0);
     desk.answered(200.0, staged(&old, 190.0, change, 100.0));
-    let probe = Effect::Probe { process: old.clone(), life: life() };
+    let probe = Effect::Probe { process: old.clone(), liveness_addr: life() };
     assert!(desk.beat(300.0, beat(&new, None)).contains(&probe));
-    let effects = desk.input(310.0, Input::Probed { process: old.clone(), refused: true });
-    assert_eq!(written(&effects), [ended(&old, Proof::Refused)]);
-    let commands = written(&desk.write(320.0, &ended(&old, Proof::Refused)));
+    let effects = desk.input(310.0, Input::ProbeResult { process: old.clone(), refused: true });
+    assert_eq!(written(&effects), [ended(&old, Proof::ConnectionRefused)]);
+    let commands = written(&desk.write(320.0, &ended(&old, Proof::ConnectionRefused)));
     let commands = if commands.is_empty() { written(&desk.input(330.0, Input::Tick)) } else { commands };
     assert!(matches!(&commands[..], [Command::Roster(RosterCommand::Join { .. })]), "{commands:?}");
     assert!(!is_commit(&written(&desk.write(340.0, &commands[0]))), "the newcomer counts");
@@ -373,11 +385,11 @@
 #[test]
 fn one_name_is_one_node() {
     let (old, new) = (process("a", 1), process("a", 2));
-    let mut desk = Desk::new(Unreachable::Abort, &[&old]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&old]);
     desk.answered(10.0, beat(&old, None));
     desk.answered(20.0, beat(&new, None));
-    let effects = desk.input(30.0, Input::Probed { process: old.clone(), refused: false });
-    assert!(effects.contains(&Effect::Refuse { token: 2, why: Refusal::Alive }), "{effects:?}");
+    let effects = desk.input(30.0, Input::ProbeResult { process: old.clone(), refused: false });
+    assert!(effects.contains(&Effect::Refuse { token: 2, reason: Refusal::NameInUse }), "{effects:?}");
     // Silent for a session, its address neither refused nor heard: the name has gone elsewhere.
     let (_, commands) = desk.answered(3010.0, beat(&new, None));
     desk.write(3020.0, &commands[0]);
@@ -388,14 +400,17 @@
 #[test]
 fn in_a_hot_upgrade_both_are_members_until_the_older_closes() {
     let (old, new) = (process("a", 1), process("a", 2));
-    let mut desk = Desk::new(Unreachable::Abort, &[&old]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&old]);
     let (_, commands) = desk.answered(10.0, Heartbeat { coexists_with_previous: true, ..beat(&new, None) });
     desk.write(20.0, &commands[0]);
     assert_eq!(desk.agreement.roster().len(), 2);
     let (answer, commands) = desk.answered(30.0, Heartbeat { leaving: true, ..beat(&old, None) });
-    assert_eq!((answer, &commands[..]), (None, &[ended(&old, Proof::Closed)][..]));
+    assert_eq!((answer, &commands[..]), (None, &[ended(&old, Proof::SessionClosed)][..]));
     let effects = desk.write(40.0, &commands[0]);
-    assert!(matches!(&effects[..], [Effect::Answer { answer, .. }] if answer.superseded), "{effects:?}");
+    assert!(
+        matches!(&effects[..], [Effect::Reply { reply: answer, .. }] if answer.superseded),
+        "{effects:?}"
+    );
     assert_eq!(desk.answered(50.0, beat(&old, None)).1, [], "a beat that was long on its way joins nobody");
     assert_eq!(desk.agreement.roster().len(), 1);
 }
@@ -403,7 +418,7 @@
 #[test]
 fn an_epoch_that_a_member_has_known_is_given_to_no_other_policy() {
     let a = process("a", 1);
-    let mut desk = Desk::new(Unreachable::Abort, &[&a]);
+    let mut desk = Desk::new(UnreachableAction::Abort, &[&a]);
     let (_, commands) = desk.answered(10.0, Heartbeat { active_epoch: Some(7), ..beat(&a, None) });
     desk.write(20.0, &commands[0]);
     assert_eq!(desk.apply(&propose(0)), Outcome::Proposed { change: ChangeId(3), epoch: 8 });
@@ -413,89 +428,106 @@
 
 #[test]
 fn the_log_takes_one_change_at_a_time_and_gives_no_number_twice() {
-    let mut log = Agreement::new();
-    assert_eq!(log.apply(1, &propose(1)), Outcome::Stale { epoch: 0 });
+    let mut log = FleetState::new();
+    assert_eq!(log.apply(1, &propose(1)), Outcome::StaleEpoch { epoch: 0 });
     assert_eq!(log.apply(2, &propose(0)), Outcome::Proposed { change: ChangeId(2), epoch: 1 });
-    assert_eq!(log.apply(3, &propose(0)), Outcome::Busy { change: ChangeId(2) });
-    let abort = |change| Command::Policy(PolicyCommand::Abort { change, why: AbortReason::Operator });
+    assert_eq!(log.apply(3, &propose(0)), Outcome::ChangePending { change: ChangeId(2) });
+    let abort = |change| Command::Policy(PolicyCommand::Abort { change, reason: AbortReason::Operator });
     assert_eq!(log.apply(4, &abort(ChangeId(2))), Outcome::Done);
-    assert_eq!(log.apply(5, &abort(ChangeId(2))), Outcome::Over);
+    assert_eq!(log.apply(5, &abort(ChangeId(2))), Outcome::Obsolete);
     assert_eq!(log.apply(6, &propose(0)), Outcome::Proposed { change: ChangeId(6), epoch: 2 });
-    let commit =
-        Command::Policy(PolicyCommand::Commit { change: ChangeId(6), staged: vec![], fenced: vec![] });
-    assert_eq!((log.apply(7, &commit), log.apply(8, &commit)), (Outcome::Done, Outcome::Over));
+    let commit = Command::Policy(PolicyCommand::Commit {
+        change: ChangeId(6),
+        staged_members: vec![],
+        fenced_members: vec![],
+    });
+    assert_eq!((log.apply(7, &commit), log.apply(8, &commit)), (Outcome::Done, Outcome::Obsolete));
     let big = serde_json::json!({"ServerBans": vec!["x".repeat(64); 1100]});
     let big = Policy(big.as_object().expect("it is one").clone());
-    let propose = Command::Policy(PolicyCommand::Propose { base: 2, policy: big });
-    assert_eq!(log.apply(9, &propose), Outcome::TooMuch);
+    let propose = Command::Policy(PolicyCommand::Propose { base_epoch: 2, policy: big });
+    assert_eq!(log.apply(9, &propose), Outcome::LimitExceeded);
 }
 
 #[test]
 fn the_log_fences_only_members_that_live_by_leases() {
     let (a, b) = (process("a", 1), process("b", 1));
-    let mut log = Agreement::new();
+    let mut log = FleetState::new();
     log.apply(1, &join(&a, true));
     log.apply(2, &join(&b, false));
     log.apply(3, &propose(0));
-    let commit =
-        |staged, fenced| Command::Policy(PolicyCommand::Commit { change: ChangeId(3), staged, fenced });
+    let commit = |staged, fenced| {
+        Command::Policy(PolicyCommand::Commit {
+            change: ChangeId(3),
+            staged_members: staged,
+            fenced_members: fenced,
+        })
+    };
     let missing = vec![b.clone()];
-    assert_eq!(log.apply(4, &commit(vec![], vec![a.clone(), b.clone()])), Outcome::Uncovered { missing });
+    assert_eq!(
+        log.apply(4, &commit(vec![], vec![a.clone(), b.clone()])),
+        Outcome::MissingMembers { missing }
+    );
     assert_eq!(log.apply(5, &commit(vec![b], vec![a])), Outcome::Done);
 }
 
 #[test]
 fn what_the_log_holds_is_bounded() {
-    let mut log = Agreement::new();
-    for boot in 0..roster::MEMBERS_MOST as u64 {
+    let mut log = FleetState::new();
+    for boot in 0..roster::MAX_MEMBERS as u64 {
         assert_eq!(log.apply(boot + 1, &join(&process(&format!("n{boot}"), boot), false)), Outcome::Done);
     }
-    assert_eq!(log.apply(5000, &join(&process("more", 1), false)), Outcome::TooMuch);
+    assert_eq!(log.apply(5000, &join(&process("more", 1), false)), Outcome::LimitExceeded);
     assert_eq!(log.apply(5001, &join(&process("n7", 1), false)), Outcome::Done, "in the place of another");
     assert_eq!(log.apply(5002, &join(&process("n7", 7), false)), Outcome::Superseded);
     let beside = |boot| {
         let (process, life) = (process("n7", boot), life());
-        Command::Roster(RosterCommand::Join { process, life, beside: true, fenced: false, active: None })
+        Command::Roster(RosterCommand::Join {
+            process,
+            liveness_addr: life,
+            coexists_with_previous: true,
+            fenced: false,
+            active_epoch: None,
+        })
     };
-    log.apply(5003, &Command::Roster(RosterCommand::Remove { name: "n9".to_owned() }));
+    log.apply(5003, &Command::Roster(RosterCommand::RemoveNode { name: "n9".to_owned() }));
     assert_eq!(log.apply(5004, &beside(20)), Outcome::Done);
-    assert_eq!(log.apply(5005, &join(&process(&"n".repeat(129), 1), false)), Outcome::TooMuch);
+    assert_eq!(log.apply(5005, &join(&process(&"n".repeat(129), 1), false)), Outcome::LimitExceeded);
     for round in 0..40u64 {
         let id = ChangeId(6000 + 2 * round);
         log.apply(id.0, &propose(0));
         let why = AbortReason::Unresponsive { nodes: vec!["n".to_owned(); 4096] };
-        log.apply(id.0 + 1, &Command::Policy(PolicyCommand::Abort { change: id, why }));
+        log.apply(id.0 + 1, &Command::Policy(PolicyCommand::Abort { change: id, reason: why }));
     }
-    assert_eq!(log.book().ended().count(), policy::HISTORY);
-    assert_eq!(log.agreed().ended_changes.len(), policy::TOLD);
+    assert_eq!(log.policy_state().ended_changes().count(), policy::MAX_ENDED_CHANGES);
+    assert_eq!(log.agreed_state().ended_changes.len(), policy::MAX_REPORTED_CHANGES);
     let named = |ended: &member::EndedChange| matches!(&ended.abort_reason, Some(AbortReason::Unresponsive { nodes }) if nodes.len() == 8);
-    assert!(log.book().ended().all(named));
+    assert!(log.policy_state().ended_changes().all(named));
 }
 
 #[test]
 fn a_snapshot_holds_all_and_a_newer_one_is_refused_by_name() {
-    let mut log = Agreement::new();
+    let mut log = FleetState::new();
     log.apply(1, &join(&process("a", u64::MAX), true));
     log.apply(2, &join(&process("a", 2), true));
     log.apply(3, &propose(0));
-    assert_eq!(Agreement::restore(&log.snapshot()).expect("its own"), log);
+    assert_eq!(FleetState::restore(&log.snapshot()).expect("its own"), log);
     let newer = String::from_utf8(log.snapshot()).expect("JSON").replace("\"schema\":1", "\"schema\":3");
-    let error = Agreement::restore(newer.as_bytes()).expect_err("it can't be read");
+    let error = FleetState::restore(newer.as_bytes()).expect_err("it can't be read");
     assert!(error.contains("schema 3") && error.contains("up to 2"), "{error}");
-    assert!(Agreement::restore(b"{\"schema\":1").is_err());
+    assert!(FleetState::restore(b"{\"schema\":1").is_err());
 }
 
 #[test]
 fn terms_that_cannot_hold_are_named() {
-    let terms = Terms { promise_ms: 600.0, ..Terms::default() };
+    let terms = LeaderSettings { promise_ms: 600.0, ..LeaderSettings::default() };
     assert!(terms
         .check()
         .expect_err("two beats and the reserve")
         .to_string()
         .starts_with("promise_ms = 600"));
     assert!(
-        Terms { session_ms: 2000.0, ..Terms::default() }.check().is_err(),
+        LeaderSettings { session_timeout_ms: 2000.0, ..LeaderSettings::default() }.check().is_err(),
         "a lease would outlive a session"
     );
-    assert!(Terms { beat_ms: f64::NAN, ..Terms::default() }.check().is_err());
+    assert!(LeaderSettings { heartbeat_interval_ms: f64::NAN, ..LeaderSettings::default() }.check().is_err());
 }
--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -1,4 +1,4 @@
-//! Model checking of a change of policy: the real [`Member`], [`Leader`] and [`Agreement`] in a small world, in every
+//! Model checking of a change of policy: the real [`Member`], [`Leader`] and [`FleetState`] in a small world, in every
 //! order of its events.
 //!
 //! The world: one change is proposed to a few nodes. Beats and answers are lost, late, out of order or repeated;
@@ -15,8 +15,8 @@
 
 use consensus::Machine as _;
 use control::command::{Command, Outcome, PolicyCommand};
-use control::leader::{Effect, Input, Leader, Terms, Unreachable};
-use control::machine::Agreement;
+use control::leader::{Effect, Input, Leader, LeaderSettings, UnreachableAction};
+use control::machine::FleetState;
 use member::{
     AdmissionError, AgreedUpdate, Epoch, Heartbeat, HeartbeatReply, Member, MemberConfig, Millis, Policy,
     Process, StartMode, StateId, MAX_CLOCK_DRIFT,
@@ -60,7 +60,7 @@
 
 #[derive(Clone, Debug)]
 struct Small {
-    unreachable: Unreachable,
+    unreachable: UnreachableAction,
     nodes: usize,
     /// Beats that each node may send, besides the one that it joined by.
     beats: u8,
@@ -98,7 +98,7 @@
     term: u8,
     leader: Leader,
     /// What its replica has applied.
-    view: Agreement,
+    view: FleetState,
     writes: Vec<Command>,
 }
 
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct State {
     tick: u8,
-    log: Agreement,
+    log: FleetState,
     leads: Vec<Lead>,
     nodes: Vec<Node>,
     beats: Vec<(Token, Heartbeat)>,
@@ -160,20 +160,20 @@
 }
 
 impl Small {
-    fn terms(&self) -> Terms {
-        let terms = Terms {
-            unreachable: self.unreachable,
-            beat_ms: 500.0,
-            session_ms: 2100.0,
-            stage_ms: 3000.0,
+    fn terms(&self) -> LeaderSettings {
+        let terms = LeaderSettings {
+            unreachable_action: self.unreachable,
+            heartbeat_interval_ms: 500.0,
+            session_timeout_ms: 2100.0,
+            stage_timeout_ms: 3000.0,
             promise_ms: SPAN,
             lease_ms: SPAN,
-            reserve_ms: 5.0,
+            commit_reserve_ms: 5.0,
         };
         terms.check().expect("they hold");
         match self.mutant {
-            Mutant::LateCommit => Terms { reserve_ms: -9000.0, ..terms },
-            Mutant::NoDrift => Terms {
+            Mutant::LateCommit => LeaderSettings { commit_reserve_ms: -9000.0, ..terms },
+            Mutant::NoDrift => LeaderSettings {
                 lease_ms: SPAN / (1.0 + MAX_CLOCK_DRIFT),
                 promise_ms: SPAN / (1.0 - MAX_CLOCK_DRIFT),
                 ..terms
@@ -190,7 +190,7 @@
         500_000.0 * Millis::from(term) + self.leader_rate * Millis::from(tick)
     }
 
-    fn leader(&self, tick: u8, term: u8, log: &Agreement) -> Lead {
+    fn leader(&self, tick: u8, term: u8, log: &FleetState) -> Lead {
         let leader = Leader::new(self.terms(), u64::from(term), self.leader_clock(tick, term));
         Lead { term, leader, view: log.clone(), writes: Vec::new() }
     }
@@ -224,22 +224,22 @@
         let Lead { leader, view, .. } = &mut state.leads[lead];
         for effect in leader.handle(now, input, view) {
             match effect {
-                Effect::Answer { token, answer } => self.answer(state, token, *answer),
+                Effect::Reply { token, reply: answer } => self.answer(state, token, *answer),
                 Effect::Refuse { .. } => {}
                 Effect::Write(command) => {
                     self.decided(state, &command);
                     state.leads[lead].writes.push(command);
                 }
-                Effect::Confirm => {
+                Effect::ConfirmLeadership => {
                     if lead + 1 == state.leads.len() || self.mutant == Mutant::NoConfirm {
-                        self.lead(state, lead, Input::Confirmed { asked: now });
+                        self.lead(state, lead, Input::Confirmed { requested_at: now });
                     }
                 }
                 Effect::Probe { process, .. } => {
                     let alive = state.nodes.iter().enumerate().any(|(node, other)| {
                         process == Process { name: format!("n{node}"), boot: other.boot }
                     });
-                    self.lead(state, lead, Input::Probed { process, refused: !alive });
+                    self.lead(state, lead, Input::ProbeResult { process, refused: !alive });
                 }
             }
         }
@@ -259,7 +259,7 @@
 
     /// A commit is decided: each promise that it counts on must hold by the member's own clock.
     fn decided(&self, state: &mut State, command: &Command) {
-        let Command::Policy(PolicyCommand::Commit { staged, .. }) = command else { return };
+        let Command::Policy(PolicyCommand::Commit { staged_members: staged, .. }) = command else { return };
         for (node, other) in state.nodes.iter().enumerate() {
             let process = Process { name: format!("n{node}"), boot: other.boot };
             let doubt = other.member.admit(self.node_clock(state.tick, node)) == Err(AdmissionError::InDoubt);
@@ -271,9 +271,11 @@
 
     /// A command is committed.
     fn commit(&self, state: &mut State, command: &Command) -> Outcome {
-        let before = state.log.agreed();
+        let before = state.log.agreed_state();
         let outcome = state.log.apply(state.log.version() + 1, command);
-        if let (Command::Policy(PolicyCommand::Commit { fenced, .. }), Outcome::Done) = (command, &outcome) {
+        if let (Command::Policy(PolicyCommand::Commit { fenced_members: fenced, .. }), Outcome::Done) =
+            (command, &outcome)
+        {
             for node in 0..state.nodes.len() {
                 let process = Process { name: format!("n{node}"), boot: state.nodes[node].boot };
                 if fenced.contains(&process) && self.admit(state, node) == Ok(before.epoch) {
@@ -281,7 +283,7 @@
                 }
             }
         }
-        let agreed = state.log.agreed();
+        let agreed = state.log.agreed_state();
         if agreed.epoch < before.epoch || agreed.ended_changes.len() > 1 {
             state.bad = Some("the change has ended twice, or the agreed epoch has gone back");
         }
@@ -308,7 +310,9 @@
         for node in 0..state.nodes.len() {
             let Ok(epoch) = self.admit(state, node) else { continue };
             let aborted = |ended: &member::EndedChange| ended.epoch == epoch && ended.abort_reason.is_some();
-            if state.log.book().ended().any(aborted) || epoch > state.log.book().epoch() {
+            if state.log.policy_state().ended_changes().any(aborted)
+                || epoch > state.log.policy_state().epoch()
+            {
                 state.bad = Some("a request was taken under an epoch that was not agreed");
             }
             if epoch < state.nodes[node].top {
@@ -316,7 +320,7 @@
             }
             state.nodes[node].top = epoch;
             let over = state.committed.is_some_and(|committed| state.tick > committed + BOUND);
-            if epoch < state.log.book().epoch() && over {
+            if epoch < state.log.policy_state().epoch() && over {
                 state.bad = Some("a request was taken under the old epoch too long after the commit");
             }
         }
@@ -363,7 +367,7 @@
                     _ => {}
                 }
                 let token = ((token.0 as u64) << 16) | (token.1 << 8) | u64::from(token.2);
-                self.lead(state, lead, Input::Beat { token, beat });
+                self.lead(state, lead, Input::Heartbeat { token, heartbeat: beat });
             }
             Action::Answer(place) => {
                 let ((node, ..), mut answer) = state.answers.remove(place);
@@ -383,20 +387,20 @@
             }
             Action::News(node) => {
                 let now = self.node_clock(tick, node);
-                let agreed = state.log.agreed();
+                let agreed = state.log.agreed_state();
                 let effects = state.nodes[node].member.on_agreed_state(agreed, now);
                 self.member_effects(state, node, effects);
             }
             Action::Write => {
                 let command = state.leads[current].writes.remove(0);
                 let outcome = Some(self.commit(state, &command));
-                self.lead(state, current, Input::Written { command, outcome });
+                self.lead(state, current, Input::WriteResult { command, outcome });
             }
             Action::Unknown => {
                 state.unknown += 1;
                 let command = state.leads[current].writes.remove(0);
                 state.maybe.push(command.clone());
-                self.lead(state, current, Input::Written { command, outcome: None });
+                self.lead(state, current, Input::WriteResult { command, outcome: None });
             }
             Action::Late => {
                 let command = state.maybe.remove(0);
@@ -470,7 +474,7 @@
 
     /// All nodes have joined under the first leader, and a change is proposed.
     fn start(&self) -> State {
-        let log = Agreement::new();
+        let log = FleetState::new();
         let mut state = State {
             tick: 0,
             leads: vec![self.leader(0, 1, &log)],
@@ -493,7 +497,7 @@
             self.act(&mut state, Action::Write);
             self.act(&mut state, Action::Answer(0));
         }
-        let propose = PolicyCommand::Propose { base: 0, policy: Policy::default() };
+        let propose = PolicyCommand::Propose { base_epoch: 0, policy: Policy::default() };
         self.commit(&mut state, &Command::Policy(propose));
         self.lead(&mut state, 0, Input::Applied);
         state
@@ -510,8 +514,8 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         // When all is known everywhere, nothing more can come of it.
-        let agreed = state.log.book();
-        let settled = agreed.change().is_none()
+        let agreed = state.log.policy_state();
+        let settled = agreed.pending_change().is_none()
             && state.nodes.iter().all(|node| {
                 node.member.active_epoch() == Some(agreed.epoch()) && node.member.pending_change().is_none()
             });
@@ -533,13 +537,13 @@
                 (0..state.nodes.len()).all(|node| model.admit(state, node) == Ok(1))
             }),
             Property::sometimes("a change is aborted", |_, state: &State| {
-                state.log.book().ended().any(|ended| ended.abort_reason.is_some())
+                state.log.policy_state().ended_changes().any(|ended| ended.abort_reason.is_some())
             }),
         ]
     }
 }
 
-fn small(unreachable: Unreachable) -> Small {
+fn small(unreachable: UnreachableAction) -> Small {
     Small {
         unreachable,
         nodes: 1,
@@ -579,7 +583,7 @@
 /// Each mode, with the clocks' rates either way.
 fn modes() -> Vec<Small> {
     let mut modes = Vec::new();
-    for unreachable in [Unreachable::Abort, Unreachable::Fence] {
+    for unreachable in [UnreachableAction::Abort, UnreachableAction::Fence] {
         for (leader_rate, node_rate) in [(SLOW, FAST), (FAST, SLOW)] {
             modes.push(Small { leader_rate, node_rate, ..small(unreachable) });
         }
@@ -596,7 +600,7 @@
 #[test]
 fn the_rules_hold_in_small_worlds() {
     hold(modes().into_iter().map(|mode| Small { late: 1, ..mode }));
-    for mode in [Unreachable::Abort, Unreachable::Fence] {
+    for mode in [UnreachableAction::Abort, UnreachableAction::Fence] {
         hold([Small { beats: 2, late: 1, depositions: 1, ghosts: true, ..small(mode) }]);
     }
 }
@@ -620,7 +624,7 @@
 #[test]
 fn wrong_programs_are_found() {
     use Mutant::*;
-    use Unreachable::*;
+    use UnreachableAction::*;
     for (unreachable, mutant) in [
         (Abort, NoDoubt),
         (Abort, LateCommit),
@@ -658,7 +662,7 @@
         choices in proptest::collection::vec(any::<prop::sample::Index>(), 150),
     ) {
         let (leader_rate, node_rate) = if fast_leader { (FAST, SLOW) } else { (SLOW, FAST) };
-        let unreachable = if fence { Unreachable::Fence } else { Unreachable::Abort };
+        let unreachable = if fence { UnreachableAction::Fence } else { UnreachableAction::Abort };
         let (nodes, beats, late, ticks, ghosts) = (3, 12, 3, 9, true);
         let (depositions, restarts, repeats, unknown) = (2, 2, 4, 2);
         let world = Small {
