--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -2,21 +2,21 @@
 
 use consensus::Machine as _;
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand, VerdictCommand};
-use control::machine::Agreement;
+use control::machine::FleetState;
 use control::tally::{Input, Tally};
-use control::verdicts::{Case, Why};
+use control::verdicts::{EndReason, VoteResult};
 use member::votes::{Ballot, Evidence, Vote, VoteReport};
 use member::{ChangeId, Millis, Policy, Process, Stamp};
 
 /// A tally on a log of one; nodes' beats come in order, and are answered at once.
 struct Desk {
-    log: Agreement,
+    log: FleetState,
     tally: Tally,
 }
 
 impl Desk {
     fn new(policy: &str) -> Self {
-        let mut desk = Self { log: Agreement::new(), tally: Tally::new(1, 0.0) };
+        let mut desk = Self { log: FleetState::new(), tally: Tally::new(1, 0.0) };
         desk.agree(policy);
         desk
     }
@@ -26,17 +26,23 @@
     }
 
     fn agree(&mut self, policy: &str) {
-        let (base, change) = (self.log.book().epoch(), ChangeId(self.log.version() + 1));
+        let (base, change) = (self.log.policy_state().epoch(), ChangeId(self.log.version() + 1));
         let policy: Policy = serde_json::from_str(policy).expect("JSON");
-        self.apply(Command::Policy(PolicyCommand::Propose { base, policy }));
+        self.apply(Command::Policy(PolicyCommand::Propose { base_epoch: base, policy }));
         let staged = self.log.roster().members().map(|(process, _)| process.clone()).collect();
-        let commit = PolicyCommand::Commit { change, staged, fenced: vec![] };
+        let commit = PolicyCommand::Commit { change, staged_members: staged, fenced_members: vec![] };
         assert_eq!(self.apply(Command::Policy(commit)), Outcome::Done);
     }
 
     fn join(&mut self, name: &str, boot: u64, beside: bool) {
         let (life, process) = ("127.0.0.1:9".parse().expect("an address"), process(name, boot));
-        let join = RosterCommand::Join { process, life, beside, fenced: false, active: None };
+        let join = RosterCommand::Join {
+            process,
+            liveness_addr: life,
+            coexists_with_previous: beside,
+            fenced: false,
+            active_epoch: None,
+        };
         assert_eq!(self.apply(Command::Roster(join)), Outcome::Done);
     }
 
@@ -59,12 +65,24 @@
             ballots,
             ..VoteReport::default()
         });
-        self.tally.handle_all(now, [Input::Beat { process, echo, votes }], &self.log)
+        self.tally.handle_all(
+            now,
+            [Input::Heartbeat { process, echoed_stamp: echo, report: votes }],
+            &self.log,
+        )
     }
 
     fn remove(&mut self, server: &str, up: u32) -> Outcome {
-        let (server, zone, case) = (server.to_owned(), "z".to_owned(), Case::default());
-        let remove = VerdictCommand::Remove { server, born_ms: 1.0, zone, zones: vec![], up, terms: 0, case };
+        let (server, zone, case) = (server.to_owned(), "z".to_owned(), VoteResult::default());
+        let remove = VerdictCommand::Remove {
+            server,
+            born_ms: 1.0,
+            zone,
+            zones: vec![],
+            up_servers: up,
+            term_index: 0,
+            vote_result: case,
+        };
         self.apply(Command::Verdict(remove))
     }
 }
@@ -82,28 +100,28 @@
 #[test]
 fn the_cap_is_rounded_down_and_counts_in_the_logs_order() {
     let mut desk = Desk::new(r#"{"Votes": {}}"#);
-    for (up, outcome) in [(1, Outcome::Capped), (2, Outcome::Capped), (3, Outcome::Done)] {
+    for (up, outcome) in [(1, Outcome::CapReached), (2, Outcome::CapReached), (3, Outcome::Done)] {
         assert_eq!(desk.remove("a", up), outcome, "{up}");
     }
-    assert_eq!((desk.remove("b", 5), desk.remove("b", 6)), (Outcome::Capped, Outcome::Done));
+    assert_eq!((desk.remove("b", 5), desk.remove("b", 6)), (Outcome::CapReached, Outcome::Done));
     desk.agree(r#"{"Votes": {"Cap": 0.2}}"#);
-    let ended: Vec<_> = desk.log.verdicts().past().map(|past| (past.server.as_str(), past.why)).collect();
-    assert_eq!((ended, desk.log.verdicts().removed("z")), (vec![("b", Why::Cap)], 1));
+    let ended: Vec<_> = desk.log.verdicts().ended().map(|past| (past.server.as_str(), past.reason)).collect();
+    assert_eq!((ended, desk.log.verdicts().removed_count("z")), (vec![("b", EndReason::CapReduced)], 1));
     desk.agree("{}");
-    assert_eq!((desk.log.verdicts().removed("z"), desk.remove("a", 9)), (0, Outcome::Over));
+    assert_eq!((desk.log.verdicts().removed_count("z"), desk.remove("a", 9)), (0, Outcome::Obsolete));
 }
 
 #[test]
 fn a_snapshot_has_the_old_schema_until_there_are_verdicts() {
     let mut desk = Desk::new(r#"{"Votes": {}}"#);
-    let schema = |log: &Agreement| {
+    let schema = |log: &FleetState| {
         serde_json::from_slice::<serde_json::Value>(&log.snapshot()).expect("JSON")["schema"].clone()
     };
     assert_eq!(schema(&desk.log), 1);
-    assert_eq!(Agreement::restore(&desk.log.snapshot()), Ok(desk.log.clone()));
+    assert_eq!(FleetState::restore(&desk.log.snapshot()), Ok(desk.log.clone()));
     desk.remove("a", 3);
     assert_eq!(schema(&desk.log), 2);
-    assert_eq!(Agreement::restore(&desk.log.snapshot()), Ok(desk.log.clone()));
+    assert_eq!(FleetState::restore(&desk.log.snapshot()), Ok(desk.log.clone()));
 }
 
 #[test]
@@ -115,13 +133,13 @@
         let now = 1000.0 * Millis::from(round);
         for boot in [1, 2] {
             let commands = desk.beat(now, process("a", boot), vec![ballot("s", Vote::For)]);
-            assert_eq!((commands, desk.tally.asked()), (vec![], &[][..]));
+            assert_eq!((commands, desk.tally.queried_servers()), (vec![], &[][..]));
         }
     }
     desk.join("b", 1, false);
     desk.beat(10_000.0, process("a", 2), vec![ballot("s", Vote::For)]);
     let commands = desk.beat(10_100.0, process("b", 1), vec![ballot("s", Vote::For)]);
-    assert!(matches!(&commands[..], [VerdictCommand::Remove { up: 9, .. }]), "{commands:?}");
+    assert!(matches!(&commands[..], [VerdictCommand::Remove { up_servers: 9, .. }]), "{commands:?}");
 }
 
 /// The only node of its zone that sends to a server finds it bad after the others have: they have no voice left, and it
@@ -138,7 +156,7 @@
     assert_eq!((commands.len(), zones.as_slice()), (1, &["a".to_owned()][..]));
     let removal = commands.remove(0);
     let outcome = Some(desk.apply(Command::Verdict(removal.clone())));
-    desk.tally.handle_all(300.0, [Input::Written { command: removal, outcome }], &desk.log);
+    desk.tally.handle_all(300.0, [Input::WriteResult { command: removal, outcome }], &desk.log);
 
     for (name, now) in [("a1", 400.0), ("a2", 500.0)] {
         assert_eq!(desk.beat_from(Some("a"), now, process(name, 1), vec![]), []);
@@ -148,7 +166,7 @@
     let widened = matches!(&commands[..], [VerdictCommand::Remove { zones, .. }] if *zones == ["b"]);
     assert!(widened, "{commands:?}");
     desk.apply(Command::Verdict(commands[0].clone()));
-    assert_eq!(desk.log.verdicts().told().verdicts[0].zones, ["a", "b"]);
+    assert_eq!(desk.log.verdicts().in_force().verdicts[0].zones, ["a", "b"]);
 }
 
 #[test]
@@ -160,7 +178,7 @@
     desk.beat(100.0, process("a", 1), vec![ballot("s", Vote::For)]);
     desk.beat(200.0, process("b", 1), vec![ballot("s", Vote::For)]);
     // The flooding node has not been asked yet, and counts as against; then it is silent.
-    assert_eq!(desk.tally.asked(), ["s"]);
-    let said = desk.tally.shown(200.0, &desk.log);
-    assert_eq!((said.questions.len(), said.voters), (1, 3));
+    assert_eq!(desk.tally.queried_servers(), ["s"]);
+    let said = desk.tally.view(200.0, &desk.log);
+    assert_eq!((said.queries.len(), said.voters), (1, 3));
 }
--- a/crates/control/tests/votes_model.rs
+++ b/crates/control/tests/votes_model.rs
@@ -1,4 +1,4 @@
-//! Model checking of votes on servers: the real [`Tally`] and [`Agreement`] in a small world, in every order of its events.
+//! Model checking of votes on servers: the real [`Tally`] and [`FleetState`] in a small world, in every order of its events.
 //!
 //! The world: nodes send their ballots; beats are lost, late, out of order or repeated, answers are lost; servers begin to
 //! fail and start anew; writes are of unknown fate and may be applied late; the leader is deposed, its last write carried
@@ -11,9 +11,9 @@
 
 use consensus::Machine as _;
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand, VerdictCommand};
-use control::machine::Agreement;
+use control::machine::FleetState;
 use control::tally::{Input, Tally};
-use control::verdicts::allowed;
+use control::verdicts::max_removed;
 use member::votes::{Ballot, Evidence, Vote, VoteReport, VoteSettings};
 use member::{ChangeId, Millis, Policy, Process, Stamp};
 
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct State {
     tick: u8,
-    log: Agreement,
+    log: FleetState,
     term: u64,
     began: Millis,
     tally: Tally,
@@ -170,16 +170,23 @@
     }
 }
 
-fn agreement(nodes: usize, voters: u32) -> Agreement {
-    let mut log = Agreement::new();
+fn agreement(nodes: usize, voters: u32) -> FleetState {
+    let mut log = FleetState::new();
     let votes = serde_json::to_value(figures(voters)).expect("figures serialize");
     let policy = Policy([("Votes".to_owned(), votes)].into_iter().collect());
-    let commit = PolicyCommand::Commit { change: ChangeId(1), staged: vec![], fenced: vec![] };
-    log.apply(1, &Command::Policy(PolicyCommand::Propose { base: 0, policy }));
+    let commit =
+        PolicyCommand::Commit { change: ChangeId(1), staged_members: vec![], fenced_members: vec![] };
+    log.apply(1, &Command::Policy(PolicyCommand::Propose { base_epoch: 0, policy }));
     assert_eq!(log.apply(2, &Command::Policy(commit)), Outcome::Done);
     for node in 0..nodes {
         let (life, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
-        let join = RosterCommand::Join { process, life, beside: false, fenced: false, active: None };
+        let join = RosterCommand::Join {
+            process,
+            liveness_addr: life,
+            coexists_with_previous: false,
+            fenced: false,
+            active_epoch: None,
+        };
         log.apply(log.version() + 1, &Command::Roster(join));
     }
     log
@@ -200,7 +207,7 @@
 
     /// What a node says now.
     fn votes(&self, state: &State, node: usize) -> VoteReport {
-        let told = state.log.verdicts().told();
+        let told = state.log.verdicts().in_force();
         let mut ballots = Vec::new();
         for (server, name) in SERVERS.iter().enumerate() {
             let born_ms = f64::from(state.born[server]);
@@ -236,7 +243,7 @@
             Mutant::LongTerm => {
                 let log = String::from_utf8(state.log.snapshot()).expect("JSON");
                 let log = log.replace("\"Term\":200.0", "\"Term\":1000.0");
-                seen = Agreement::restore(log.as_bytes()).expect("a snapshot");
+                seen = FleetState::restore(log.as_bytes()).expect("a snapshot");
                 &seen
             }
             _ => &state.log,
@@ -250,7 +257,7 @@
     /// A command was decided on: it must follow from what is true and stands.
     fn decided(&self, state: &mut State, command: &VerdictCommand) {
         let now = Self::now(state);
-        let VerdictCommand::Remove { server, case, .. } = command else { return };
+        let VerdictCommand::Remove { server, vote_result: case, .. } = command else { return };
         let place = SERVERS.iter().position(|name| name == server).expect("one of them");
         let honest = 0..self.nodes - self.liars;
         if place == 0 {
@@ -267,7 +274,8 @@
         }
         let late = |node: &usize| {
             let of = |said: u8| TICK * Millis::from(state.tick - said) < BALLOT;
-            case.favour.named.contains(&format!("n{node}")) && !state.nodes[*node].said[place].is_some_and(of)
+            case.in_favor.voter_names.contains(&format!("n{node}"))
+                && !state.nodes[*node].said[place].is_some_and(of)
         };
         if honest.clone().any(|node| late(&node)) {
             state.bad = Some("a removal counts a ballot that has lapsed");
@@ -276,17 +284,17 @@
 
     /// A command is committed.
     fn commit(&self, state: &mut State, mut command: VerdictCommand) -> Outcome {
-        if let (VerdictCommand::Remove { up, .. }, Mutant::NoCap) = (&mut command, self.mutant) {
+        if let (VerdictCommand::Remove { up_servers: up, .. }, Mutant::NoCap) = (&mut command, self.mutant) {
             *up = 1000;
         }
         let outcome = state.log.apply(state.log.version() + 1, &Command::Verdict(command.clone()));
-        if state.log.verdicts().removed("z") > allowed(VoteSettings::default().removal_cap, UP) {
+        if state.log.verdicts().removed_count("z") > max_removed(VoteSettings::default().removal_cap, UP) {
             state.bad = Some("more servers are removed than the cap allows");
         }
         state.returned |= matches!(command, VerdictCommand::Return { .. }) && outcome == Outcome::Done;
         let now = Self::now(state);
         for (server, changed) in state.changed.iter_mut().enumerate() {
-            let at = state.log.verdicts().get(SERVERS[server]).map(|entry| entry.at);
+            let at = state.log.verdicts().get(SERVERS[server]).map(|entry| entry.changed_at);
             if at != changed.map(|(at, _)| at) {
                 *changed = at.map(|at| (at, now));
             }
@@ -301,7 +309,7 @@
             let Some((_, since)) = changed else { continue };
             let entry = state.log.verdicts().get(SERVERS[server]).expect("it has changed");
             let span = match entry.probers.is_empty() {
-                true => TERM * Millis::from(1 << entry.terms.min(3)),
+                true => TERM * Millis::from(1 << entry.term_index.min(3)),
                 false => WINDOW + BALLOT,
             };
             // A leader may take the time of a ballot to know its voters; a failed write is tried again later.
@@ -353,10 +361,13 @@
                     echo = Some(Stamp { term: state.term, time: now });
                 }
                 let process = process(flight.node);
-                self.feed(state, vec![Input::Beat { process, echo, votes: Some(flight.votes) }]);
+                self.feed(
+                    state,
+                    vec![Input::Heartbeat { process, echoed_stamp: echo, report: Some(flight.votes) }],
+                );
                 let asked = match self.mutant {
                     Mutant::Unasked => Vec::new(),
-                    _ => state.tally.asked().to_vec(),
+                    _ => state.tally.queried_servers().to_vec(),
                 };
                 let node = &mut state.nodes[flight.node];
                 let echo = flight.echo.filter(|(term, _)| *term == state.term).map(|(_, at)| at);
@@ -379,14 +390,14 @@
                 if outcome != Some(Outcome::Done) {
                     state.failed = Self::now(state);
                 }
-                self.feed(state, vec![Input::Written { command, outcome }]);
+                self.feed(state, vec![Input::WriteResult { command, outcome }]);
             }
             Action::Unknown => {
                 state.unknown += 1;
                 state.failed = Self::now(state);
                 let command = state.writes.remove(0);
                 state.maybe.push(command.clone());
-                self.feed(state, vec![Input::Written { command, outcome: None }]);
+                self.feed(state, vec![Input::WriteResult { command, outcome: None }]);
             }
             Action::Late => {
                 let command = state.maybe.remove(0);
--- a/crates/lab/src/modules/votes.rs
+++ b/crates/lab/src/modules/votes.rs
@@ -5,7 +5,7 @@
 
 use consensus::Machine;
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand};
-use control::machine::Agreement;
+use control::machine::FleetState;
 use control::tally::{Input, Tally};
 use member::votes::{Verdict, Verdicts, VoteReport};
 use member::{Epoch, Policy, Process, Stamp};
@@ -19,7 +19,7 @@
 /// The group.
 #[derive(Default)]
 pub struct Group {
-    agreement: Agreement,
+    agreement: FleetState,
     term: u64,
     /// While it is there.
     tally: Option<Tally>,
@@ -44,22 +44,28 @@
     /// A process joins, in the place of older ones of its name.
     pub fn join(&mut self, process: Process) {
         let life = SocketAddr::from(([127, 0, 0, 1], 1));
-        let join = RosterCommand::Join { process, life, beside: false, fenced: false, active: None };
+        let join = RosterCommand::Join {
+            process,
+            liveness_addr: life,
+            coexists_with_previous: false,
+            fenced: false,
+            active_epoch: None,
+        };
         self.write(&Command::Roster(join));
     }
 
     /// A node is gone.
     pub fn leave(&mut self, name: String) {
-        self.write(&Command::Roster(RosterCommand::Remove { name }));
+        self.write(&Command::Roster(RosterCommand::RemoveNode { name }));
     }
 
     /// All members agree on a policy at once; its epoch, where that is one.
     pub fn agree(&mut self, policy: Policy) -> Option<Epoch> {
-        let base = self.agreement.book().epoch();
-        let proposed = self.write(&Command::Policy(PolicyCommand::Propose { base, policy }));
+        let base = self.agreement.policy_state().epoch();
+        let proposed = self.write(&Command::Policy(PolicyCommand::Propose { base_epoch: base, policy }));
         let Outcome::Proposed { change, epoch } = proposed else { return None };
         let staged = self.agreement.roster().members().map(|(process, _)| process.clone()).collect();
-        let commit = PolicyCommand::Commit { change, staged, fenced: Vec::new() };
+        let commit = PolicyCommand::Commit { change, staged_members: staged, fenced_members: Vec::new() };
         (self.write(&Command::Policy(commit)) == Outcome::Done).then_some(epoch)
     }
 
@@ -72,7 +78,7 @@
         votes: VoteReport,
     ) -> Option<(Stamp, Vec<String>)> {
         let at = now as f64 / 1e3;
-        let mut inputs = vec![Input::Beat { process, echo, votes: Some(votes) }];
+        let mut inputs = vec![Input::Heartbeat { process, echoed_stamp: echo, report: Some(votes) }];
         loop {
             let commands = self.tally.as_mut()?.handle_all(at, inputs, &self.agreement);
             if commands.is_empty() {
@@ -81,15 +87,15 @@
             inputs = Vec::new();
             for command in commands {
                 let outcome = Some(self.write(&Command::Verdict(command.clone())));
-                inputs.push(Input::Written { command, outcome });
+                inputs.push(Input::WriteResult { command, outcome });
             }
         }
-        Some((Stamp { term: self.term, time: at }, self.tally.as_ref()?.asked().to_vec()))
+        Some((Stamp { term: self.term, time: at }, self.tally.as_ref()?.queried_servers().to_vec()))
     }
 
     /// What is in force for servers; `None` while the group is lost.
     pub fn told(&self) -> Option<Verdicts> {
-        self.tally.as_ref().map(|_| self.agreement.verdicts().told())
+        self.tally.as_ref().map(|_| self.agreement.verdicts().in_force())
     }
 }
 
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -537,7 +537,7 @@
     /// clocks that differ in rate.
     pub fn mixed_ms(&self) -> f64 {
         let told = self.terms.get("promise_ms").and_then(toml::Value::as_integer);
-        let promise = told.map_or(control::leader::Terms::default().promise_ms, |ms| ms as f64);
+        let promise = told.map_or(control::leader::LeaderSettings::default().promise_ms, |ms| ms as f64);
         promise * (1.0 + 2.0 * member::MAX_CLOCK_DRIFT)
     }
 }
