--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,26 +1,28 @@
-//! A node as a member of its fleet: what it and the control group say to each other, and the node's side of a change
-//! of policy.
+//! Fleet membership: the protocol between a node and the control group, and the node's state machine for it.
 //!
-//! Need: a change of policy takes hold at every node or at none, also when links are cut, replicas die or a node was
-//! down while it was made. Shape: a change is one entry of the agreed log that either commits or aborts it. Before
-//! that each member has *staged* it: it has checked it, keeps it beside the present one, and has promised to take
-//! nothing new from a deadline on, unless it has learnt by then what became of the change. So from the entry's write
-//! on, a member takes new requests under the old policy no longer than its promise lasts, however it is cut off.
+//! Goal: a policy change takes effect on every node or on none, even if links fail, replicas crash or a node is down
+//! while the change is made. Design: a change is one entry of the replicated log that either commits or aborts. Before
+//! the entry is written, every member has *staged* the change: it has validated it, keeps it next to the current policy,
+//! and has promised to admit no new requests after a deadline unless it has learned the outcome by then. Once the entry
+//! is written, a member therefore admits requests under the old policy for at most the length of its promise, even if
+//! it is partitioned from the group.
 //!
-//! Time is only ever a duration on one process's monotonic clock:
-//! - A *beat* ([`Heartbeat`]) goes to the group's leader; its answer ([`HeartbeatReply`]) carries the leader's `stamp`, its own time
-//!   when it wrote the answer, which the next beat echoes. So the leader knows a time of its own clock that lies
-//!   before that beat's sending, and a promise counted from the echo ends no later than the member's own: a commit
-//!   that keeps clear of the first keeps clear of the second. Late, repeated or reordered beats only make it earlier.
-//! - A member counts what it is granted (a promise made anew, a lease) from when it *sent* the beat that was answered.
-//!   The leader answers only after it has made sure, after the beat came, that it still leads: a leader that was
-//!   stopped, or cut from the majority, grants nothing.
-//! - Clocks may differ in rate by [`MAX_CLOCK_DRIFT`].
+//! All times are durations on one process's monotonic clock:
+//! - A [`Heartbeat`] goes to the group's leader. The [`HeartbeatReply`] carries the leader's [`Stamp`], its own time
+//!   when it wrote the reply, and the next heartbeat echoes it. The leader thus knows a time on its own clock that lies
+//!   before that heartbeat was sent. A promise counted from the echoed stamp ends no later than the member counts it,
+//!   so a commit that respects the former respects the latter. Late, duplicated or reordered heartbeats only make the
+//!   leader's deadline earlier.
+//! - A member counts a grant (an extended promise, a lease) from when it *sent* the heartbeat that was answered. The
+//!   leader replies only after it has confirmed, after receiving the heartbeat, that it still leads. A leader that was
+//!   paused, or partitioned from the majority, grants nothing.
+//! - Clock rates may differ by [`MAX_CLOCK_DRIFT`].
 //!
-//! What has become of a change may be heard from any replica by watch ([`WatchEvent`]): a committed entry stays one.
+//! The outcome of a change may come from any replica by watch ([`WatchEvent`]), because a committed entry stays
+//! committed.
 //!
-//! Rejected: two policies told apart by a date from which the new one holds, as that trusts clocks of other machines;
-//! and a promise counted by the leader from the beat's coming, which a late beat makes longer than the member's own.
+//! Rejected: activating the new policy at a wall-clock time, which trusts other machines' clocks; and counting a promise
+//! from when the leader receives the heartbeat, which makes it longer than the member's own if the heartbeat is late.
 
 pub mod messages;
 pub mod policy;
@@ -31,8 +33,8 @@
 pub use policy::Policy;
 pub use session::{AdmissionError, Effect, Member, MemberConfig, SavedEpoch, StartMode};
 
-/// A time or a span on one process's monotonic clock, in milliseconds.
+/// A point in time or a duration on one process's monotonic clock, in milliseconds.
 pub type Millis = f64;
 
-/// By what part two clocks' rates may differ.
+/// The maximum relative difference between the rates of two clocks.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
--- a/crates/member/src/messages.rs
+++ b/crates/member/src/messages.rs
@@ -1,9 +1,9 @@
-//! What goes over the wire between a node and the control group: JSON over HTTP/1.1.
+//! The messages between a node and the control group: JSON over HTTP/1.1.
 //!
-//! | call | who answers | |
+//! | call | answered by | response |
 //! | --- | --- | --- |
-//! | `POST /v1/session`, a [`Heartbeat`] | the leader; others 503 with a [`NotLeader`] | an [`HeartbeatReply`] |
-//! | `GET /v1/watch?from=VERSION` | every replica | a chunked body of [`WatchEvent`], one JSON object a line; an empty line each 2 s |
+//! | `POST /v1/session` with a [`Heartbeat`] | the leader; other replicas answer 503 with a [`NotLeader`] | a [`HeartbeatReply`] |
+//! | `GET /v1/watch?from=VERSION` | every replica | a chunked body of [`WatchEvent`]s, one JSON object per line, with an empty line every 2 s as keep-alive |
 
 use std::net::SocketAddr;
 
@@ -12,190 +12,192 @@
 use crate::votes::{Verdicts, VoteReport};
 use crate::{Millis, Policy};
 
-/// The number of an agreed policy; 0 is the settings that each node was started with. Grows with each commit; the
-/// number of a change that was aborted is never given again.
+/// The number of an agreed policy; 0 is the settings that each node was started with. It grows with each commit, and the
+/// number of an aborted change is never reused.
 pub type Epoch = u64;
 
-/// Which process of a node speaks.
+/// Identifies one process of a node.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Process {
     /// The node's name.
     pub name: String,
-    /// Drawn by the process at its start; never the same again.
+    /// A random number that the process draws at its start, so that no two processes of a node share it.
     pub boot: u64,
 }
 
-/// What a member tells the leader, now and then. The first one of a process asks to join.
+/// The message that a member sends to the leader periodically. The first one of a process is its request to join.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// Who speaks.
+    /// The sending process.
     pub process: Process,
-    /// Where this very process listens as long as it lives: a connection refused there proves that it has ended.
+    /// The address that this process listens on until it exits: a refused connection there proves that it has exited.
     #[serde(rename = "life")]
     pub liveness_addr: SocketAddr,
-    /// An older process of this node may go on beside this one until its own session ends (a hot upgrade).
+    /// An older process of this node may remain a member next to this one until its own session ends (hot upgrade).
     #[serde(default, rename = "beside")]
     pub coexists_with_previous: bool,
-    /// The [`Stamp`] of the newest answer that this process has had from any leader.
+    /// The newest [`Stamp`] that this process has received from any leader.
     #[serde(default, rename = "echo")]
     pub echoed_stamp: Option<Stamp>,
-    /// The epoch that it judges new requests by; `None` while it knows none and takes nothing.
+    /// The epoch that new requests are admitted under; `None` while it knows none and admits nothing.
     #[serde(default, rename = "active")]
     pub active_epoch: Option<Epoch>,
-    /// The newest state of what is agreed that it has taken: it need not be told that again.
+    /// The newest agreed state that it has applied, which the reply need not repeat.
     #[serde(default, rename = "known")]
     pub known_state: Option<StateId>,
-    /// What it says of the change that is under way.
+    /// Its position on the pending change.
     #[serde(default, rename = "change")]
     pub stage_reply: Option<StageReply>,
-    /// It has nothing open and ends: its session closes.
+    /// It has no open requests and is exiting: its session closes.
     #[serde(default, rename = "bye")]
     pub leaving: bool,
-    /// What it says of servers, while the policy that it judges by has votes.
+    /// Its ballots on servers, while its active policy enables votes.
     #[serde(default, rename = "votes", skip_serializing_if = "Option::is_none")]
     pub vote_report: Option<VoteReport>,
-    /// The version of the verdicts that it knows, beside `votes`.
+    /// The version of the verdicts that it knows; sent together with `vote_report`.
     #[serde(default, rename = "verdicts", skip_serializing_if = "Option::is_none")]
     pub verdicts_version: Option<u64>,
 }
 
-/// What a member says of a change.
+/// A member's answer to the request to stage a change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StageReply {
-    /// It keeps the change beside the present policy, and takes nothing new from `remaining_ms` after this beat's sending
-    /// on unless it knows by then what became of it.
+    /// It keeps the change next to the current policy, and admits no new requests from `remaining_ms` after this
+    /// heartbeat was sent unless it knows the outcome by then.
     Staged {
         /// The change.
         change: ChangeId,
-        /// What is left of its promise when this beat is sent.
+        /// The time left until its promise ends, as of sending this heartbeat.
         #[serde(rename = "left_ms")]
         remaining_ms: Millis,
     },
-    /// It can't bear the change.
+    /// It cannot apply the change.
     Refused {
         /// The change.
         change: ChangeId,
-        /// Why, for the operator: one line.
+        /// The reason, for the operator: one line.
         #[serde(rename = "words")]
         reason: String,
     },
 }
 
-/// A change, never the same again: the version of the log at which it was proposed.
+/// Identifies a change: the log version at which it was proposed, which is never reused.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct ChangeId(pub u64);
 
-/// A leader's own time when it wrote an answer, and in which term it leads. Another term's clock says nothing.
+/// A leader's own time when it wrote a reply, and the term it leads in. Times of different terms are not comparable.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Stamp {
-    /// The term.
+    /// The leader's term.
     pub term: u64,
-    /// Its time.
+    /// The time on the leader's clock.
     #[serde(rename = "at")]
     pub time: Millis,
 }
 
-/// What the leader answers to a beat.
+/// The leader's answer to a [`Heartbeat`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HeartbeatReply {
-    /// To be echoed.
+    /// To be echoed by the next heartbeat.
     pub stamp: Stamp,
-    /// What is agreed.
+    /// The agreed state.
     #[serde(rename = "told")]
     pub update: AgreedUpdate,
-    /// How long after this one the next beat should be sent.
+    /// The delay from this reply to the next heartbeat.
     #[serde(rename = "beat_ms")]
     pub heartbeat_interval_ms: Millis,
-    /// For how long after the beat's sending the member may take new requests, where the fleet is fenced; counts only
-    /// for a process that judges by the epoch that `update` shows. `None` in a beat's answer of a fenced fleet grants nothing.
+    /// How long after sending the heartbeat the member may admit new requests, if the fleet is fenced. It counts only
+    /// for a process whose active epoch is the one in `update`. `None` in a fenced fleet grants nothing.
     #[serde(default)]
     pub lease_ms: Option<Millis>,
-    /// This process is fenced, from its join to its end: without a lease it takes nothing new.
+    /// This process is fenced from its join to its end: without a lease it admits nothing new.
     #[serde(default)]
     pub fenced: bool,
-    /// For how long after the beat's sending a promise about a change lasts.
+    /// How long after sending the heartbeat a promise about a change lasts.
     pub promise_ms: Millis,
-    /// A newer process of this node has taken its place (or operators have removed it): it takes nothing new any more.
+    /// A newer process of this node has replaced it (or operators have removed it): it admits nothing new any more.
     #[serde(default)]
     pub superseded: bool,
-    /// Servers that the leader would hear good of, too; of all others it is told only what is bad.
+    /// Servers on which the leader also wants ballots against removal; on all others it gets ballots for removal only.
     #[serde(default, rename = "asked", skip_serializing_if = "Vec::is_empty")]
     pub queried_servers: Vec<String>,
-    /// What is in force for servers, where the beat had votes and knew another version.
+    /// The verdicts in force, if the heartbeat had votes and named another version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub verdicts: Option<Verdicts>,
 }
 
-/// What is agreed, as an answer tells it: a policy is long, beats are many, and most of them are answered with nothing new.
+/// The agreed state in a reply: in full only if it differs from what the heartbeat named, because policies are long,
+/// heartbeats frequent, and the state seldom changes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AgreedUpdate {
-    /// All of it, as the beat named another state or none.
+    /// The full state, as the heartbeat named another one or none.
     #[serde(rename = "news")]
     Changed(AgreedState),
-    /// It is what the beat has named: as good a proof as all of it.
+    /// The state is the one that the heartbeat named, which proves as much as the full state.
     #[serde(rename = "same")]
     Unchanged(StateId),
 }
 
-/// Names a state of what is agreed, by the figures of the [`AgreedState`] that tells of it.
+/// Identifies an [`AgreedState`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct StateId {
     /// Its version.
     pub version: u64,
-    /// Its sum: a group that was set up again from a backup gives versions a second time.
+    /// Its fingerprint, because a group that was restored from a backup assigns versions a second time.
     #[serde(rename = "sum")]
     pub fingerprint: u64,
 }
 
-/// What the log says of policy.
+/// The log's state of the policy.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AgreedState {
-    /// Grows with each change's proposal and end, and with nothing else: while a change is under way it is the
-    /// change's number, after that greater. Of two, the one with the greater version is newer.
+    /// Grows when a change is proposed and when it ends, and at no other time: while a change is pending it is the
+    /// change's number, and afterwards a greater one. Of two states, the one with the greater version is newer.
     pub version: u64,
-    /// Drawn from all that is told here by whoever tells it, only to be named again; another program may draw another.
+    /// A hash over all other fields, computed by the sender and only ever compared; different program versions may
+    /// compute different ones.
     #[serde(default, rename = "sum")]
     pub fingerprint: u64,
     /// The agreed epoch.
     pub epoch: Epoch,
     /// Its policy.
     pub policy: Policy,
-    /// The change under way.
+    /// The pending change.
     #[serde(default)]
     pub change: Option<Change>,
-    /// How the last changes ended, newest last; at least the newest one, where there was one.
+    /// The outcomes of the last changes, newest last; at least the newest one, if there was one.
     #[serde(default, rename = "ended")]
     pub ended_changes: Vec<EndedChange>,
 }
 
 impl AgreedState {
-    /// What names this state.
+    /// Returns what identifies this state.
     pub fn state_id(&self) -> StateId {
         StateId { version: self.version, fingerprint: self.fingerprint }
     }
 }
 
-/// A change under way.
+/// A pending change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Change {
-    /// Which.
+    /// Its number.
     pub id: ChangeId,
-    /// The epoch that it becomes when it commits.
+    /// The epoch that it becomes if it commits.
     pub epoch: Epoch,
-    /// The policy.
+    /// The proposed policy.
     pub policy: Policy,
 }
 
-/// How a change ended.
+/// The outcome of a change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EndedChange {
-    /// Which.
+    /// The change's number.
     pub id: ChangeId,
-    /// The epoch that it became, or would have.
+    /// The epoch that it became, or would have become.
     pub epoch: Epoch,
-    /// `None`: it was committed.
+    /// `None` if it was committed.
     #[serde(default, rename = "aborted")]
     pub abort_reason: Option<AbortReason>,
 }
@@ -208,42 +210,42 @@
     Refused {
         /// The node.
         node: String,
-        /// Its words.
+        /// The reason that it gave.
         #[serde(rename = "words")]
         reason: String,
     },
     /// Members were silent, or did not stage it in time.
     #[serde(rename = "silent")]
     Unresponsive {
-        /// The nodes; the first few where there are many.
+        /// The nodes; the first few if there are many.
         nodes: Vec<String>,
     },
-    /// Operators called it off.
+    /// Operators cancelled it.
     Operator,
     /// The group had no leader that could end it in time.
     #[serde(rename = "late")]
     NoLeader,
 }
 
-/// A line of the watch.
+/// One line of the watch.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct WatchEvent {
-    /// What is agreed on policy; `None` where the line tells of something else.
+    /// The agreed state of the policy; `None` if the line is about something else.
     #[serde(default, rename = "agreed")]
     pub agreed_state: Option<AgreedState>,
-    /// The log's version that the line brings the watcher to.
+    /// The log version that the watcher is at after this line.
     pub version: u64,
-    /// What is in force for servers, where the agreed policy has votes.
+    /// The verdicts in force, if the agreed policy enables votes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub verdicts: Option<Verdicts>,
 }
 
-/// Said by a replica that does not lead, with status 503.
+/// The body of a 503 from a replica that does not lead.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct NotLeader {
-    /// What failed, and what to do.
+    /// What failed, and what to do about it.
     pub error: String,
-    /// Where the leader is, as far as this replica knows.
+    /// The leader's address, if this replica knows it.
     #[serde(default)]
     pub leader: Option<SocketAddr>,
 }
--- a/crates/member/src/policy.rs
+++ b/crates/member/src/policy.rs
@@ -1,8 +1,9 @@
-//! A policy: the part of a node's settings that may change in service, and the one table of what may stand in it.
+//! Policies: the part of a node's settings that may change in service, and the table of what they may contain.
 //!
-//! Need: what a replica takes from an operator no node may refuse for its names or kinds, or each would find out by a
-//! change that is aborted. Shape: replicas go by [`Policy::check`], nodes by [`Policy::apply_to`], which begins with it. What
-//! only a node can say is left to it: whether it has a class or customer of that name, and what fits its settings.
+//! Goal: no node may refuse names or kinds of values that a replica has accepted from an operator, because that would
+//! surface only as an aborted change. Design: replicas use [`Policy::check`], and nodes use [`Policy::apply_to`], which
+//! starts with the same check. Only what depends on the node is left to it: whether it has a class or customer of that
+//! name, and whether the values fit its settings.
 
 use std::ops::RangeInclusive;
 
@@ -11,65 +12,65 @@
 
 use crate::votes::VoteSettings;
 
-/// Factors to servers' sizes that a policy may set.
+/// The range of a policy's factors to servers' weights.
 pub const SERVER_WEIGHT_RANGE: RangeInclusive<f64> = 0.01..=100.0;
 
-/// A policy as it is agreed: a settings object that holds only what differs from the settings that nodes were started
-/// with, under the settings' own names. What it leaves out has the figure of each node's own settings.
+/// An agreed policy: a settings object with only those fields that differ from the settings that nodes were started
+/// with, under the settings' own names. A field that is left out has its value from each node's own settings.
 ///
 /// | field | what it sets |
 /// | --- | --- |
 /// | `Classes[]` by `Name` | `Slo`, `Deadline`, `Value`, `LateValue` |
 /// | `Customers[]` by `Name` | `QuotaPerS` |
 /// | `Limits` | `AttemptsCap`, `RetryAfter`, `MaxRetryAfter`, `OpenCap` |
-/// | `Retry` | `BudgetShare`, `BudgetMax` (further attempts as a part of first ones; how many may be saved up) |
-/// | `Ejection` | `Failures` (in a row that make an outlier), `AtMost` (part of the servers) |
+/// | `Retry` | `BudgetShare` (retries as a fraction of first attempts), `BudgetMax` (the maximum saved-up retry budget) |
+/// | `Ejection` | `Failures` (consecutive failures that make an outlier), `AtMost` (fraction of the servers) |
 /// | `ServerWeights` | a factor by server name |
-/// | `ServerBans` | names of servers that get nothing new |
-/// | `Votes` | the [`VoteSettings`] of votes on servers, which are on where it stands; what it leaves out has its default |
+/// | `ServerBans` | names of servers that get no new requests |
+/// | `Votes` | the [`VoteSettings`]; votes on servers are enabled if it is present, and fields that are left out have their defaults |
 ///
-/// All else may not change in service and is refused by name: who the node is and how many there are (`Me`,
+/// Everything else may not change in service and is refused by name: the node's identity and the number of nodes (`Me`,
 /// `PeersTotal`), what a request may do twice (`Idempotency`, `DedupScope`, `MemorySpan`), the platform's rules
-/// (`Contract`), how lists come (`Discovery`, `Weights`), and classes or customers that are not in the settings.
+/// (`Contract`), how lists arrive (`Discovery`, `Weights`), and classes or customers that are not in the settings.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Policy(pub Map<String, Value>);
 
-/// Why a policy can't hold.
+/// Why a policy is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PolicyError {
-    /// A setting that nodes keep from their start to their end.
+    /// A setting that nodes keep from start to exit.
     #[error("{0}: may not change in service")]
     Immutable(String),
-    /// Neither a setting nor a class or customer of the node's.
+    /// A name that is neither a setting nor a class or customer of the node.
     #[error("{0}: is unknown to the nodes' settings")]
     UnknownField(String),
-    /// A name that the policy holds more than once.
+    /// A name that occurs more than once in the policy.
     #[error("{0}: is named twice")]
     DuplicateName(String),
-    /// A value of the wrong kind or out of its bounds.
+    /// A value of the wrong kind or out of its range.
     #[error("{path}: {expected} expected")]
     InvalidValue {
-        /// Where it stands in the policy.
+        /// The field's path in the policy.
         path: String,
-        /// What should stand there.
+        /// The allowed values.
         expected: &'static str,
     },
-    /// A figure of the votes that can't be read.
+    /// A parameter of the votes that cannot be parsed.
     #[error("{path}: {reason}")]
     Unreadable {
-        /// Where it stands in the policy.
+        /// The field's path in the policy.
         path: String,
         /// What is wrong with it.
         reason: String,
     },
-    /// A node's settings with the policy over them make no sense.
+    /// A node's settings combined with the policy are invalid.
     #[error("with this policy, {0}")]
     IncompatibleSettings(String),
 }
 
 impl PolicyError {
-    /// What an operator can do about it.
+    /// Returns what an operator can do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
             Self::Immutable(_) => "leave it out: it changes with the nodes' settings and a restart",
@@ -78,71 +79,76 @@
                  Limits, Retry, Ejection, ServerWeights, ServerBans and Votes"
             }
             Self::DuplicateName(_) | Self::InvalidValue { .. } | Self::Unreadable { .. } => {
-                "mend the field and propose again"
+                "correct the field and propose the policy again"
+            }
+            Self::IncompatibleSettings(_) => {
+                "propose a policy that fits the nodes' settings, or start the nodes with other settings"
             }
-            Self::IncompatibleSettings(_) => "propose what fits the nodes' settings, or start the nodes with other settings",
         }
     }
 }
 
-/// What may stand for a setting.
+/// The kind and range of a setting's value.
 #[derive(Clone, Copy)]
 enum Kind {
     /// A number above 0.
-    Above,
+    Positive,
     /// A number of 0 or more.
-    Amount,
-    /// From 0 to 1.
-    Share,
+    NonNegative,
+    /// A number from 0 to 1.
+    Fraction,
     /// A whole number from 1 on.
     Count,
     Flag,
-    /// A factor to a server's size.
-    Factor,
+    /// A factor to a server's weight, within [`SERVER_WEIGHT_RANGE`].
+    ServerWeight,
 }
 
 type Fields = &'static [(&'static str, Kind)];
 
-/// What may stand under a name of the policy's own.
+/// What a policy may contain under one of its top-level names.
 #[derive(Clone, Copy)]
-enum Part {
-    /// Objects that are told apart by `Name`.
-    Named(Fields),
-    Fields(Fields),
-    Factors,
+enum Section {
+    /// An array of objects that are identified by `Name`.
+    NamedObjects(Fields),
+    /// An object.
+    Object(Fields),
+    /// An object of factors by server name.
+    ServerWeights,
+    /// An array of names.
     Names,
     Votes,
 }
 
-const PARTS: &[(&str, Part)] = &[
+const SECTIONS: &[(&str, Section)] = &[
     (
         "Classes",
-        Part::Named(&[
-            ("Slo", Kind::Above),
-            ("Deadline", Kind::Above),
-            ("Value", Kind::Amount),
-            ("LateValue", Kind::Share),
+        Section::NamedObjects(&[
+            ("Slo", Kind::Positive),
+            ("Deadline", Kind::Positive),
+            ("Value", Kind::NonNegative),
+            ("LateValue", Kind::Fraction),
         ]),
     ),
-    ("Customers", Part::Named(&[("QuotaPerS", Kind::Amount)])),
+    ("Customers", Section::NamedObjects(&[("QuotaPerS", Kind::NonNegative)])),
     (
         "Limits",
-        Part::Fields(&[
+        Section::Object(&[
             ("AttemptsCap", Kind::Count),
             ("RetryAfter", Kind::Flag),
-            ("MaxRetryAfter", Kind::Amount),
+            ("MaxRetryAfter", Kind::NonNegative),
             ("OpenCap", Kind::Count),
         ]),
     ),
-    ("Retry", Part::Fields(&[("BudgetShare", Kind::Share), ("BudgetMax", Kind::Amount)])),
-    ("Ejection", Part::Fields(&[("Failures", Kind::Count), ("AtMost", Kind::Share)])),
-    ("ServerWeights", Part::Factors),
-    ("ServerBans", Part::Names),
-    ("Votes", Part::Votes),
+    ("Retry", Section::Object(&[("BudgetShare", Kind::Fraction), ("BudgetMax", Kind::NonNegative)])),
+    ("Ejection", Section::Object(&[("Failures", Kind::Count), ("AtMost", Kind::Fraction)])),
+    ("ServerWeights", Section::ServerWeights),
+    ("ServerBans", Section::Names),
+    ("Votes", Section::Votes),
 ];
 
-/// Settings that a node reads, but that may not change in service.
-const FIXED: &[&str] = &[
+/// Settings that exist on a node but may not change in service.
+const IMMUTABLE_SETTINGS: &[&str] = &[
     "Me",
     "PeersTotal",
     "Contract",
@@ -162,77 +168,81 @@
 ];
 
 impl Policy {
-    /// Checks names, kinds and bounds of all that stands in it.
+    /// Checks the names, kinds and ranges of all fields.
     ///
     /// # Errors
-    /// The first field that can't be as it is.
+    /// Names the first invalid field.
     pub fn check(&self) -> Result<(), PolicyError> {
-        self.0.iter().try_for_each(|(key, value)| part(key)?.check(value, key))
+        self.0.iter().try_for_each(|(key, value)| section(key)?.check(value, key))
     }
 
-    /// A node's settings object with the policy laid over it. `Votes` are the policy's alone, or null.
+    /// Returns a node's settings object with the policy applied to it. `Votes` comes from the policy only, and is null
+    /// if the policy has none.
     ///
     /// # Errors
-    /// As [`Policy::check`], and a class or customer that the settings don't have.
+    /// As [`Policy::check`], and for a class or customer that the settings do not have.
     pub fn apply_to(&self, settings: &Value) -> Result<Value, PolicyError> {
         self.check()?;
         let mut merged = object(settings, "settings")?.clone();
         merged.insert("Votes".to_owned(), Value::Null);
         for (key, value) in &self.0 {
-            let under = merged.entry(key.clone()).or_insert(Value::Null);
-            match part(key)? {
-                Part::Named(_) => {
+            let base = merged.entry(key.clone()).or_insert(Value::Null);
+            match section(key)? {
+                Section::NamedObjects(_) => {
                     for item in array(value, key)? {
                         let name = &item["Name"];
-                        let known =
-                            under.as_array_mut().and_then(|l| l.iter_mut().find(|v| v["Name"] == *name));
+                        let existing =
+                            base.as_array_mut().and_then(|l| l.iter_mut().find(|v| v["Name"] == *name));
                         let path = || format!("{key}[{}]", name.as_str().unwrap_or_default());
-                        lay(known.ok_or_else(|| PolicyError::UnknownField(path()))?, object(item, key)?);
+                        overlay(
+                            existing.ok_or_else(|| PolicyError::UnknownField(path()))?,
+                            object(item, key)?,
+                        );
                     }
                 }
-                Part::Fields(_) | Part::Factors => lay(under, object(value, key)?),
-                Part::Names | Part::Votes => *under = value.clone(),
+                Section::Object(_) | Section::ServerWeights => overlay(base, object(value, key)?),
+                Section::Names | Section::Votes => *base = value.clone(),
             }
         }
         Ok(Value::Object(merged))
     }
 }
 
-/// Lays fields over those of an object, which is made where there is none.
-fn lay(under: &mut Value, over: &Map<String, Value>) {
-    if !under.is_object() {
-        *under = Value::Object(Map::new());
+/// Sets fields of an object, which is created if there is none.
+fn overlay(base: &mut Value, fields: &Map<String, Value>) {
+    if !base.is_object() {
+        *base = Value::Object(Map::new());
     }
-    for (key, value) in over {
-        under[key] = value.clone();
+    for (key, value) in fields {
+        base[key] = value.clone();
     }
 }
 
-impl Part {
+impl Section {
     fn check(self, value: &Value, path: &str) -> Result<(), PolicyError> {
         match self {
-            Self::Named(known) => {
+            Self::NamedObjects(known) => {
                 let mut names = Vec::new();
                 for item in array(value, path)? {
                     let item = object(item, path)?;
                     let name = text(item.get("Name").unwrap_or(&Value::Null), &format!("{path}[].Name"))?;
                     let fields = item.iter().filter(|(key, _)| *key != "Name");
-                    check_fields(fields, known, &once(&mut names, name, path)?)?;
+                    check_fields(fields, known, &unique_path(&mut names, name, path)?)?;
                 }
                 Ok(())
             }
-            Self::Fields(known) => check_fields(object(value, path)?.iter(), known, path),
-            Self::Factors => object(value, path)?
+            Self::Object(known) => check_fields(object(value, path)?.iter(), known, path),
+            Self::ServerWeights => object(value, path)?
                 .iter()
-                .try_for_each(|(name, factor)| Kind::Factor.check(factor, &format!("{path}[{name}]"))),
+                .try_for_each(|(name, weight)| Kind::ServerWeight.check(weight, &format!("{path}[{name}]"))),
             Self::Names => {
                 let mut names = Vec::new();
-                for (n, name) in array(value, path)?.iter().enumerate() {
-                    once(&mut names, text(name, &format!("{path}[{n}]"))?, path)?;
+                for (index, name) in array(value, path)?.iter().enumerate() {
+                    unique_path(&mut names, text(name, &format!("{path}[{index}]"))?, path)?;
                 }
                 Ok(())
             }
-            Self::Votes => votes(object(value, path)?, path),
+            Self::Votes => check_votes(object(value, path)?, path),
         }
     }
 }
@@ -240,20 +250,20 @@
 impl Kind {
     fn check(self, value: &Value, path: &str) -> Result<(), PolicyError> {
         let number = value.as_f64().filter(|n| n.is_finite());
-        let (fits, expected) = match self {
-            Self::Above => (number.is_some_and(|n| n > 0.0), "a number above 0"),
-            Self::Amount => (number.is_some_and(|n| n >= 0.0), "a number of 0 or more"),
-            Self::Share => (number.is_some_and(|n| (0.0..=1.0).contains(&n)), "a number from 0 to 1"),
+        let (valid, expected) = match self {
+            Self::Positive => (number.is_some_and(|n| n > 0.0), "a number above 0"),
+            Self::NonNegative => (number.is_some_and(|n| n >= 0.0), "a number of 0 or more"),
+            Self::Fraction => (number.is_some_and(|n| (0.0..=1.0).contains(&n)), "a number from 0 to 1"),
             Self::Count => {
-                let fits = value.as_u64().is_some_and(|n| (1..=u64::from(u32::MAX)).contains(&n));
-                (fits, "a whole number from 1 on")
+                let valid = value.as_u64().is_some_and(|n| (1..=u64::from(u32::MAX)).contains(&n));
+                (valid, "a whole number from 1 on")
             }
             Self::Flag => (value.is_boolean(), "true or false"),
-            Self::Factor => {
+            Self::ServerWeight => {
                 (number.is_some_and(|n| SERVER_WEIGHT_RANGE.contains(&n)), "a number from 0.01 to 100")
             }
         };
-        if fits {
+        if valid {
             Ok(())
         } else {
             Err(PolicyError::InvalidValue { path: path.into(), expected })
@@ -261,13 +271,13 @@
     }
 }
 
-fn part(key: &str) -> Result<Part, PolicyError> {
-    let part = PARTS.iter().find(|(name, _)| *name == key).map(|(_, part)| *part);
-    part.ok_or_else(|| refused(key.to_owned(), key))
+fn section(key: &str) -> Result<Section, PolicyError> {
+    let section = SECTIONS.iter().find(|(name, _)| *name == key).map(|(_, section)| *section);
+    section.ok_or_else(|| not_allowed(key.to_owned(), key))
 }
 
-fn refused(path: String, key: &str) -> PolicyError {
-    if FIXED.contains(&key) {
+fn not_allowed(path: String, key: &str) -> PolicyError {
+    if IMMUTABLE_SETTINGS.contains(&key) {
         PolicyError::Immutable(path)
     } else {
         PolicyError::UnknownField(path)
@@ -283,27 +293,28 @@
         let path = format!("{path}.{key}");
         match known.iter().find(|(name, _)| name == key) {
             Some((_, kind)) => kind.check(value, &path),
-            None => Err(refused(path, key)),
+            None => Err(not_allowed(path, key)),
         }
     })
 }
 
-/// Each figure alone first, as the reader does not say which one it means.
-fn votes(fields: &Map<String, Value>, path: &str) -> Result<(), PolicyError> {
-    let read = |fields: Map<String, Value>, path: &str| {
+/// Parses each field on its own first, because the parser's error does not name the field.
+fn check_votes(fields: &Map<String, Value>, path: &str) -> Result<(), PolicyError> {
+    let parse = |fields: Map<String, Value>, path: &str| {
         let unreadable =
             |e: serde_json::Error| PolicyError::Unreadable { path: path.into(), reason: e.to_string() };
         serde_json::from_value::<VoteSettings>(Value::Object(fields)).map_err(unreadable)
     };
     for (key, value) in fields {
-        read(Map::from_iter([(key.clone(), value.clone())]), &format!("{path}.{key}"))?;
+        parse(Map::from_iter([(key.clone(), value.clone())]), &format!("{path}.{key}"))?;
     }
-    let wrong = read(fields.clone(), path)?.check();
-    wrong.map_err(|e| PolicyError::InvalidValue { path: format!("{path}.{}", e.field), expected: e.expected })
+    let result = parse(fields.clone(), path)?.check();
+    result
+        .map_err(|e| PolicyError::InvalidValue { path: format!("{path}.{}", e.field), expected: e.expected })
 }
 
-/// A name's path, where it was not named before.
-fn once<'a>(names: &mut Vec<&'a str>, name: &'a str, path: &str) -> Result<String, PolicyError> {
+/// Returns the path of a name, unless the name has occurred before.
+fn unique_path<'a>(names: &mut Vec<&'a str>, name: &'a str, path: &str) -> Result<String, PolicyError> {
     let path = format!("{path}[{name}]");
     if names.contains(&name) {
         return Err(PolicyError::DuplicateName(path));
@@ -330,13 +341,13 @@
 
     use super::*;
 
-    fn policy(of: Value) -> Policy {
-        Policy(of.as_object().expect("an object").clone())
+    fn policy(value: Value) -> Policy {
+        Policy(value.as_object().expect("an object").clone())
     }
 
     #[test]
-    fn what_can_not_stand_in_a_policy_is_refused_by_its_path() {
-        for (wrong, words) in [
+    fn invalid_policy_fields_are_rejected_with_their_path() {
+        for (invalid, message) in [
             (json!({"Me": 1}), "Me: may not change in service"),
             (json!({"Contract": {"ColdShare": 1}}), "Contract: may not change"),
             (
@@ -368,13 +379,13 @@
             (json!({"Votes": {"Term": "5 s"}}), "Votes.Term: invalid type"),
             (json!({"Votes": {"Majority": 0.5}}), "Votes.Majority: a number above 0.5, up to 1 expected"),
         ] {
-            let error = policy(wrong).check().expect_err(words).to_string();
-            assert!(error.starts_with(words), "{error}");
+            let error = policy(invalid).check().expect_err(message).to_string();
+            assert!(error.starts_with(message), "{error}");
         }
     }
 
     #[test]
-    fn a_policy_lies_over_the_settings_and_votes_are_its_own() {
+    fn a_policy_overrides_settings_and_is_the_only_source_of_votes() {
         let settings =
             json!({"Me": 3, "Classes": [{"Name": "a", "Slo": 9}], "Retry": null, "Votes": {"Cap": 0.1}});
         let all = json!({
@@ -382,11 +393,11 @@
             "Retry": {"BudgetShare": 0.1}, "Ejection": {"Failures": 3, "AtMost": 0.5}, "ServerWeights": {"s": 0.5},
             "ServerBans": ["s"], "Votes": {"Voters": 3}
         });
-        let mut whole = all.clone();
-        whole["Me"] = json!(3);
-        assert_eq!(policy(all).apply_to(&settings), Ok(whole));
-        let plain = policy(json!({})).apply_to(&settings).expect("no change");
-        assert_eq!((&plain["Votes"], &plain["Classes"]), (&Value::Null, &settings["Classes"]));
+        let mut merged = all.clone();
+        merged["Me"] = json!(3);
+        assert_eq!(policy(all).apply_to(&settings), Ok(merged));
+        let unchanged = policy(json!({})).apply_to(&settings).expect("no change");
+        assert_eq!((&unchanged["Votes"], &unchanged["Classes"]), (&Value::Null, &settings["Classes"]));
         for list in ["Classes", "Customers"] {
             let error = policy(json!({list: [{"Name": "b"}]})).apply_to(&settings);
             assert_eq!(error, Err(PolicyError::UnknownField(format!("{list}[b]"))));
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -1,28 +1,32 @@
-//! The node's side of the session and of a change: pure, with times and messages in and what is to be done out.
+//! The node's state machine for its session with the leader and for policy changes. It does no I/O: it takes times and
+//! messages, and returns the effects that the caller must carry out.
 //!
-//! Need: a node takes a request under an epoch only while it may, however it is cut off, stopped or started anew.
-//! Shape: [`Member::admit`] is asked at each admission with the time of that moment, so that a process that was
-//! stopped finds its promise or lease over before it takes anything.
+//! Goal: a node admits a request under an epoch only while it is allowed to, even if it is partitioned, paused or
+//! restarted. Design: [`Member::admit`] is called at each admission with the current time, so that a process that was
+//! paused finds its promise or lease expired before it admits anything.
 //!
-//! Why each span holds:
-//! - *Promise.* It runs from the check's end, before any beat tells of it, and is made longer only by an answer that
-//!   shows the change still under way, counted from the sending of the beat that was answered. An answer shows what it
-//!   tells, or, where it says [`AgreedUpdate::Unchanged`], what was known when that beat was sent and is named by both. The leader made sure
-//!   after that beat came that it still led, so no commit had been made when the beat was sent: a commit at `T` finds
-//!   each promise over by `T + promise_ms`. Past it the member is in doubt until it hears what became of the change.
-//! - *Lease.* It runs from the beat's sending, and the leader counts it from its answer, which is later.
-//! - *Join.* Nothing is taken before the first answer, and that comes only when the process stands in the roster:
-//!   whoever takes requests is one whom a commit must count. A process started anew has lost its promise, and with it
-//!   all right to take requests: it joins as somebody new and is asked anew.
-//! - *Order.* What is agreed is taken only when it is newer (by version) than what is known; an answer to a beat that
-//!   was sent when a newer version was known already shows that the group has lost what it had acknowledged.
+//! Why each deadline is safe:
+//! - *Promise.* It runs from the end of the check, before any heartbeat announces it, and is extended only by a reply
+//!   that shows the change as still pending, counted from when the answered heartbeat was sent. A reply shows the state
+//!   that it contains or, with [`AgreedUpdate::Unchanged`], the state that was known when that heartbeat was sent and
+//!   that both of them name. The leader confirmed after receiving that heartbeat that it still led, so no commit had
+//!   been written when the heartbeat was sent: at a commit at time `T`, every promise ends by `T + promise_ms`. After
+//!   its promise the member is in doubt, and admits nothing, until it learns the outcome of the change.
+//! - *Lease.* It runs from when the heartbeat was sent; the leader counts it from its reply, which is later.
+//! - *Join.* Nothing is admitted before the first reply, and that comes only once the process is in the roster, so every
+//!   process that admits requests is one that a commit must count. A restarted process has lost its promise, and with it
+//!   the right to admit requests: it joins as a new process and is asked to stage the change again.
+//! - *Order.* An agreed state is applied only if it is newer (by version) than the known one. If the reply to a
+//!   heartbeat shows an older version than the one known when that heartbeat was sent, the group has lost state that it
+//!   had acknowledged.
 //!
-//! Epochs only grow. If the group's epoch is older than the active one (it was set up again from an old backup), the
-//! member keeps its own, says so, and tells the group by its beats, which then gives no number again that a member
-//! has known: the next change brings all of them forward. Where the fleet is fenced it has no lease meanwhile.
+//! Epochs only grow. If the group's epoch is older than the active one (the group was restored from an old backup), the
+//! member keeps its own, reports it to the operator, and names it in its heartbeats. The group then assigns no number
+//! again that a member has known, and the next change brings all members forward. In a fenced fleet the member has no
+//! lease until then.
 //!
-//! [`StartMode::UseSaved`] buys service without a control group at the price of the bound: a process that has joined nobody
-//! serves by an epoch that may be old by then, until it reaches a leader. A fenced fleet's node does not do so.
+//! [`StartMode::UseSaved`] trades the bound on mixed policies for service without a control group: a process that has
+//! not joined yet serves by an epoch that may be outdated, until it reaches a leader. A fenced fleet's node does not.
 
 use std::net::SocketAddr;
 
@@ -33,87 +37,87 @@
     StageReply, Stamp, StateId,
 };
 
-/// How long after a beat the next one is sent while no leader has said so, in milliseconds.
-const BEAT_MS: Millis = 250.0;
-/// The longest words of a refusal, in bytes.
-const WORDS_MOST: usize = 256;
+/// The heartbeat interval before a leader has set one, in milliseconds.
+const DEFAULT_HEARTBEAT_INTERVAL_MS: Millis = 250.0;
+/// The maximum length of the reason of a refusal, in bytes.
+const MAX_REASON_BYTES: usize = 256;
 
-/// How a process comes to its first epoch.
+/// How a process gets its first epoch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StartMode {
-    /// It takes nothing until a leader has answered.
+    /// It admits nothing until a leader has answered.
     Wait,
-    /// If no leader has answered `after_ms` after the start, it serves by the epoch that was saved.
+    /// If no leader has answered `after_ms` after the start, it serves by the saved epoch.
     UseSaved {
-        /// How long it tries first.
+        /// How long it waits for a leader first.
         after_ms: Millis,
     },
 }
 
-/// What a process is told at its start.
+/// The configuration of a [`Member`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberConfig {
-    /// Who it is.
+    /// The identity of this process.
     pub process: Process,
-    /// Where it listens as long as it lives.
+    /// The address that this process listens on until it exits.
     pub liveness_addr: SocketAddr,
-    /// An older process of this node goes on beside it.
+    /// An older process of this node remains a member next to this one.
     pub coexists_with_previous: bool,
-    /// How it comes to its first epoch.
+    /// How the process gets its first epoch.
     pub start_mode: StartMode,
 }
 
-/// What a node keeps on its disk for [`StartMode::UseSaved`].
+/// What a node stores on disk for [`StartMode::UseSaved`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SavedEpoch {
-    /// The epoch that it judged by last.
+    /// The last active epoch.
     pub epoch: Epoch,
     /// Its policy.
     pub policy: Policy,
-    /// The fleet was fenced: nothing is taken without a lease, whatever [`StartMode`] says.
+    /// The fleet was fenced: nothing is admitted without a lease, whatever the [`StartMode`].
     #[serde(default)]
     pub fenced: bool,
 }
 
-/// What the caller is to do.
+/// What the caller must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// See whether this node can bear the change, and say so by [`Member::on_check_result`].
+    /// Check whether this node can apply the change, and report the result by [`Member::on_check_result`].
     Check(Change),
-    /// From now on requests are judged by this policy.
+    /// Judge requests by this policy from now on.
     Activate {
         /// Its epoch.
         epoch: Epoch,
         /// The policy.
         policy: Policy,
     },
-    /// Keep this on the disk in place of what was kept before.
+    /// Store this on disk, replacing what was stored before.
     Save(SavedEpoch),
-    /// The change takes hold nowhere: what was made ready for it can go.
+    /// The change was aborted: whatever was prepared for it can be dropped.
     Discard(ChangeId),
-    /// The next beat is due at once.
+    /// Send the next heartbeat immediately.
     SendHeartbeat,
-    /// One line for the operator.
+    /// Log one line for the operator.
     NotifyOperator(String),
 }
 
-/// Why nothing new is taken.
+/// Why no new request is admitted.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum AdmissionError {
     /// No epoch is known yet.
     NoEpoch,
-    /// The promise about a change has passed, and what became of it is not known.
+    /// The promise about a change has expired, and its outcome is unknown.
     InDoubt,
-    /// The fleet is fenced and the lease has run out.
+    /// The fleet is fenced and the lease has expired.
     NoLease,
-    /// Another process has this one's place, or operators have removed it.
+    /// Another process of this node has replaced this one, or operators have removed it.
     Superseded,
     /// It has closed its session.
     Leaving,
 }
 
 impl AdmissionError {
-    /// In a few words, for a client and for the log.
+    /// Returns a short description for clients and the log.
     pub fn description(self) -> &'static str {
         match self {
             Self::NoEpoch => "no agreed policy known yet",
@@ -125,101 +129,101 @@
     }
 }
 
-/// How far this process is with the change under way.
+/// This process's progress with the pending change.
 #[derive(Clone, Debug, PartialEq)]
-enum Work {
+enum StageStatus {
     Checking,
     Staged { until: Millis },
-    Refused { words: String },
+    Refused { reason: String },
 }
 
-/// A state of what is agreed, as far as answers go by it.
+/// The parts of an agreed state that replies are checked against.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Stand {
-    known: StateId,
+struct StateSummary {
+    id: StateId,
     epoch: Epoch,
     change: Option<ChangeId>,
 }
 
-impl Stand {
+impl StateSummary {
     fn of(agreed: &AgreedState) -> Self {
         let change = agreed.change.as_ref().map(|change| change.id);
-        Self { known: agreed.state_id(), epoch: agreed.epoch, change }
+        Self { id: agreed.state_id(), epoch: agreed.epoch, change }
     }
 }
 
-/// The member's state.
+/// The state machine of one process of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     config: MemberConfig,
-    /// What the disk holds; of the active epoch, once there is one.
+    /// What the disk holds; that of the active epoch, once there is one.
     saved: Option<SavedEpoch>,
-    started: Millis,
+    started_at: Millis,
     joined: bool,
     superseded: bool,
     leaving: bool,
-    active: Option<Epoch>,
-    /// The newest state that was taken, and the one known when the last beat was sent.
-    stand: Option<Stand>,
-    stand_at_beat: Option<Stand>,
-    change: Option<(Change, Work)>,
-    /// The sending of the newest beat, for which `stand_at_beat` holds.
-    beat_at: Millis,
-    echo: Option<Stamp>,
+    active_epoch: Option<Epoch>,
+    /// The newest applied state, and the one that was known when the last heartbeat was sent.
+    state: Option<StateSummary>,
+    state_at_heartbeat: Option<StateSummary>,
+    change: Option<(Change, StageStatus)>,
+    /// When the newest heartbeat was sent, which `state_at_heartbeat` belongs to.
+    heartbeat_at: Millis,
+    newest_stamp: Option<Stamp>,
     fenced: bool,
-    lease: Option<Millis>,
+    lease_until: Option<Millis>,
     promise_ms: Millis,
-    next_beat: Millis,
-    /// What the newest beat did not say yet.
-    unsaid: bool,
-    told_older: bool,
+    next_heartbeat_at: Millis,
+    /// Something has changed that the newest heartbeat does not contain.
+    heartbeat_outdated: bool,
+    older_epoch_reported: bool,
 }
 
 impl Member {
-    /// A process that starts at `now`; `saved` is what the node's disk holds of [`Effect::Save`].
+    /// Creates the member for a process that starts at `now`; `saved` is what the node's disk holds of [`Effect::Save`].
     pub fn new(config: MemberConfig, saved: Option<SavedEpoch>, now: Millis) -> Self {
         Self {
             config,
             saved,
-            started: now,
+            started_at: now,
             joined: false,
             superseded: false,
             leaving: false,
-            active: None,
-            stand: None,
-            stand_at_beat: None,
+            active_epoch: None,
+            state: None,
+            state_at_heartbeat: None,
             change: None,
-            beat_at: now,
-            echo: None,
+            heartbeat_at: now,
+            newest_stamp: None,
             fenced: false,
-            lease: None,
+            lease_until: None,
             promise_ms: 0.0,
-            next_beat: now,
-            unsaid: false,
-            told_older: false,
+            next_heartbeat_at: now,
+            heartbeat_outdated: false,
+            older_epoch_reported: false,
         }
     }
 
-    /// The beat to be sent right now. One is out at a time; the caller gives it up after a bound of its own.
+    /// Returns the heartbeat to send at `now`. At most one may be in flight; the caller applies its own timeout.
     pub fn heartbeat(&mut self, now: Millis) -> Heartbeat {
-        self.beat_at = now;
-        self.stand_at_beat = self.stand;
-        self.next_beat = now + BEAT_MS;
-        self.unsaid = false;
+        self.heartbeat_at = now;
+        self.state_at_heartbeat = self.state;
+        self.next_heartbeat_at = now + DEFAULT_HEARTBEAT_INTERVAL_MS;
+        self.heartbeat_outdated = false;
         Heartbeat {
             process: self.config.process.clone(),
             liveness_addr: self.config.liveness_addr,
             coexists_with_previous: self.config.coexists_with_previous,
-            echoed_stamp: self.echo,
-            active_epoch: self.active,
-            known_state: self.stand.map(|stand| stand.known),
-            stage_reply: self.change.as_ref().and_then(|(change, work)| match work {
-                Work::Checking => None,
-                Work::Staged { until } => {
+            echoed_stamp: self.newest_stamp,
+            active_epoch: self.active_epoch,
+            known_state: self.state.map(|state| state.id),
+            stage_reply: self.change.as_ref().and_then(|(change, status)| match status {
+                StageStatus::Checking => None,
+                StageStatus::Staged { until } => {
                     Some(StageReply::Staged { change: change.id, remaining_ms: (until - now).max(0.0) })
                 }
-                Work::Refused { words } => {
-                    Some(StageReply::Refused { change: change.id, reason: words.clone() })
+                StageStatus::Refused { reason } => {
+                    Some(StageReply::Refused { change: change.id, reason: reason.clone() })
                 }
             }),
             leaving: self.leaving,
@@ -228,114 +232,119 @@
         }
     }
 
-    /// When the next beat is due. One that got no answer is followed by another at this time, too.
+    /// Returns when the next heartbeat is due. If one stays unanswered, the next one is due at this time too.
     pub fn next_heartbeat_at(&self) -> Millis {
-        self.next_beat
+        self.next_heartbeat_at
     }
 
-    /// When [`Member::on_timer`] is due, if ever.
+    /// Returns when [`Member::on_timer`] is due, if at all.
     pub fn timer_due_at(&self) -> Option<Millis> {
         match (self.config.start_mode, &self.saved) {
-            (StartMode::UseSaved { after_ms }, Some(saved)) if !self.joined && self.active.is_none() => {
-                (!saved.fenced && !self.leaving).then_some(self.started + after_ms)
+            (StartMode::UseSaved { after_ms }, Some(saved))
+                if !self.joined && self.active_epoch.is_none() =>
+            {
+                (!saved.fenced && !self.leaving).then_some(self.started_at + after_ms)
             }
             _ => None,
         }
     }
 
-    /// Time has passed: with [`StartMode::UseSaved`] the saved epoch may be due.
+    /// Handles the passage of time: with [`StartMode::UseSaved`], activates the saved epoch once it is due.
     pub fn on_timer(&mut self, now: Millis) -> Vec<Effect> {
         if !self.timer_due_at().is_some_and(|at| now >= at) {
             return Vec::new();
         }
         let Some(SavedEpoch { epoch, policy, .. }) = self.saved.clone() else { return Vec::new() };
-        self.active = Some(epoch);
-        let tell = format!(
-            "no leader of the control group has answered: serving by the saved epoch {epoch}, which may be old; \
-             see whether the replicas run and can be reached"
+        self.active_epoch = Some(epoch);
+        let message = format!(
+            "no leader of the control group has answered: serving by the saved epoch {epoch}, which may be outdated; \
+             check that the replicas run and can be reached"
         );
-        vec![Effect::Activate { epoch, policy }, Effect::NotifyOperator(tell)]
+        vec![Effect::Activate { epoch, policy }, Effect::NotifyOperator(message)]
     }
 
-    /// The leader has answered the beat that was handed out at `sent`.
-    pub fn on_reply(&mut self, sent: Millis, answer: HeartbeatReply, now: Millis) -> Vec<Effect> {
+    /// Handles the leader's reply to the heartbeat that was created at `sent_at`.
+    pub fn on_reply(&mut self, sent_at: Millis, reply: HeartbeatReply, now: Millis) -> Vec<Effect> {
         if self.superseded {
             return Vec::new();
         }
-        if answer.superseded {
+        if reply.superseded {
             self.superseded = true;
             if self.leaving {
                 return Vec::new();
             }
             return vec![Effect::NotifyOperator(
-                "superseded: another process of this node has joined, or operators removed it; takes nothing more. \
-                 If two nodes were given one name, give this one another; then start it anew"
+                "superseded: another process of this node has joined, or operators removed this one; no new requests \
+                 are admitted. If two nodes have the same name, rename one; then restart this node"
                     .to_owned(),
             )];
         }
-        let older = |echo: Stamp| (echo.term, echo.time) >= (answer.stamp.term, answer.stamp.time);
-        if !self.echo.is_some_and(older) {
-            self.echo = Some(answer.stamp);
+        let is_at_least_as_new =
+            |known: Stamp| (known.term, known.time) >= (reply.stamp.term, reply.stamp.time);
+        if !self.newest_stamp.is_some_and(is_at_least_as_new) {
+            self.newest_stamp = Some(reply.stamp);
         }
         self.joined = true;
-        self.promise_ms = answer.promise_ms;
-        self.next_beat = if self.unsaid { now } else { now + answer.heartbeat_interval_ms };
+        self.promise_ms = reply.promise_ms;
+        self.next_heartbeat_at =
+            if self.heartbeat_outdated { now } else { now + reply.heartbeat_interval_ms };
         let mut effects = Vec::new();
-        self.fenced |= answer.fenced;
-        let shown = match answer.update {
+        self.fenced |= reply.fenced;
+        let proven = match reply.update {
             AgreedUpdate::Changed(agreed) => {
-                let shown = Stand::of(&agreed);
-                if let Some(lost) = self.lost(sent, &agreed) {
-                    effects.push(Effect::NotifyOperator(lost));
-                    self.stand = None;
+                let proven = StateSummary::of(&agreed);
+                if let Some(message) = self.lost_state_message(sent_at, &agreed) {
+                    effects.push(Effect::NotifyOperator(message));
+                    self.state = None;
                 }
-                self.take(agreed, now, &mut effects);
-                Some(shown)
+                self.apply(agreed, now, &mut effects);
+                Some(proven)
             }
-            // Of another state nothing is known here but its name.
-            AgreedUpdate::Unchanged(known) => self.stand_at_beat.filter(|stand| stand.known == known),
+            // Of any other state only the ID is known here, not the epoch or the change.
+            AgreedUpdate::Unchanged(id) => self.state_at_heartbeat.filter(|state| state.id == id),
         };
-        let Some(Stand { epoch, change: asked, .. }) = shown else { return effects };
-        if let Some((change, Work::Staged { until })) = &mut self.change {
-            if asked == Some(change.id) {
-                *until = until.max(sent + answer.promise_ms);
+        let Some(StateSummary { epoch, change: pending, .. }) = proven else { return effects };
+        if let Some((change, StageStatus::Staged { until })) = &mut self.change {
+            if pending == Some(change.id) {
+                *until = until.max(sent_at + reply.promise_ms);
             }
         }
-        if let Some(lease_ms) = answer.lease_ms.filter(|_| self.active == Some(epoch)) {
-            let until = sent + lease_ms;
-            self.lease = Some(self.lease.map_or(until, |lease| lease.max(until)));
+        if let Some(lease_ms) = reply.lease_ms.filter(|_| self.active_epoch == Some(epoch)) {
+            let until = sent_at + lease_ms;
+            self.lease_until = Some(self.lease_until.map_or(until, |lease| lease.max(until)));
         }
         effects
     }
 
-    /// Words for the operator where the answer to the beat sent at `sent` tells of an older state than was known then.
-    fn lost(&self, sent: Millis, agreed: &AgreedState) -> Option<String> {
-        let before = self.stand_at_beat.filter(|_| sent == self.beat_at)?.known.version;
-        (agreed.version < before).then(|| {
+    /// Returns a message for the operator if the reply to the heartbeat sent at `sent_at` shows an older state than was
+    /// known then.
+    fn lost_state_message(&self, sent_at: Millis, agreed: &AgreedState) -> Option<String> {
+        let known = self.state_at_heartbeat.filter(|_| sent_at == self.heartbeat_at)?.id.version;
+        (agreed.version < known).then(|| {
             format!(
-                "the control group is at version {} and was at {before} before: it has lost what it had acknowledged \
-                 (set up again from a backup?); propose the policy again",
+                "the control group is at version {} and was at {known} before: it has lost state that it had \
+                 acknowledged (restored from a backup?); propose the policy again",
                 agreed.version
             )
         })
     }
 
-    /// A replica's watch has brought news: they can end a doubt, and never make a promise or a lease longer.
+    /// Handles an agreed state from a replica's watch. It can resolve a doubt, but never extends a promise or a lease.
     pub fn on_agreed_state(&mut self, agreed: AgreedState, now: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.superseded {
             return effects;
         }
         if self.joined {
-            self.take(agreed, now, &mut effects);
-        } else if self.active.is_some_and(|active| agreed.epoch > active) {
-            // Serving by the saved epoch: forward only. What is under way comes with the first answer.
+            self.apply(agreed, now, &mut effects);
+        } else if self.active_epoch.is_some_and(|active| agreed.epoch > active) {
+            // Serving by the saved epoch: move forward only. A pending change comes with the first reply.
             self.activate(agreed.epoch, agreed.policy, &mut effects);
         }
         effects
     }
 
-    /// How the check of a change ended; words if this node can't bear it.
+    /// Handles the result of checking a change: the reason, if this node cannot apply it.
     pub fn on_check_result(
         &mut self,
         change: ChangeId,
@@ -343,22 +352,22 @@
         now: Millis,
     ) -> Vec<Effect> {
         match &mut self.change {
-            Some((asked, work)) if asked.id == change && *work == Work::Checking => {
-                *work = match result {
-                    Ok(()) => Work::Staged { until: now + self.promise_ms },
-                    Err(words) => Work::Refused { words: cut(&words) },
+            Some((pending, status)) if pending.id == change && *status == StageStatus::Checking => {
+                *status = match result {
+                    Ok(()) => StageStatus::Staged { until: now + self.promise_ms },
+                    Err(reason) => StageStatus::Refused { reason: truncate_reason(&reason) },
                 };
-                self.say(now);
+                self.schedule_heartbeat(now);
                 vec![Effect::SendHeartbeat]
             }
             _ => Vec::new(),
         }
     }
 
-    /// Whether a request may be taken at `now`, and under which epoch.
+    /// Returns the epoch under which a request may be admitted at `now`.
     ///
     /// # Errors
-    /// Why not.
+    /// Why no request may be admitted.
     pub fn admit(&self, now: Millis) -> Result<Epoch, AdmissionError> {
         if self.superseded {
             return Err(AdmissionError::Superseded);
@@ -366,52 +375,53 @@
         if self.leaving {
             return Err(AdmissionError::Leaving);
         }
-        let active = self.active.ok_or(AdmissionError::NoEpoch)?;
-        if matches!(&self.change, Some((_, Work::Staged { until })) if now >= *until) {
+        let active = self.active_epoch.ok_or(AdmissionError::NoEpoch)?;
+        if matches!(&self.change, Some((_, StageStatus::Staged { until })) if now >= *until) {
             return Err(AdmissionError::InDoubt);
         }
-        if self.fenced && !self.lease.is_some_and(|until| now < until) {
+        if self.fenced && !self.lease_until.is_some_and(|until| now < until) {
             return Err(AdmissionError::NoLease);
         }
         Ok(active)
     }
 
-    /// The node ends and has nothing open: it takes nothing more from here on, and its beats close the session.
+    /// Closes the session, as the node is exiting and has no open requests: nothing is admitted from here on, and the
+    /// next heartbeats tell the leader.
     pub fn leave(&mut self, now: Millis) -> Vec<Effect> {
         self.leaving = true;
-        self.say(now);
+        self.schedule_heartbeat(now);
         vec![Effect::SendHeartbeat]
     }
 
-    /// The epoch that requests are judged by.
+    /// Returns the epoch that requests are judged by.
     pub fn active_epoch(&self) -> Option<Epoch> {
-        self.active
+        self.active_epoch
     }
 
-    /// A leader has answered since the start.
+    /// Returns whether a leader has answered since the start.
     pub fn has_joined(&self) -> bool {
         self.joined
     }
 
-    /// The leader knows that the session is closed, or another process has this one's place.
+    /// Returns whether the leader knows that the session is closed, or another process has replaced this one.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// The change that this process has staged or looks at.
+    /// Returns the change that this process is checking, has staged or has refused.
     pub fn pending_change(&self) -> Option<ChangeId> {
         self.change.as_ref().map(|(change, _)| change.id)
     }
 
-    /// Takes what is agreed if it is newer than what is known.
-    fn take(&mut self, agreed: AgreedState, now: Millis, effects: &mut Vec<Effect>) {
-        if self.stand.is_some_and(|stand| agreed.version < stand.known.version) {
+    /// Applies an agreed state if it is newer than the known one.
+    fn apply(&mut self, agreed: AgreedState, now: Millis, effects: &mut Vec<Effect>) {
+        if self.state.is_some_and(|state| agreed.version < state.id.version) {
             return;
         }
-        self.stand = Some(Stand::of(&agreed));
-        let asked = agreed.change.as_ref().map(|change| change.id);
+        self.state = Some(StateSummary::of(&agreed));
+        let pending = agreed.change.as_ref().map(|change| change.id);
         match &self.change {
-            Some((change, _)) if asked != Some(change.id) && agreed.version >= change.id.0 => {
+            Some((change, _)) if pending != Some(change.id) && agreed.version >= change.id.0 => {
                 if agreed.epoch != change.epoch {
                     effects.push(Effect::Discard(change.id));
                 }
@@ -419,12 +429,12 @@
             }
             _ => {}
         }
-        match self.active {
+        match self.active_epoch {
             Some(active) if agreed.epoch < active => {
-                if !std::mem::replace(&mut self.told_older, true) {
+                if !std::mem::replace(&mut self.older_epoch_reported, true) {
                     effects.push(Effect::NotifyOperator(format!(
-                        "the control group's epoch {} is older than this node's {active}: it keeps its own; propose \
-                         the policy again, it gets a number past {active}",
+                        "the control group's epoch {} is older than this node's {active}: the node keeps its own; \
+                         propose the policy again, it will get a number above {active}",
                         agreed.epoch
                     )));
                 }
@@ -432,42 +442,42 @@
             _ => self.activate(agreed.epoch, agreed.policy, effects),
         }
         if let Some(change) = agreed.change.filter(|_| self.change.is_none() && !self.leaving) {
-            if self.active.is_some_and(|active| change.epoch <= active) {
-                let words = format!("its epoch {} is not past this node's own", change.epoch);
-                self.change = Some((change, Work::Refused { words }));
-                self.say(now);
+            if self.active_epoch.is_some_and(|active| change.epoch <= active) {
+                let reason = format!("its epoch {} is not past this node's own", change.epoch);
+                self.change = Some((change, StageStatus::Refused { reason }));
+                self.schedule_heartbeat(now);
                 effects.push(Effect::SendHeartbeat);
             } else {
-                self.change = Some((change.clone(), Work::Checking));
+                self.change = Some((change.clone(), StageStatus::Checking));
                 effects.push(Effect::Check(change));
             }
         }
     }
 
-    /// A beat is due; if one is out, as soon as that is answered.
-    fn say(&mut self, now: Millis) {
-        self.unsaid = true;
-        self.next_beat = now;
+    /// Makes a heartbeat due now or, if one is in flight, as soon as that is answered.
+    fn schedule_heartbeat(&mut self, now: Millis) {
+        self.heartbeat_outdated = true;
+        self.next_heartbeat_at = now;
     }
 
-    /// What is agreed is judged by and kept, where it is not already.
+    /// Activates and saves an agreed epoch, unless that is done already.
     fn activate(&mut self, epoch: Epoch, policy: Policy, effects: &mut Vec<Effect>) {
-        let known = self.saved.as_ref().filter(|saved| saved.epoch == epoch && saved.policy == policy);
-        if self.active != Some(epoch) || known.is_none() {
+        let saved = self.saved.as_ref().filter(|saved| saved.epoch == epoch && saved.policy == policy);
+        if self.active_epoch != Some(epoch) || saved.is_none() {
             effects.push(Effect::Activate { epoch, policy: policy.clone() });
         }
-        if known.is_none_or(|saved| saved.fenced != self.fenced) {
+        if saved.is_none_or(|saved| saved.fenced != self.fenced) {
             let saved = SavedEpoch { epoch, policy, fenced: self.fenced };
             self.saved = Some(saved.clone());
             effects.push(Effect::Save(saved));
         }
-        self.active = Some(epoch);
+        self.active_epoch = Some(epoch);
     }
 }
 
-/// The words' first line, cut to the bound.
-fn cut(words: &str) -> String {
-    let line = words.lines().next().unwrap_or_default();
-    let end = (0..=line.len().min(WORDS_MOST)).rev().find(|&at| line.is_char_boundary(at)).unwrap_or(0);
+/// Returns the first line of a reason, truncated to [`MAX_REASON_BYTES`].
+fn truncate_reason(reason: &str) -> String {
+    let line = reason.lines().next().unwrap_or_default();
+    let end = (0..=line.len().min(MAX_REASON_BYTES)).rev().find(|&at| line.is_char_boundary(at)).unwrap_or(0);
     line[..end].to_owned()
 }
--- a/crates/member/src/votes.rs
+++ b/crates/member/src/votes.rs
@@ -1,77 +1,79 @@
-//! What nodes and the control group say to each other about servers that look bad: ballots and verdicts.
+//! Ballots and verdicts: how nodes and the control group agree that a server is bad and removed from the rotation.
 //!
-//! Need: a node that ejects alone pays for each bad server itself, and one with a bad link of its own takes good servers
-//! out of its turns. Shape: with votes on, a node's own evidence makes a server a *suspect* there; its *ballot* goes
-//! with its beats to the leader, which keeps one a node and server in its memory and lets it lapse. Where those who have
-//! sent to the server of late agree, the leader writes a verdict, and the log, which sees all verdicts in one order,
-//! holds the caps. What is in force is told with the agreed policy.
+//! Goal: a node that ejects servers on its own pays for each bad server itself, and a node with a bad link of its own
+//! ejects good servers. Design: with votes enabled, a node's own evidence makes a server a *suspect* on that node only.
+//! Its *ballot* goes to the leader with its heartbeats; the leader keeps one ballot per node and server in memory, and
+//! lets it expire. If those nodes that have sent to the server recently agree, the leader writes a verdict. The log,
+//! which sees all verdicts in one order, enforces the removal caps. Verdicts in force are distributed together with the
+//! agreed policy.
 //!
-//! Votes are on where the agreed policy has an object `Votes` ([`VoteSettings`]): each figure that decides changes at every
-//! node or at none.
+//! Votes are enabled if the agreed policy has an object `Votes` ([`VoteSettings`]), so every parameter changes on all
+//! nodes or on none.
 //!
-//! Rejected: ballots as entries of the log, as 300 nodes that renew them each second would write more than all else
-//! that is agreed; and a gossip of suspicions, as two nodes would then act on different counts.
+//! Rejected: ballots as log entries, because 300 nodes that renew them every second would write more than everything
+//! else that is agreed; and gossiped suspicions, because two nodes would then act on different counts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 
-/// The most ballots of one beat; the worst suspects come first.
+/// The maximum number of ballots per heartbeat; the worst suspects come first.
 pub const MAX_BALLOTS: usize = 32;
-/// The longest name of a server or zone, in bytes.
+/// The maximum length of a server's or zone's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// The most zones that a node tells of.
+/// The maximum number of zones that a node reports.
 pub const MAX_ZONES: usize = 16;
 
-/// The figures of the votes, `Votes` in a policy. What is left out has the figure given here.
+/// The parameters of votes: `Votes` in a policy. A field that is left out has its default.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "PascalCase")]
 pub struct VoteSettings {
-    /// Evidence counts that is no older, in ms.
+    /// The window over which attempts count as evidence, in ms.
     #[serde(rename = "Window")]
     pub evidence_window: Millis,
-    /// A ballot that is not renewed lapses after this time, in ms.
+    /// The time after which a ballot that is not renewed expires, in ms.
     #[serde(rename = "Ballot")]
     pub ballot_ttl: Millis,
-    /// Attempts within the window that a node needs for a ballot at all. One will do: where evidence is thin at each node,
-    /// it is still plain in the sum.
+    /// The minimum number of attempts within the window for a node to cast a ballot. One is enough by default: evidence
+    /// that is thin on each node is still clear in the sum.
     #[serde(rename = "Attempts")]
     pub min_attempts: u32,
-    /// Failed part of a node's attempts within the window from which on it is for the removal, from 0 to 1.
+    /// The fraction of a node's attempts within the window that must have failed for it to vote for the removal, from 0
+    /// to 1.
     #[serde(rename = "Failed")]
     pub failure_ratio: f64,
-    /// Votes for a removal that are needed at the least.
+    /// The minimum number of votes for a removal.
     #[serde(rename = "Voters")]
     pub min_voters: u32,
-    /// Failures that the voters for a removal need together, at the least.
+    /// The minimum number of failures that the voters for a removal have seen together.
     #[serde(rename = "Evidence")]
     pub min_failures: u32,
-    /// Part of the weight of all evidence that must be for a removal, over 0.5 to 1.
+    /// The fraction of the total voting weight that must be for a removal, above 0.5, up to 1.
     pub majority: f64,
-    /// Attempts beyond which one voter's evidence weighs no more; nor does it beyond the median of all voters. So a liar
-    /// gains nothing by claiming much.
+    /// The maximum weight of one voter, in attempts. The median of all voters' attempts caps it too, so a faulty voter
+    /// gains nothing by claiming many.
     #[serde(rename = "Weight")]
     pub max_voter_weight: u32,
-    /// A node that suspects a larger part of its servers, and two of them at least, doubts itself and abstains, from 0
-    /// to 1.
+    /// A node that suspects more than this fraction of its servers, and at least two, assumes that it is faulty itself
+    /// and abstains, from 0 to 1.
     #[serde(rename = "Doubt")]
     pub abstain_ratio: f64,
-    /// The most of a zone's servers that are removed by votes at a time, from 0 to 1.
+    /// The maximum fraction of a zone's servers that votes may remove at the same time, from 0 to 1.
     #[serde(rename = "Cap")]
     pub removal_cap: f64,
-    /// How long a verdict holds until the server is probed, in ms.
+    /// How long a verdict holds before the server is probed, in ms.
     #[serde(rename = "Term")]
     pub verdict_term: Millis,
-    /// Nodes that probe a server when its term is over.
+    /// The number of nodes that probe a server when a verdict's term has ended.
     #[serde(rename = "Probers")]
     pub prober_count: u32,
-    /// How long a suspect gets nothing from the node that suspects it, on that node's word alone, in ms.
+    /// How long a node sends nothing to a server that it alone suspects, in ms.
     #[serde(rename = "Aside")]
     pub suspect_pause: Millis,
-    /// Part of its turns that a suspect keeps after that, over 0 to 1.
+    /// The fraction of its turns that a suspect gets after that pause, above 0, up to 1.
     #[serde(rename = "Trickle")]
     pub suspect_share: f64,
-    /// How old the newest word of the group may be before verdicts lapse, in ms.
+    /// The maximum age of the last contact with the group for verdicts to stay in force, in ms.
     #[serde(rename = "Word")]
     pub contact_timeout: Millis,
 }
@@ -98,88 +100,88 @@
     }
 }
 
-/// A figure that can't be.
+/// A parameter of votes is out of its range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("Votes.{field}: {expected} expected")]
 pub struct VoteSettingsError {
-    /// Which.
+    /// The field's name in the policy.
     pub field: &'static str,
-    /// What it must be.
+    /// The allowed values.
     pub expected: &'static str,
 }
 
 impl VoteSettings {
-    /// Whether the figures make sense.
+    /// Checks the range of every parameter.
     ///
     /// # Errors
-    /// The first one that does not.
+    /// Names the first parameter that is out of its range.
     pub fn check(&self) -> Result<(), VoteSettingsError> {
-        let span = |ms: Millis| (100.0..=600_000.0).contains(&ms);
-        let part = |part: f64| part > 0.0 && part <= 1.0;
-        const SPAN: &str = "a time from 100 to 600,000 ms";
-        const PART: &str = "a number above 0, up to 1";
+        let is_duration = |ms: Millis| (100.0..=600_000.0).contains(&ms);
+        let is_fraction = |fraction: f64| fraction > 0.0 && fraction <= 1.0;
+        const DURATION: &str = "a time from 100 to 600,000 ms";
+        const FRACTION: &str = "a number above 0, up to 1";
         const COUNT: &str = "a whole number from 1 to 1,000";
-        let count = |count: u32| (1..=1000).contains(&count);
+        let is_count = |count: u32| (1..=1000).contains(&count);
         let rules = [
-            ("Window", span(self.evidence_window), SPAN),
-            ("Ballot", span(self.ballot_ttl), SPAN),
-            ("Attempts", count(self.min_attempts), COUNT),
-            ("Failed", part(self.failure_ratio), PART),
-            ("Voters", count(self.min_voters), COUNT),
-            ("Evidence", count(self.min_failures), COUNT),
+            ("Window", is_duration(self.evidence_window), DURATION),
+            ("Ballot", is_duration(self.ballot_ttl), DURATION),
+            ("Attempts", is_count(self.min_attempts), COUNT),
+            ("Failed", is_fraction(self.failure_ratio), FRACTION),
+            ("Voters", is_count(self.min_voters), COUNT),
+            ("Evidence", is_count(self.min_failures), COUNT),
             ("Majority", self.majority > 0.5 && self.majority <= 1.0, "a number above 0.5, up to 1"),
             (
                 "Weight",
-                count(self.max_voter_weight) && self.max_voter_weight >= self.min_attempts,
+                is_count(self.max_voter_weight) && self.max_voter_weight >= self.min_attempts,
                 "no less than Attempts, up to 1,000",
             ),
-            ("Doubt", part(self.abstain_ratio), PART),
-            ("Cap", part(self.removal_cap), PART),
-            ("Term", span(self.verdict_term), SPAN),
-            ("Probers", count(self.prober_count), COUNT),
-            ("Aside", span(self.suspect_pause), SPAN),
-            ("Trickle", part(self.suspect_share), PART),
-            ("Word", span(self.contact_timeout), SPAN),
+            ("Doubt", is_fraction(self.abstain_ratio), FRACTION),
+            ("Cap", is_fraction(self.removal_cap), FRACTION),
+            ("Term", is_duration(self.verdict_term), DURATION),
+            ("Probers", is_count(self.prober_count), COUNT),
+            ("Aside", is_duration(self.suspect_pause), DURATION),
+            ("Trickle", is_fraction(self.suspect_share), FRACTION),
+            ("Word", is_duration(self.contact_timeout), DURATION),
         ];
-        match rules.iter().find(|(_, good, _)| !good) {
+        match rules.iter().find(|(_, valid, _)| !valid) {
             Some(&(field, _, expected)) => Err(VoteSettingsError { field, expected }),
             None => Ok(()),
         }
     }
 }
 
-/// What a node holds of a server.
+/// A node's vote on the removal of a server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Vote {
-    /// It should be removed (or stay so).
+    /// It should be removed, or stay removed.
     For,
-    /// It should stay (or come back).
+    /// It should stay in the rotation, or return to it.
     Against,
 }
 
-/// What a node has seen of a server within the window. Attempts that were called off, or that had too little time to
-/// say anything, count nowhere.
+/// The outcomes of a node's attempts at a server within the evidence window. Attempts that were cancelled, or that had
+/// too little time to prove anything, are not counted.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Evidence {
     /// Attempts that ended.
     pub attempts: u32,
-    /// Of these, connections refused or not made in time.
+    /// Of these, connections that were refused or not made in time.
     #[serde(default, rename = "connects")]
     pub connect_failures: u32,
     /// Connections that broke.
     #[serde(default, rename = "breaks")]
     pub connection_resets: u32,
-    /// No answer in time.
+    /// Attempts without an answer in time.
     #[serde(default)]
     pub timeouts: u32,
-    /// Errors, and answers that can't be read.
+    /// Errors, and answers that cannot be parsed.
     #[serde(default)]
     pub errors: u32,
 }
 
 impl Evidence {
-    /// This and more.
+    /// Returns the sum of both.
     pub fn combined(&self, more: &Self) -> Self {
         Self {
             attempts: self.attempts.saturating_add(more.attempts),
@@ -190,7 +192,7 @@
         }
     }
 
-    /// How many of the attempts failed.
+    /// Returns the number of attempts that failed.
     pub fn failures(&self) -> u32 {
         self.connect_failures
             .saturating_add(self.connection_resets)
@@ -199,61 +201,61 @@
     }
 }
 
-/// What one node says of one server. A node that has too few attempts, or doubts itself, says nothing of it.
+/// One node's vote on one server. A node that has too few attempts, or abstains, casts none.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Ballot {
     /// The server.
     pub server: String,
-    /// When the process started that the evidence is about (`born_ms` of the list).
+    /// The start time of the server process that the evidence is about (`born_ms` of the list).
     pub born_ms: f64,
-    /// Its zone.
+    /// The server's zone.
     #[serde(default)]
     pub zone: String,
-    /// For or against.
+    /// For or against the removal.
     #[serde(rename = "stand")]
     pub vote: Vote,
-    /// By what.
+    /// What the vote rests on.
     pub evidence: Evidence,
 }
 
-/// What a beat says of servers.
+/// What a heartbeat reports about servers.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct VoteReport {
-    /// The node's own zone, where its configuration tells one.
+    /// The node's own zone, if it is configured.
     #[serde(default)]
     pub zone: Option<String>,
-    /// How many servers of each zone it has listed as up.
+    /// The number of servers listed as up, by zone.
     #[serde(default, rename = "up")]
     pub up_servers: Vec<(String, u32)>,
     /// It suspects too many servers, and abstains.
     #[serde(default, rename = "doubts")]
     pub abstains: bool,
-    /// Its standing ballots, [`MAX_BALLOTS`] at most; they replace those of its beat before.
+    /// Its current ballots, at most [`MAX_BALLOTS`]; they replace those of its previous heartbeat.
     #[serde(default)]
     pub ballots: Vec<Ballot>,
 }
 
-/// What is in force for a server, as nodes are told.
+/// The verdict in force on a server, as sent to nodes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Verdict {
     /// The server.
     pub server: String,
-    /// The process that it is about: one with another start is not meant.
+    /// The start time of the server process that the verdict is about; it does not apply to a process with another one.
     pub born_ms: f64,
-    /// It holds for nodes of these zones alone; for all where there are none.
+    /// It applies to nodes of these zones only; to all nodes if empty.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Nodes that are to send it a little again, now that its term is over. Others send nothing.
+    /// The nodes that probe the server with a little traffic now that the term has ended. Other nodes send nothing.
     #[serde(default)]
     pub probers: Vec<String>,
 }
 
-/// What the log says of servers, at one of its versions.
+/// All verdicts in force at one version of the log.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Verdicts {
-    /// The log's version that they last changed at.
+    /// The log version at which they last changed.
     pub version: u64,
-    /// Those in force, in the order of servers.
+    /// The verdicts, ordered by server.
     pub verdicts: Vec<Verdict>,
 }
 
@@ -262,19 +264,19 @@
     use super::*;
 
     #[test]
-    fn figures_that_can_not_be_are_named() {
+    fn parameters_out_of_range_are_rejected_by_name() {
         assert_eq!(VoteSettings::default().check(), Ok(()));
-        let read = |json: &str| serde_json::from_str::<VoteSettings>(json);
-        assert!(read(r#"{"Speed": 1}"#).is_err());
-        for (json, words) in [
+        let parse = |json: &str| serde_json::from_str::<VoteSettings>(json);
+        assert!(parse(r#"{"Speed": 1}"#).is_err());
+        for (json, message) in [
             (r#"{"Majority": 0.5}"#, "Votes.Majority: a number above 0.5, up to 1 expected"),
             (r#"{"Attempts": 3, "Weight": 2}"#, "Votes.Weight: no less than Attempts, up to 1,000 expected"),
             (r#"{"Cap": 0}"#, "Votes.Cap: a number above 0, up to 1 expected"),
             (r#"{"Term": 1e9}"#, "Votes.Term: a time from 100 to 600,000 ms expected"),
             (r#"{"Voters": 0}"#, "Votes.Voters: a whole number from 1 to 1,000 expected"),
         ] {
-            let error = read(json).expect("readable").check().expect_err(json);
-            assert_eq!(error.to_string(), words);
+            let error = parse(json).expect("parses").check().expect_err(json);
+            assert_eq!(error.to_string(), message);
         }
     }
 }
