--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,4 +1,4 @@
-//! The log's commands, and what comes of them.
+//! The log's commands and their outcomes.
 
 use std::net::SocketAddr;
 
@@ -11,46 +11,46 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// For the roster.
+    /// Changes the roster.
     Roster(RosterCommand),
-    /// For the policy.
+    /// Changes the policy.
     Policy(PolicyCommand),
-    /// For servers that are removed by votes.
+    /// Changes the verdicts on servers.
     Verdict(VerdictCommand),
 }
 
-/// What changes the roster.
+/// A change of the roster.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RosterCommand {
-    /// A process becomes a member. Unless it comes `beside`, older processes of its name are members no more: a leader
-    /// writes it only when these were silent for a session (a name belongs to one node). Repeated, it changes no
-    /// member; from a process that has left, it is refused.
+    /// A process becomes a member. Unless it has `coexists_with_previous`, older processes of its name cease to be
+    /// members: a leader writes it only once these were silent for a session timeout (a name belongs to one node). It
+    /// changes nothing for a process that is a member already, and is refused for a process that has left.
     Join {
-        /// Who.
+        /// The process.
         process: Process,
-        /// Where it listens as long as it lives.
+        /// The address that it listens on until it exits.
         #[serde(rename = "life")]
         liveness_addr: SocketAddr,
-        /// An older process of its name stays a member.
+        /// An older process of its name remains a member.
         #[serde(rename = "beside")]
         coexists_with_previous: bool,
-        /// It takes nothing without a lease, from now to its end.
+        /// It admits no request without a lease, from its join to its end.
         #[serde(default)]
         fenced: bool,
-        /// The epoch that it knows: none of the numbers up to this is given to another policy.
+        /// The epoch that it knows: no number up to this one is assigned to another policy.
         #[serde(default, rename = "active")]
         active_epoch: Option<Epoch>,
     },
-    /// A process is no member any more.
+    /// A process ceases to be a member.
     #[serde(rename = "ended")]
     MarkEnded {
-        /// Who.
+        /// The process.
         process: Process,
-        /// How it is known.
+        /// The proof that it admits nothing new.
         proof: Proof,
     },
-    /// Operators say that a node is gone, with all its processes.
+    /// Operators declare a node gone, with all its processes.
     #[serde(rename = "remove")]
     RemoveNode {
         /// The node.
@@ -58,45 +58,45 @@
     },
 }
 
-/// How it is known that a process takes nothing new any more.
+/// Proof that a process admits nothing new any more.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Proof {
     /// It closed its session.
     #[serde(rename = "closed")]
     SessionClosed,
-    /// The address that it listens at as long as it lives refuses connections.
+    /// The address that it listens on until it exits refuses connections.
     #[serde(rename = "refused")]
     ConnectionRefused,
 }
 
-/// What changes the policy.
+/// A change of the policy.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyCommand {
-    /// Operators propose. Refused unless `base_epoch` is the agreed epoch and no change is under way.
+    /// Operators propose a policy. Refused unless `base_epoch` is the agreed epoch and no change is pending.
     Propose {
-        /// The epoch that they know.
+        /// The epoch that the proposal was made from.
         #[serde(rename = "base")]
         base_epoch: Epoch,
-        /// What they want.
+        /// The proposed policy.
         policy: Policy,
     },
-    /// The change becomes the agreed policy. Void (nothing changes, [`Outcome::MissingMembers`] tells who is missing) unless
-    /// every member of the roster at this entry is in `staged_members` or in `fenced_members`.
+    /// The change becomes the agreed policy. Void ([`Outcome::MissingMembers`], nothing changes) unless every member of
+    /// the roster at this entry is in `staged_members` or in `fenced_members`.
     Commit {
-        /// Which.
+        /// The change.
         change: ChangeId,
         /// Members that have staged it and whose promise still holds.
         #[serde(rename = "staged")]
         staged_members: Vec<Process>,
-        /// Members whose lease is surely over (a fenced fleet only).
+        /// Members whose lease has certainly expired (fenced fleets only).
         #[serde(rename = "fenced")]
         fenced_members: Vec<Process>,
     },
-    /// The change takes hold nowhere.
+    /// The change takes effect nowhere.
     Abort {
-        /// Which.
+        /// The change.
         change: ChangeId,
         /// Why.
         #[serde(rename = "why")]
@@ -104,118 +104,118 @@
     },
 }
 
-/// What changes verdicts on servers. All are void while the agreed policy has no `Votes`. `changed_at` is the version that the
-/// verdict last changed at: at another one the command is void, too.
+/// A change of the verdicts on servers. All commands are void while the agreed policy has no `Votes`. `changed_at` is
+/// the version at which the verdict last changed; if that is not its current one, the command is void too.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VerdictCommand {
-    /// A server is removed, or from more zones than it was. Void ([`Outcome::CapReached`]) where it would be over the cap
-    /// of its zone.
+    /// Removes a server, or extends its removal to more zones. Void ([`Outcome::CapReached`]) if it would exceed the
+    /// cap of the server's zone.
     Remove {
         /// The server.
         server: String,
-        /// When the process started that is meant.
+        /// The start time of the server process that is meant.
         born_ms: f64,
         /// The server's zone.
         zone: String,
-        /// For nodes of these zones alone; for all where there are none.
+        /// The verdict applies to nodes of these zones only; to all nodes if empty.
         zones: Vec<String>,
-        /// Servers that are up in its zone.
+        /// The number of servers that are up in its zone.
         #[serde(rename = "up")]
         up_servers: u32,
-        /// Terms that it had of late: the next one is as long as if these were this verdict's.
+        /// The number of terms of recent verdicts on this server, which the new verdict's term length continues.
         #[serde(rename = "terms")]
         term_index: u32,
-        /// By what.
+        /// The votes that led to the removal.
         #[serde(rename = "case")]
         vote_result: VoteResult,
     },
-    /// Its term is over: these nodes send it a little again, and vote.
+    /// The verdict's term has ended: these nodes send the server a little traffic again, and vote.
     Probe {
         /// The server.
         server: String,
-        /// See above.
+        /// See [`VerdictCommand`].
         #[serde(rename = "at")]
         changed_at: u64,
-        /// Names of nodes.
+        /// The names of the probing nodes.
         probers: Vec<String>,
     },
-    /// Those that probed it are for another term.
+    /// The probers have voted for another term.
     Extend {
         /// The server.
         server: String,
-        /// See above.
+        /// See [`VerdictCommand`].
         #[serde(rename = "at")]
         changed_at: u64,
-        /// By what.
+        /// The votes that led to the extension.
         #[serde(rename = "case")]
         vote_result: VoteResult,
     },
-    /// It is back.
+    /// Returns the server to the rotation.
     Return {
         /// The server.
         server: String,
-        /// See above.
+        /// See [`VerdictCommand`].
         #[serde(rename = "at")]
         changed_at: u64,
         /// Why.
         #[serde(rename = "why")]
         reason: EndReason,
-        /// By what, where there was a vote.
+        /// The votes that led to the return, if there was a vote.
         #[serde(rename = "case")]
         vote_result: Option<VoteResult>,
     },
 }
 
-/// What comes of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Done, or done before.
+    /// Applied, now or earlier.
     Done,
-    /// A change is under way as this one.
+    /// The proposed change is pending.
     Proposed {
-        /// Which.
+        /// Its number.
         change: ChangeId,
-        /// The epoch that it becomes when it commits.
+        /// The epoch that it becomes if it commits.
         epoch: Epoch,
     },
-    /// Not the agreed epoch.
+    /// The proposal was not made from the agreed epoch.
     #[serde(rename = "stale")]
     StaleEpoch {
-        /// The agreed one.
+        /// The agreed epoch.
         epoch: Epoch,
     },
-    /// Another change is under way.
+    /// Another change is pending.
     #[serde(rename = "busy")]
     ChangePending {
-        /// Which.
+        /// Its number.
         change: ChangeId,
     },
-    /// Members that neither staged the change nor are fenced; nothing has changed.
+    /// Some members neither staged the change nor are fenced; nothing has changed.
     #[serde(rename = "uncovered")]
     MissingMembers {
-        /// Who.
+        /// The members.
         missing: Vec<Process>,
     },
-    /// No such change is under way, or the verdict is not as it was, or votes are off: nothing has changed.
+    /// No such change is pending, or the verdict has changed meanwhile, or votes are disabled; nothing has changed.
     #[serde(rename = "over")]
     Obsolete,
-    /// As many of the zone's servers are removed as may be; nothing has changed.
+    /// The cap on removed servers of the zone is reached; nothing has changed.
     #[serde(rename = "capped")]
     CapReached,
-    /// A newer process has taken this one's place, or operators have removed it.
+    /// A newer process has replaced this one, or operators have removed it.
     Superseded,
-    /// The roster is full, or what came is too large; nothing has changed.
+    /// The roster is full, or the command is too large; nothing has changed.
     #[serde(rename = "too_much")]
     LimitExceeded,
-    /// Nobody by that name.
+    /// No member has that name.
     #[serde(rename = "unknown")]
     UnknownNode,
 }
 
 impl VerdictCommand {
-    /// The server that it is about.
+    /// Returns the server that the command is about.
     pub fn server(&self) -> &str {
         match self {
             Self::Remove { server, .. }
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -1,7 +1,7 @@
-//! A replica's configuration: one TOML file, checked whole before anything is opened.
+//! A replica's configuration: one TOML file, validated completely before anything is opened.
 //!
-//! Whatever is wrong gets one line that names the file, the field's path and what is expected there. Spans are checked
-//! against each other too, as a promise that is shorter than an election would stop the fleet whenever a leader dies.
+//! Each error is one line that names the file, the field's path and what is expected there. Durations are also checked
+//! against each other: a promise that is shorter than an election would stop the fleet whenever a leader dies.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -15,41 +15,42 @@
 use crate::leader::{LeaderSettings, LeaderSettingsError, UnreachableAction};
 use crate::policy::MAX_POLICY_BYTES;
 
-/// The longest name of a cluster, in bytes.
+/// The maximum length of a cluster's name, in bytes.
 const MAX_CLUSTER_NAME_BYTES: usize = 64;
-/// How many replicas a group may have.
+/// The maximum number of replicas of a group.
 const MAX_REPLICAS: usize = 7;
 
-/// One replica of a control group.
+/// The configuration of one replica of a control group.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The group's name: a state folder of another one is refused.
+    /// The group's name; a state folder of another group is refused.
     pub cluster: String,
-    /// This replica's number.
+    /// This replica's ID.
     pub id: u64,
-    /// Where it listens, for nodes, operators and the other replicas.
+    /// The address that it listens on, for nodes, operators and the other replicas.
     pub listen: SocketAddr,
-    /// Its state folder; made where it is not there.
+    /// Its state folder, which is created if it does not exist.
     pub state_dir: PathBuf,
-    /// Where nodes, operators and the other replicas reach it.
+    /// The address at which nodes, operators and the other replicas reach it.
     pub address: SocketAddr,
-    /// The replicas that form the group, this one among them; none where it is added to a group that is there.
+    /// The replicas that form the group, including this one; empty if it joins an existing group.
     pub peers: BTreeMap<u64, SocketAddr>,
-    /// How long members may take for what.
+    /// The settings of the leader: timeouts, promises and leases.
     pub leader: LeaderSettings,
-    /// How replicas find a leader.
+    /// The timing of leader elections.
     pub election: Election,
-    /// How much of everything there may be.
+    /// The resource limits.
     pub limits: Limits,
 }
 
-/// How replicas find a leader, in milliseconds. All replicas of a group should have the same.
+/// The timing of leader elections. All replicas of a group should have the same.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Election {
-    /// How often the leader speaks to the other replicas.
+    /// The interval of the leader's heartbeats to the other replicas, in milliseconds.
     pub heartbeat_ms: u64,
-    /// How long after the leader's last word a replica stands for election: drawn between the two.
+    /// The range of the election timeout after the leader's last heartbeat, in milliseconds; each timeout is drawn from
+    /// it.
     #[serde(rename = "after_ms")]
     pub timeout_range_ms: (u64, u64),
 }
@@ -60,14 +61,14 @@
     }
 }
 
-/// How much of everything there may be.
+/// The resource limits of a replica.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Connections; each node has two, each other replica a few.
+    /// The maximum number of connections; each node has two, each other replica a few.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// Bytes of an operator's body, and so of a policy with what is round it.
+    /// The maximum size of the body of an operator's request, and so of a proposal with its policy.
     #[serde(rename = "body_bytes")]
     pub max_body_bytes: usize,
 }
@@ -78,18 +79,18 @@
     }
 }
 
-/// Why a configuration can't be used: one line.
+/// Why a configuration is invalid: one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{}: {error}; name a file that this process may read", file.display())]
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// What the system says.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// A field is missing, unknown or of the wrong kind, or the file is no TOML.
+    /// A field is missing, unknown or of the wrong type, or the file is not TOML.
     #[error("{}: {path}: {reason}", file.display())]
     Malformed {
         /// The file.
@@ -99,42 +100,43 @@
         /// What is wrong.
         reason: String,
     },
-    /// A field has a value that it may not have.
+    /// A field's value is not allowed.
     #[error("{}: {path}: {found}, but must be {expected}", file.display())]
     InvalidValue {
         /// The file.
         file: PathBuf,
         /// The field.
         path: String,
-        /// What it has.
+        /// The value.
         found: String,
-        /// What it may have.
+        /// The allowed values.
         expected: String,
     },
-    /// Settings that don't fit together.
+    /// Durations of the leader's settings that do not fit together.
     #[error("{}: terms.{error}", file.display())]
     LeaderSettings {
         /// The file.
         file: PathBuf,
-        /// Which.
+        /// The field and its allowed range.
         error: LeaderSettingsError,
     },
 }
 
-/// A configuration as it is written.
+/// A configuration file's content before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct RawConfig {
     cluster: String,
     id: u64,
     listen: SocketAddr,
-    dir: PathBuf,
+    #[serde(rename = "dir")]
+    state_dir: PathBuf,
     #[serde(default)]
     peers: BTreeMap<String, SocketAddr>,
-    #[serde(default)]
-    joins: bool,
-    #[serde(default)]
-    terms: LeaderSettings,
+    #[serde(default, rename = "joins")]
+    joins_existing_group: bool,
+    #[serde(default, rename = "terms")]
+    leader: LeaderSettings,
     #[serde(default)]
     election: Election,
     #[serde(default)]
@@ -142,152 +144,159 @@
 }
 
 impl Config {
-    /// Reads a replica's configuration.
+    /// Reads and validates a replica's configuration file.
     ///
     /// # Errors
-    /// Where the file can't be read, or something in it is not as it must be.
+    /// If the file cannot be read or its content is invalid.
     pub fn load(file: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(file)
             .map_err(|error| ConfigError::Unreadable { file: file.to_owned(), error })?;
         Self::parse(file, &text)
     }
 
-    /// Checks a configuration's text; `file` is for the errors.
+    /// Parses and validates a configuration's text; `file` is for the error messages.
     ///
     /// # Errors
-    /// Where something in it is not as it must be.
+    /// If the content is invalid.
     pub fn parse(file: &Path, text: &str) -> Result<Self, ConfigError> {
-        let form = |path: String, words: &str| ConfigError::Malformed {
+        let malformed = |path: String, reason: &str| ConfigError::Malformed {
             file: file.to_owned(),
             path,
-            reason: words.trim().replace('\n', ", "),
+            reason: reason.trim().replace('\n', ", "),
         };
         let document = toml::Deserializer::parse(text).map_err(|e| {
             let line = e.span().map_or(1, |at| 1 + text[..at.start.min(text.len())].matches('\n').count());
-            form(format!("line {line}"), e.message())
+            malformed(format!("line {line}"), e.message())
         })?;
-        let written: Written = serde_path_to_error::deserialize(document)
-            .map_err(|e| form(e.path().to_string(), e.inner().message()))?;
-        written
-            .terms
-            .check()
-            .map_err(|error| ConfigError::LeaderSettings { file: file.to_owned(), error })?;
-        written.checked().map_err(|wrong| ConfigError::InvalidValue {
+        let raw: RawConfig = serde_path_to_error::deserialize(document)
+            .map_err(|e| malformed(e.path().to_string(), e.inner().message()))?;
+        raw.leader.check().map_err(|error| ConfigError::LeaderSettings { file: file.to_owned(), error })?;
+        raw.validate().map_err(|invalid| ConfigError::InvalidValue {
             file: file.to_owned(),
-            path: wrong.path,
-            found: wrong.found,
-            expected: wrong.expected,
+            path: invalid.path,
+            found: invalid.found,
+            expected: invalid.expected,
         })
     }
 }
 
-/// A value that may not be.
-struct Wrong {
+/// A field with a value that is not allowed.
+struct InvalidField {
     path: String,
     found: String,
     expected: String,
 }
 
-fn wrong<T>(path: impl Into<String>, found: impl Display, expected: impl Into<String>) -> Result<T, Wrong> {
-    Err(Wrong { path: path.into(), found: found.to_string(), expected: expected.into() })
+fn invalid<T>(
+    path: impl Into<String>,
+    found: impl Display,
+    expected: impl Into<String>,
+) -> Result<T, InvalidField> {
+    Err(InvalidField { path: path.into(), found: found.to_string(), expected: expected.into() })
 }
 
-fn within(path: &str, value: u64, range: RangeInclusive<u64>) -> Result<(), Wrong> {
+fn check_range(path: &str, value: u64, range: RangeInclusive<u64>) -> Result<(), InvalidField> {
     if range.contains(&value) {
         return Ok(());
     }
-    wrong(path, value, format!("from {} to {}", range.start(), range.end()))
+    invalid(path, value, format!("from {} to {}", range.start(), range.end()))
 }
 
-/// Is this fit to name a cluster or node: at most so many bytes, and the same in a path, a log line and a shell?
-pub fn is_valid_name(name: &str, most: usize) -> bool {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    (1..=most).contains(&name.len()) && name.chars().all(plain)
+/// Returns whether this is a valid name of a cluster or node: it has 1 to `max_bytes` bytes, and needs no quoting in a
+/// path, a log line or a shell.
+pub fn is_valid_name(name: &str, max_bytes: usize) -> bool {
+    let is_plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
+    (1..=max_bytes).contains(&name.len()) && name.chars().all(is_plain)
 }
 
-impl Written {
-    fn checked(self) -> Result<Config, Wrong> {
+impl RawConfig {
+    fn validate(self) -> Result<Config, InvalidField> {
         if !is_valid_name(&self.cluster, MAX_CLUSTER_NAME_BYTES) {
             let expected =
                 format!("1 to {MAX_CLUSTER_NAME_BYTES} letters, digits, dots, dashes or underscores");
-            return wrong("cluster", format!("{:?}", self.cluster), expected);
+            return invalid("cluster", format!("{:?}", self.cluster), expected);
         }
         if self.listen.port() == 0 {
-            return wrong("listen", self.listen, "an address with a port, as the peers name it");
+            return invalid("listen", self.listen, "an address with a port, as the peers name it");
         }
-        if self.dir.as_os_str().is_empty() {
-            return wrong("dir", "\"\"", "the path of this replica's state folder");
+        if self.state_dir.as_os_str().is_empty() {
+            return invalid("dir", "\"\"", "the path of this replica's state folder");
         }
         let mut peers = BTreeMap::new();
-        let mut taken = BTreeSet::new();
+        let mut addresses = BTreeSet::new();
         for (id, address) in self.peers {
             let path = format!("peers.{id}");
-            let Some(number) = id.parse().ok().filter(|number| *number > 0) else {
-                return wrong(path, format!("{id:?}"), "a replica's number from 1 on");
+            let Some(parsed_id) = id.parse().ok().filter(|parsed| *parsed > 0) else {
+                return invalid(path, format!("{id:?}"), "a replica's number from 1 on");
             };
-            if address.port() == 0 || address.ip().is_unspecified() || !taken.insert(address) {
-                return wrong(path, address, "an address of this replica alone that the others can reach");
+            if address.port() == 0 || address.ip().is_unspecified() || !addresses.insert(address) {
+                return invalid(path, address, "an address of this replica alone that the others can reach");
             }
-            if peers.insert(number, address).is_some() {
-                return wrong(path, id, "each replica's number once");
+            if peers.insert(parsed_id, address).is_some() {
+                return invalid(path, id, "each replica's number once");
             }
         }
-        if self.joins {
+        if self.joins_existing_group {
             if let Some((id, _)) = peers.first_key_value() {
-                return wrong(
+                return invalid(
                     "peers",
                     format!("replica {id}"),
                     "empty where joins = true: it learns the group",
                 );
             }
             if self.listen.ip().is_unspecified() {
-                return wrong("listen", self.listen, "the address that the others reach, where joins = true");
+                return invalid(
+                    "listen",
+                    self.listen,
+                    "the address that the others reach, where joins = true",
+                );
             }
         } else if !(1..=MAX_REPLICAS).contains(&peers.len()) {
-            let expected = format!("1 to {MAX_REPLICAS}; 3 bear the loss of one");
-            return wrong("peers", format!("{} replicas", peers.len()), expected);
+            let expected = format!("1 to {MAX_REPLICAS}; 3 tolerate the loss of one");
+            return invalid("peers", format!("{} replicas", peers.len()), expected);
         } else if !peers.contains_key(&self.id) {
             let ids: Vec<_> = peers.keys().map(u64::to_string).collect();
             let expected = format!("one of the peers, {}, or a new number and joins = true", ids.join(", "));
-            return wrong("id", self.id, expected);
+            return invalid("id", self.id, expected);
         }
         self.election.check()?;
-        self.election.fits(&self.terms)?;
+        self.election.check_against(&self.leader)?;
         self.limits.check()?;
-        let Self { cluster, id, listen, dir, terms, election, limits, .. } = self;
+        let Self { cluster, id, listen, state_dir, leader, election, limits, .. } = self;
         let address = peers.get(&id).copied().unwrap_or(listen);
-        Ok(Config { cluster, id, listen, address, state_dir: dir, peers, leader: terms, election, limits })
+        Ok(Config { cluster, id, listen, address, state_dir, peers, leader, election, limits })
     }
 }
 
 impl Election {
-    fn check(&self) -> Result<(), Wrong> {
-        const LONGEST: u64 = 60_000;
-        let (soonest, latest) = self.timeout_range_ms;
-        within("election.heartbeat_ms", self.heartbeat_ms, 10..=LONGEST)?;
-        let least = 2 * self.heartbeat_ms;
-        if soonest < least || latest <= soonest || latest > LONGEST {
+    fn check(&self) -> Result<(), InvalidField> {
+        const MAX_MS: u64 = 60_000;
+        let (shortest, longest) = self.timeout_range_ms;
+        check_range("election.heartbeat_ms", self.heartbeat_ms, 10..=MAX_MS)?;
+        let minimum = 2 * self.heartbeat_ms;
+        if shortest < minimum || longest <= shortest || longest > MAX_MS {
             let expected =
-                format!("two spans that grow, from {least} (two of election.heartbeat_ms) to {LONGEST}");
-            return wrong("election.after_ms", format!("[{soonest}, {latest}]"), expected);
+                format!("two spans that grow, from {minimum} (two of election.heartbeat_ms) to {MAX_MS}");
+            return invalid("election.after_ms", format!("[{shortest}, {longest}]"), expected);
         }
         Ok(())
     }
 
-    /// Spans that members are granted outlast the loss of a leader: its lease at the others, the election (each up to
-    /// `after_ms[1]`, told by heartbeats), two beats and the write's reserve. Measured: 1.48 s without writes (p99).
-    fn fits(&self, terms: &LeaderSettings) -> Result<(), Wrong> {
+    /// Checks that promises and leases outlast the loss of a leader: its lease on the other replicas and the election
+    /// (each up to `after_ms[1]` plus a heartbeat), two heartbeats of the member, and the write's reserve. The loss of a
+    /// leader stopped writes for 1.48 s (p99).
+    fn check_against(&self, leader: &LeaderSettings) -> Result<(), InvalidField> {
         let gap =
-            2.0 * (self.timeout_range_ms.1 + self.heartbeat_ms) as f64 + 2.0 * terms.heartbeat_interval_ms;
-        let least = ((gap + terms.commit_reserve_ms) / (1.0 - MAX_CLOCK_DRIFT)).ceil();
-        let mut spans = vec![("terms.promise_ms", terms.promise_ms)];
-        if terms.unreachable_action == UnreachableAction::Fence {
-            spans.push(("terms.lease_ms", terms.lease_ms));
+            2.0 * (self.timeout_range_ms.1 + self.heartbeat_ms) as f64 + 2.0 * leader.heartbeat_interval_ms;
+        let minimum = ((gap + leader.commit_reserve_ms) / (1.0 - MAX_CLOCK_DRIFT)).ceil();
+        let mut durations = vec![("terms.promise_ms", leader.promise_ms)];
+        if leader.unreachable_action == UnreachableAction::Fence {
+            durations.push(("terms.lease_ms", leader.lease_ms));
         }
-        for (path, span) in spans {
-            if span < least {
+        for (path, duration) in durations {
+            if duration < minimum {
                 let sum = "2 election.after_ms[1] + 2 election.heartbeat_ms + 2 terms.beat_ms + terms.reserve_ms, and drift";
-                return wrong(path, span, format!("at least {least} ({sum})"));
+                return invalid(path, duration, format!("at least {minimum} ({sum})"));
             }
         }
         Ok(())
@@ -295,9 +304,9 @@
 }
 
 impl Limits {
-    fn check(&self) -> Result<(), Wrong> {
-        within("limits.connections", self.max_connections as u64, 16..=65_536)?;
-        within("limits.body_bytes", self.max_body_bytes as u64, 1024..=1024 * 1024)
+    fn check(&self) -> Result<(), InvalidField> {
+        check_range("limits.connections", self.max_connections as u64, 16..=65_536)?;
+        check_range("limits.body_bytes", self.max_body_bytes as u64, 1024..=1024 * 1024)
     }
 }
 
@@ -305,7 +314,7 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"
+    const VALID: &str = r#"
 cluster = "east"
 id = 1
 listen = "127.0.0.1:9301"
@@ -322,8 +331,8 @@
 "#;
 
     #[test]
-    fn a_good_file_is_taken() {
-        let config = Config::parse(Path::new("c.toml"), GOOD).expect("is good");
+    fn a_valid_file_is_accepted() {
+        let config = Config::parse(Path::new("c.toml"), VALID).expect("a valid file");
         assert_eq!(
             (config.peers.len(), config.leader.promise_ms, config.limits.max_connections),
             (2, 3000.0, 100)
@@ -332,18 +341,18 @@
     }
 
     #[test]
-    fn the_documented_sample_is_taken_and_has_the_defaults() {
+    fn the_documented_sample_is_valid_and_has_the_defaults() {
         let text = include_str!("../../../docs/ON-CALL.md");
         let sample = text.lines().skip_while(|line| !line.starts_with("    cluster = "));
         let sample: Vec<&str> = sample.take_while(|line| !line.is_empty()).collect();
-        let config = Config::parse(Path::new("docs"), &sample.join("\n")).expect("is good");
+        let config = Config::parse(Path::new("docs"), &sample.join("\n")).expect("a valid file");
         assert_eq!((config.leader, config.election), (LeaderSettings::default(), Election::default()));
         assert_eq!(config.limits, Limits::default());
     }
 
     #[test]
-    fn each_fault_is_named_by_its_path() {
-        for (from, to, says) in [
+    fn each_error_names_the_path_of_the_field() {
+        for (from, to, message) in [
             ("id = 1", "id = \"x\"", "c.toml: id: invalid type"),
             ("id = 1", "id = 3", "c.toml: id: 3, but must be one of the peers, 1, 2, or a new"),
             ("id = 1", "id = 3\njoins = true", "c.toml: peers: replica 1, but must be empty"),
@@ -374,10 +383,10 @@
             ("[300, 600]", "[150, 600]", "c.toml: election.after_ms: [150, 600], but must be two spans"),
             ("connections = 100", "connections = 0", "c.toml: limits.connections: 0, but must be from 16 to"),
         ] {
-            assert!(GOOD.contains(from), "{from}");
+            assert!(VALID.contains(from), "{from}");
             let error =
-                Config::parse(Path::new("c.toml"), &GOOD.replace(from, to)).expect_err(to).to_string();
-            assert!(error.contains(says), "{to}: {error}");
+                Config::parse(Path::new("c.toml"), &VALID.replace(from, to)).expect_err(to).to_string();
+            assert!(error.contains(message), "{to}: {error}");
             assert!(!error.contains('\n'), "{to}: {error}");
         }
     }
--- a/crates/control/src/edge/calls.rs
+++ b/crates/control/src/edge/calls.rs
@@ -1,4 +1,4 @@
-//! The calls: which path takes what, and what comes of it.
+//! The calls: paths and methods, and how each call is handled.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 use serde_json::json;
 use tokio::time::{timeout, timeout_at, Instant};
 
-use super::actor::Unanswered;
-use super::answer::{json, raw, Outgoing, Refused};
+use super::actor::CallError;
+use super::response::{json, json_bytes, ErrorResponse, ResponseBody};
 use super::{http, watch, Edge};
 use crate::command::{Command, Outcome, PolicyCommand, RosterCommand};
 use crate::config::is_valid_name;
@@ -25,18 +25,18 @@
 use crate::limiter::LimitError;
 use crate::roster::MAX_NODE_NAME_BYTES;
 
-/// How long a body may take to come.
-const BODY_TIME: Duration = Duration::from_secs(5);
-/// The largest beat, in bytes.
-const BEAT_MOST: usize = 64 * 1024;
-/// What is added to the time that a change may take, for elections and writes.
-const MARGIN: Duration = Duration::from_secs(3);
+/// The timeout for receiving a request's body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum size of a heartbeat, in bytes.
+const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
+/// Added to the maximum duration of a change when waiting for its outcome, for elections and writes.
+const ELECTION_MARGIN: Duration = Duration::from_secs(3);
 
-type Answered = Result<Response<Outgoing>, Refused>;
+type CallResult = Result<Response<ResponseBody>, ErrorResponse>;
 
-/// What a path names.
+/// What a path refers to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Place<'a> {
+enum Resource<'a> {
     Session,
     Watch,
     Policy,
@@ -48,16 +48,16 @@
     Status,
     Ready,
     /// A message of another replica.
-    Letter,
+    PeerMessage,
 }
 
-impl<'a> Place<'a> {
-    fn of(path: &'a str) -> Option<Self> {
+impl<'a> Resource<'a> {
+    fn parse(path: &'a str) -> Option<Self> {
         let mut parts = path.strip_prefix('/')?.splitn(4, '/');
         let parts = [parts.next(), parts.next(), parts.next(), parts.next()];
         Some(match parts {
             [Some("ready"), None, ..] => Self::Ready,
-            [Some("raft"), Some("append" | "vote" | "snapshot"), None, _] => Self::Letter,
+            [Some("raft"), Some("append" | "vote" | "snapshot"), None, _] => Self::PeerMessage,
             [Some("v1"), Some("session"), None, _] => Self::Session,
             [Some("v1"), Some("watch"), None, _] => Self::Watch,
             [Some("v1"), Some("policy"), None, _] => Self::Policy,
@@ -71,10 +71,10 @@
         })
     }
 
-    /// The methods that it takes.
+    /// Returns the methods that it allows.
     fn methods(self) -> &'static str {
         match self {
-            Self::Session | Self::Letter => "POST",
+            Self::Session | Self::PeerMessage => "POST",
             Self::Watch | Self::Nodes | Self::Verdicts | Self::Status | Self::Ready => "GET",
             Self::Policy => "GET, PUT",
             Self::Change | Self::Node(_) => "DELETE",
@@ -83,184 +83,195 @@
     }
 }
 
-/// What operators propose.
+/// An operator's proposal.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Proposal {
-    base: Epoch,
+    #[serde(rename = "base")]
+    base_epoch: Epoch,
     policy: Policy,
 }
 
-/// Where a replica is.
+/// The body of a call that adds a replica.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct At {
+struct ReplicaAddress {
     address: SocketAddr,
 }
 
 impl Edge {
-    /// Answers a call.
+    /// Handles a call.
     pub(super) async fn handle(
         self: &Arc<Self>,
         peer: SocketAddr,
         request: Request<Incoming>,
-    ) -> Response<Outgoing> {
+    ) -> Response<ResponseBody> {
         self.call(peer, request).await.unwrap_or_else(Response::from)
     }
 
-    async fn call(self: &Arc<Self>, peer: SocketAddr, request: Request<Incoming>) -> Answered {
+    async fn call(self: &Arc<Self>, peer: SocketAddr, request: Request<Incoming>) -> CallResult {
         let (head, body) = request.into_parts();
         let path = head.uri.path();
-        let Some(place) = Place::of(path) else {
+        let Some(resource) = Resource::parse(path) else {
             let advice = "docs/ON-CALL.md lists the calls";
-            return Err(Refused::new(StatusCode::NOT_FOUND, "no such path", advice));
+            return Err(ErrorResponse::new(StatusCode::NOT_FOUND, "no such path", advice));
         };
-        if !place.methods().split(", ").any(|method| method == head.method.as_str()) {
-            return Err(Refused::method(place.methods()));
+        if !resource.methods().split(", ").any(|method| method == head.method.as_str()) {
+            return Err(ErrorResponse::method_not_allowed(resource.methods()));
         }
-        let put = head.method == Method::PUT;
-        match place {
-            Place::Letter => {
-                let _pass = self.letters.acquire().map_err(shut)?;
-                let body = whole(body, BODY_MOST).await?;
+        let is_put = head.method == Method::PUT;
+        match resource {
+            Resource::PeerMessage => {
+                let _permit = self.peer_messages.acquire().map_err(limit_error)?;
+                let body = read_body(body, BODY_MOST).await?;
                 let (status, answer) = self.replica.serve(path, body).await;
-                Ok(raw(status, answer))
+                Ok(json_bytes(status, answer))
             }
-            Place::Session => self.beat(peer, parse(&whole(body, BEAT_MOST).await?)?).await,
-            Place::Watch => self.watch(head.uri.query()),
-            Place::Policy if put => {
-                self.propose(parse(&whole(body, self.config.limits.max_body_bytes).await?)?).await
+            Resource::Session => {
+                self.heartbeat(peer, parse(&read_body(body, MAX_HEARTBEAT_BYTES).await?)?).await
             }
-            Place::Policy => Ok(json(StatusCode::OK, &self.policy())),
-            Place::Change => self.call_off().await,
-            Place::Nodes => match self.actor.nodes().await {
+            Resource::Watch => self.watch(head.uri.query()),
+            Resource::Policy if is_put => {
+                self.propose(parse(&read_body(body, self.config.limits.max_body_bytes).await?)?).await
+            }
+            Resource::Policy => Ok(json(StatusCode::OK, &self.policy())),
+            Resource::Change => self.cancel_change().await,
+            Resource::Nodes => match self.actor.nodes().await {
                 Ok(nodes) => Ok(json(StatusCode::OK, &nodes)),
-                Err(unanswered) => Err(self.unanswered(unanswered)),
+                Err(error) => Err(self.call_error(error)),
             },
-            Place::Verdicts => self.verdicts().await,
-            Place::Node(name) => self.remove(name).await,
-            Place::Replica(id) if put => {
-                let At { address } = parse(&whole(body, self.config.limits.max_body_bytes).await?)?;
-                self.set_replica(number(id)?, Some(address)).await
+            Resource::Verdicts => self.verdicts().await,
+            Resource::Node(name) => self.remove(name).await,
+            Resource::Replica(id) if is_put => {
+                let ReplicaAddress { address } =
+                    parse(&read_body(body, self.config.limits.max_body_bytes).await?)?;
+                self.set_replica(parse_replica_id(id)?, Some(address)).await
             }
-            Place::Replica(id) => self.set_replica(number(id)?, None).await,
-            Place::Status => Ok(json(StatusCode::OK, &self.status().await)),
-            Place::Ready => self.ready(),
+            Resource::Replica(id) => self.set_replica(parse_replica_id(id)?, None).await,
+            Resource::Status => Ok(json(StatusCode::OK, &self.status().await)),
+            Resource::Ready => self.ready(),
         }
     }
 
-    async fn beat(&self, peer: SocketAddr, beat: Heartbeat) -> Answered {
-        if !is_valid_name(&beat.process.name, MAX_NODE_NAME_BYTES) {
+    async fn heartbeat(&self, peer: SocketAddr, heartbeat: Heartbeat) -> CallResult {
+        if !is_valid_name(&heartbeat.process.name, MAX_NODE_NAME_BYTES) {
             let advice = format!(
                 "a node's name has 1 to {MAX_NODE_NAME_BYTES} letters, digits, dots, dashes or underscores"
             );
-            return Err(Refused::bad("process.name is no name", advice));
+            return Err(ErrorResponse::bad_request("process.name is no name", advice));
         }
-        let life = beat.liveness_addr;
-        // A connection to it that is refused is taken for the process's end: it must be an address of that process.
-        if life.port() == 0
-            || life.ip().is_unspecified()
-            || (life.ip().is_loopback() && !peer.ip().is_loopback())
+        let liveness_addr = heartbeat.liveness_addr;
+        // A refused connection to it counts as the process's exit, so it must be an address of that process.
+        if liveness_addr.port() == 0
+            || liveness_addr.ip().is_unspecified()
+            || (liveness_addr.ip().is_loopback() && !peer.ip().is_loopback())
         {
             let advice = "life must be an address, with its port, at which this replica reaches the process";
-            return Err(Refused::bad(format!("life {life} can't be reached from here"), advice));
+            return Err(ErrorResponse::bad_request(
+                format!("life {liveness_addr} can't be reached from here"),
+                advice,
+            ));
         }
-        match self.actor.beat(beat).await {
+        match self.actor.heartbeat(heartbeat).await {
             Ok(answer) => Ok(json(StatusCode::OK, &answer)),
-            Err(unanswered) => Err(self.unanswered(unanswered)),
+            Err(error) => Err(self.call_error(error)),
         }
     }
 
-    fn watch(&self, query: Option<&str>) -> Answered {
+    fn watch(&self, query: Option<&str>) -> CallResult {
         if !*self.in_touch.borrow() {
-            let error = "this replica has not heard of a leader of late";
-            return Err(Refused::unavailable(error, "watch at another replica"));
+            let error = "this replica has had no contact to a leader recently";
+            return Err(ErrorResponse::unavailable(error, "watch at another replica"));
         }
-        // What can't be read is as good as none: the whole state comes first.
+        // An invalid version counts as none: the full state is sent first.
         let from = query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("from=")));
         let watcher = self.hub.subscribe(from.and_then(|from| from.parse().ok()));
-        let mut response = Response::new(Either::Right(watch::Lines::new(watcher, http::WATCH)));
-        let kind = hyper::header::HeaderValue::from_static("application/x-ndjson");
-        response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
+        let mut response = Response::new(Either::Right(watch::WatchBody::new(watcher, http::MAX_WATCH_AGE)));
+        let content_type = hyper::header::HeaderValue::from_static("application/x-ndjson");
+        response.headers_mut().insert(hyper::header::CONTENT_TYPE, content_type);
         Ok(response)
     }
 
     fn policy(&self) -> serde_json::Value {
         let in_touch = *self.in_touch.borrow();
-        self.replica.read(|agreement, version| {
-            let book = agreement.policy_state();
-            let ended: Vec<&EndedChange> = book.ended_changes().collect();
+        self.replica.read(|state, version| {
+            let policy_state = state.policy_state();
+            let ended: Vec<&EndedChange> = policy_state.ended_changes().collect();
             json!({
-                "version": version, "in_touch": in_touch, "epoch": book.epoch(), "policy": book.policy(),
-                "change": book.pending_change(), "ended": ended,
+                "version": version, "in_touch": in_touch, "epoch": policy_state.epoch(), "policy": policy_state.policy(),
+                "change": policy_state.pending_change(), "ended": ended,
             })
         })
     }
 
-    /// What is on the log, and at the leader what it knows of votes besides.
-    async fn verdicts(&self) -> Answered {
+    /// Returns the verdicts in the log and, on the leader, also its view of the votes.
+    async fn verdicts(&self) -> CallResult {
         let votes = self.actor.votes().await;
         let leading = self.replica.leading().borrow().clone();
         let leader = leading.leader.map(|(_, address)| address);
-        let (leads, votes) = (votes.is_ok(), votes.ok().flatten());
+        let (is_leader, votes) = (votes.is_ok(), votes.ok().flatten());
         let in_touch = *self.in_touch.borrow();
-        let said = self.replica.read(|agreement, version| {
-            let verdicts = agreement.verdicts();
-            let past: Vec<_> = verdicts.ended().collect();
+        let body = self.replica.read(|state, version| {
+            let verdicts = state.verdicts();
+            let ended: Vec<_> = verdicts.ended().collect();
             let removed: BTreeMap<_, _> = verdicts.entries().collect();
             json!({
-                "version": version, "in_touch": in_touch, "leads": leads, "leader": leader,
-                "on": agreement.policy_state().policy().0.contains_key("Votes"), "changed": verdicts.version(),
-                "removed": removed, "ended": past, "votes": votes,
+                "version": version, "in_touch": in_touch, "leads": is_leader, "leader": leader,
+                "on": state.policy_state().policy().0.contains_key("Votes"), "changed": verdicts.version(),
+                "removed": removed, "ended": ended, "votes": votes,
             })
         });
-        Ok(json(StatusCode::OK, &said))
+        Ok(json(StatusCode::OK, &body))
     }
 
-    async fn propose(self: &Arc<Self>, proposal: Proposal) -> Answered {
-        let Proposal { base, policy } = proposal;
-        policy.check().map_err(|e| Refused::bad(&e, e.advice()))?;
-        match self.write(Command::Policy(PolicyCommand::Propose { base_epoch: base, policy })).await? {
+    async fn propose(self: &Arc<Self>, proposal: Proposal) -> CallResult {
+        let Proposal { base_epoch, policy } = proposal;
+        policy.check().map_err(|e| ErrorResponse::bad_request(&e, e.advice()))?;
+        match self.write(Command::Policy(PolicyCommand::Propose { base_epoch, policy })).await? {
             Outcome::Proposed { change, epoch } => self.outcome(change, epoch).await,
             Outcome::StaleEpoch { epoch } => {
-                let error = format!("the agreed epoch is {epoch}, not {base}");
+                let error = format!("the agreed epoch is {epoch}, not {base_epoch}");
                 let advice =
-                    "look at GET /v1/policy, make your change to that, and propose it with its epoch as base";
-                Err(Refused::conflict(error, advice).with("outcome", "stale").with("epoch", epoch))
+                    "read GET /v1/policy, make your change to that policy, and propose it with its epoch as base";
+                Err(ErrorResponse::conflict(error, advice).with("outcome", "stale").with("epoch", epoch))
             }
             Outcome::ChangePending { change } => {
-                let advice = "wait for its end (GET /v1/policy), or call it off: DELETE /v1/policy/change";
-                let refused = Refused::conflict(format!("change {} is under way", change.0), advice);
-                Err(refused.with("outcome", "busy").with("change", change))
+                let advice = "wait for its end (GET /v1/policy), or cancel it: DELETE /v1/policy/change";
+                let error = ErrorResponse::conflict(format!("change {} is pending", change.0), advice);
+                Err(error.with("outcome", "busy").with("change", change))
             }
             other => Err(unexpected(&other)),
         }
     }
 
-    /// Waits for the end of a change.
-    async fn outcome(&self, change: ChangeId, epoch: Epoch) -> Answered {
-        let terms = &self.config.leader;
-        let most =
-            terms.stage_timeout_ms + 2.0 * terms.promise_ms.max(terms.lease_ms) + terms.session_timeout_ms;
-        let end = Instant::now() + Duration::from_secs_f64(most / 1000.0) + MARGIN;
+    /// Waits for the outcome of a change.
+    async fn outcome(&self, change: ChangeId, epoch: Epoch) -> CallResult {
+        let settings = &self.config.leader;
+        let max_ms = settings.stage_timeout_ms
+            + 2.0 * settings.promise_ms.max(settings.lease_ms)
+            + settings.session_timeout_ms;
+        let deadline = Instant::now() + Duration::from_secs_f64(max_ms / 1000.0) + ELECTION_MARGIN;
         let mut applied = self.replica.applied();
         let mut stopping = self.stopping.subscribe();
         let ended = loop {
             applied.borrow_and_update();
-            let found = self.replica.read(|agreement, _| {
-                agreement.policy_state().ended_changes().rev().find(|ended| ended.id == change).cloned()
+            let found = self.replica.read(|state, _| {
+                state.policy_state().ended_changes().rev().find(|ended| ended.id == change).cloned()
             });
             if let Some(ended) = found {
                 break ended;
             }
-            let went_on = tokio::select! {
-                changed = timeout_at(end, applied.changed()) => matches!(changed, Ok(Ok(()))),
+            let has_changed = tokio::select! {
+                changed = timeout_at(deadline, applied.changed()) => matches!(changed, Ok(Ok(()))),
                 _ = stopping.wait_for(|stopping| *stopping) => false,
             };
-            if !went_on {
-                let error = format!("change {} is under way, and its end is not known here", change.0);
-                let advice = "read its end at GET /v1/policy of the leader, by its number in \"ended\"";
-                return Err(Refused::unavailable(error, advice).with("change", change).with("epoch", epoch));
+            if !has_changed {
+                let error = format!("change {} is pending, and its outcome is not known here", change.0);
+                let advice =
+                    "look up its outcome at GET /v1/policy of the leader, by its number in \"ended\"";
+                return Err(ErrorResponse::unavailable(error, advice)
+                    .with("change", change)
+                    .with("epoch", epoch));
             }
         };
         match ended.abort_reason {
@@ -268,39 +279,38 @@
                 let done = json!({"epoch": epoch, "outcome": "committed", "change": change});
                 Ok(json(StatusCode::OK, &done))
             }
-            Some(why) => {
-                let (error, advice) = words(&why);
-                let refused = Refused::conflict(error, advice).with("outcome", "aborted");
-                Err(refused.with("why", why).with("change", change).with("epoch", epoch))
+            Some(reason) => {
+                let (error, advice) = describe_abort(&reason);
+                let error = ErrorResponse::conflict(error, advice).with("outcome", "aborted");
+                Err(error.with("why", reason).with("change", change).with("epoch", epoch))
             }
         }
     }
 
-    async fn call_off(self: &Arc<Self>) -> Answered {
-        let none = || Refused::conflict("no change is under way", "look at GET /v1/policy");
-        let change = self
-            .replica
-            .read(|agreement, _| agreement.policy_state().pending_change().map(|change| change.id));
+    async fn cancel_change(self: &Arc<Self>) -> CallResult {
+        let no_change = || ErrorResponse::conflict("no change is pending", "see GET /v1/policy");
+        let change =
+            self.replica.read(|state, _| state.policy_state().pending_change().map(|change| change.id));
         let Some(change) = change else {
-            // What this replica knows may be old.
+            // This replica's state may be outdated.
             self.replica.confirm().await?;
-            return Err(none());
+            return Err(no_change());
         };
         match self
             .write(Command::Policy(PolicyCommand::Abort { change, reason: AbortReason::Operator }))
             .await?
         {
             Outcome::Done => Ok(json(StatusCode::OK, &json!({"outcome": "aborted", "change": change}))),
-            Outcome::Obsolete => Err(none()),
+            Outcome::Obsolete => Err(no_change()),
             other => Err(unexpected(&other)),
         }
     }
 
-    async fn remove(self: &Arc<Self>, name: &str) -> Answered {
+    async fn remove(self: &Arc<Self>, name: &str) -> CallResult {
         let remove = RosterCommand::RemoveNode { name: name.to_owned() };
         let unknown = || {
             let error = format!("no node {name:?} is a member");
-            Refused::new(StatusCode::NOT_FOUND, error, "GET /v1/nodes lists them")
+            ErrorResponse::new(StatusCode::NOT_FOUND, error, "GET /v1/nodes lists them")
         };
         if !is_valid_name(name, MAX_NODE_NAME_BYTES) {
             return Err(unknown());
@@ -312,7 +322,7 @@
         }
     }
 
-    async fn set_replica(self: &Arc<Self>, id: u64, address: Option<SocketAddr>) -> Answered {
+    async fn set_replica(self: &Arc<Self>, id: u64, address: Option<SocketAddr>) -> CallResult {
         let replica = self.replica.clone();
         let done = self.in_flight(async move {
             match address {
@@ -328,25 +338,28 @@
         let store = self.store.clone();
         let disk_bytes = tokio::task::spawn_blocking(move || store.size().ok()).await.ok().flatten();
         let (epoch, members) =
-            self.replica.read(|agreement, _| (agreement.policy_state().epoch(), agreement.roster().len()));
+            self.replica.read(|state, _| (state.policy_state().epoch(), state.roster().len()));
         json!({
             "replica": self.replica.status(), "listen": self.address, "ready": self.is_ready(),
             "in_touch": *self.in_touch.borrow(), "epoch": epoch, "members": members,
             "disk_bytes": disk_bytes, "connections": self.connections.in_use(),
-            "watchers": self.hub.watcher_count(), "calls": self.calls.in_use(),
+            "watchers": self.hub.watcher_count(), "calls": self.writes.in_use(),
         })
     }
 
-    fn ready(&self) -> Answered {
+    fn ready(&self) -> CallResult {
         if self.is_ready() {
             return Ok(json(StatusCode::OK, &json!({"ready": true})));
         }
-        let error = "this replica knows no leader, or has not applied yet what it has on its disk";
-        Err(Refused::unavailable(error, "see that a majority of the replicas runs; look at GET /v1/status"))
+        let error = "this replica knows no leader, or has not yet applied its stored log";
+        Err(ErrorResponse::unavailable(
+            error,
+            "check that a majority of the replicas runs; see GET /v1/status",
+        ))
     }
 
-    /// Writes a command, at the leader; goes on to its end if the caller leaves, and holds up a stop until then.
-    async fn write(self: &Arc<Self>, command: Command) -> Result<Outcome, Refused> {
+    /// Writes a command, on the leader. The write completes even if the caller leaves, and a stop waits for it.
+    async fn write(self: &Arc<Self>, command: Command) -> Result<Outcome, ErrorResponse> {
         let replica = self.replica.clone();
         let (_, outcome) = self.in_flight(async move { replica.write(command).await }).await?;
         Ok(outcome)
@@ -355,106 +368,109 @@
     async fn in_flight<T: Send + 'static>(
         &self,
         work: impl std::future::Future<Output = Result<T, WriteError>> + Send + 'static,
-    ) -> Result<T, Refused> {
-        let pass = self.calls.acquire().map_err(shut)?;
-        let done = tokio::spawn(async move {
-            let done = work.await;
-            drop(pass);
-            done
+    ) -> Result<T, ErrorResponse> {
+        let permit = self.writes.acquire().map_err(limit_error)?;
+        let task = tokio::spawn(async move {
+            let result = work.await;
+            drop(permit);
+            result
         });
-        match done.await {
-            Ok(done) => Ok(done?),
-            Err(_) => {
-                Err(Refused::unavailable("the call was cut short", "look whether it was done, and ask again"))
-            }
+        match task.await {
+            Ok(result) => Ok(result?),
+            Err(_) => Err(ErrorResponse::unavailable(
+                "the call was aborted",
+                "check whether it took effect, and ask again",
+            )),
         }
     }
 
-    fn unanswered(&self, unanswered: Unanswered) -> Refused {
-        match unanswered {
-            Unanswered::NotLeader => {
+    fn call_error(&self, error: CallError) -> ErrorResponse {
+        match error {
+            CallError::NotLeader => {
                 let leading = self.replica.leading().borrow().clone();
-                Refused::not_leader(leading.leader.filter(|_| !leading.me).map(|(_, address)| address))
+                ErrorResponse::not_leader(leading.leader.filter(|_| !leading.me).map(|(_, address)| address))
             }
-            Unanswered::Busy => Refused::unavailable("too many calls at a time", "ask again soon"),
-            Unanswered::Refused(why) => {
-                let advice = match why {
+            CallError::QueueFull => ErrorResponse::unavailable("too many calls at a time", "ask again soon"),
+            CallError::Refused(refusal) => {
+                let advice = match refusal {
                     Refusal::RosterFull => "GET /v1/nodes lists members, DELETE /v1/nodes/NAME removes one",
-                    Refusal::NameInUse => "end the other process, or wait until its session is over",
-                    Refusal::InvalidName => "mend the node's name",
-                    Refusal::TimedOut | Refusal::Superseded => "send another beat",
+                    Refusal::NameInUse => "stop the other process, or wait until its session has ended",
+                    Refusal::InvalidName => "correct the node's name",
+                    Refusal::TimedOut | Refusal::Superseded => "send another heartbeat",
                 };
-                match why {
-                    Refusal::InvalidName => Refused::bad(why, advice),
-                    Refusal::NameInUse | Refusal::Superseded => Refused::conflict(why, advice),
-                    Refusal::RosterFull | Refusal::TimedOut => Refused::unavailable(why, advice),
+                match refusal {
+                    Refusal::InvalidName => ErrorResponse::bad_request(refusal, advice),
+                    Refusal::NameInUse | Refusal::Superseded => ErrorResponse::conflict(refusal, advice),
+                    Refusal::RosterFull | Refusal::TimedOut => ErrorResponse::unavailable(refusal, advice),
                 }
             }
         }
     }
 }
 
-/// Why a change was aborted, and what to do about it.
-fn words(why: &AbortReason) -> (String, &'static str) {
-    match why {
-        AbortReason::Refused { node, reason: words } => {
-            (format!("node {node} refused it: {words}"), "mend the policy, or that node's settings, and propose again")
+/// Returns why a change was aborted, and what to do about it.
+fn describe_abort(reason: &AbortReason) -> (String, &'static str) {
+    match reason {
+        AbortReason::Refused { node, reason } => {
+            (format!("node {node} refused it: {reason}"), "correct the policy, or that node's settings, and propose again")
         }
         AbortReason::Unresponsive { nodes } => (
             format!("not staged in time by {}", nodes.join(", ")),
-            "see whether they run and reach the leader; one that is gone for good is removed: DELETE /v1/nodes/NAME",
+            "check that they run and reach the leader; remove a node that is gone for good: DELETE /v1/nodes/NAME",
         ),
-        AbortReason::Operator => ("operators called it off".to_owned(), "propose again when you are ready"),
+        AbortReason::Operator => ("operators cancelled it".to_owned(), "propose again when you are ready"),
         AbortReason::NoLeader => ("the group could not end it in time".to_owned(), "propose again"),
     }
 }
 
-fn shut(shut: LimitError) -> Refused {
-    match shut {
-        LimitError::Full => Refused::unavailable("too many calls at a time", "ask again soon"),
-        LimitError::Stopped => Refused::unavailable("this replica is stopping", "ask another replica"),
+fn limit_error(error: LimitError) -> ErrorResponse {
+    match error {
+        LimitError::Full => ErrorResponse::unavailable("too many calls at a time", "ask again soon"),
+        LimitError::Stopped => ErrorResponse::unavailable("this replica is stopping", "ask another replica"),
     }
 }
 
-fn unexpected(outcome: &Outcome) -> Refused {
+fn unexpected(outcome: &Outcome) -> ErrorResponse {
     if *outcome == Outcome::LimitExceeded {
-        return Refused::new(
+        return ErrorResponse::new(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the policy is too large",
-            "leave out what is as in the settings",
+            "leave out the fields that equal the nodes' settings",
         );
     }
-    let error = format!("the log answered {outcome:?}");
-    Refused::new(StatusCode::INTERNAL_SERVER_ERROR, error, "report it with the replica's log")
+    let error = format!("unexpected outcome in the log: {outcome:?}");
+    ErrorResponse::new(StatusCode::INTERNAL_SERVER_ERROR, error, "report it with the replica's log")
 }
 
-fn number(id: &str) -> Result<u64, Refused> {
-    let number = id.parse().ok().filter(|id| *id > 0);
-    number.ok_or_else(|| Refused::bad("a replica's number is needed", "PUT or DELETE /v1/replicas/4"))
+fn parse_replica_id(id: &str) -> Result<u64, ErrorResponse> {
+    let id = id.parse().ok().filter(|id| *id > 0);
+    id.ok_or_else(|| {
+        ErrorResponse::bad_request("a replica's number is needed", "PUT or DELETE /v1/replicas/4")
+    })
 }
 
-/// The whole body.
-async fn whole(body: Incoming, most: usize) -> Result<Bytes, Refused> {
-    match timeout(BODY_TIME, Limited::new(body, most).collect()).await {
+/// Receives a body of at most `max_bytes`.
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, ErrorResponse> {
+    match timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            let error = format!("the body has more than {most} bytes");
-            Err(Refused::new(StatusCode::PAYLOAD_TOO_LARGE, error, "make it smaller"))
+            let error = format!("the body has more than {max_bytes} bytes");
+            Err(ErrorResponse::new(StatusCode::PAYLOAD_TOO_LARGE, error, "make it smaller"))
         }
-        Ok(Err(_)) => Err(Refused::bad("the body ended early", "send it whole")),
+        Ok(Err(_)) => Err(ErrorResponse::bad_request("the body ended early", "send it whole")),
         Err(_) => {
-            let error = format!("the body took more than {} s to come", BODY_TIME.as_secs());
-            Err(Refused::new(StatusCode::REQUEST_TIMEOUT, error, "send it at once"))
+            let error = format!("the body took more than {} s to come", BODY_TIMEOUT.as_secs());
+            Err(ErrorResponse::new(StatusCode::REQUEST_TIMEOUT, error, "send it at once"))
         }
     }
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refused> {
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, ErrorResponse> {
     let mut json = serde_json::Deserializer::from_slice(body);
     let value = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
-        Refused::bad(format!("{path}: {}", e.inner()), "mend this field of the body")
+        ErrorResponse::bad_request(format!("{path}: {}", e.inner()), "correct this field of the body")
     })?;
-    json.end().map_err(|e| Refused::bad(e, "send one JSON object"))?;
+    json.end().map_err(|e| ErrorResponse::bad_request(e, "send one JSON object"))?;
     Ok(value)
 }
--- a/crates/control/src/edge/http.rs
+++ b/crates/control/src/edge/http.rs
@@ -1,4 +1,4 @@
-//! Connections: HTTP/1.1, bounded in number, head, idle time, time to write and length of life.
+//! HTTP/1.1 connections, limited in number, head size, idle time, write time and age.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,72 +10,75 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use super::sock::Guarded;
+use super::stalled_write::StallTimeout;
 use super::Edge;
 
-/// How long a connection may be idle, and a head may take to come.
-const HEAD: Duration = Duration::from_secs(15);
-/// How long the kernel may take nothing of an answer.
-const STALL: Duration = Duration::from_secs(5);
-/// How long a connection lives; after that it ends with the answer that is on its way.
-const LIFE: Duration = Duration::from_secs(600);
-/// How long a watch lives; it is begun anew on another connection.
-pub(super) const WATCH: Duration = Duration::from_secs(590);
-/// How long a last answer may take.
-const LAST: Duration = Duration::from_secs(60);
-/// How much the kernel keeps of what is on its way to one caller, in bytes.
-const KERNEL_MOST: u32 = 128 * 1024;
-const HEADERS_MOST: usize = 64;
-const HEAD_MOST: usize = 16 * 1024;
+/// The timeout for receiving a request's head, and so for an idle connection.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
+/// The timeout for a response of which the kernel accepts no data.
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum age of a connection; after that it ends with the response in flight.
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(600);
+/// The maximum age of a watch, below that of a connection; the watcher starts a new one on another connection.
+pub(super) const MAX_WATCH_AGE: Duration = Duration::from_secs(590);
+/// The timeout for the last response of a connection.
+const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
+/// The size of the kernel's send buffer of a connection, in bytes.
+const SEND_BUFFER_BYTES: u32 = 128 * 1024;
+/// The maximum number of headers of a request.
+const MAX_HEADERS: usize = 64;
+/// The maximum size of a request's head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The maximum number of connections that the kernel queues for accepting.
 const BACKLOG: u32 = 1024;
-/// The pause after a connection that could not be taken.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Listens.
+/// Creates the listener.
 ///
 /// # Errors
-/// The system's.
+/// The system's error.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
-    // Connections have it from the listener: a watcher that does not read is not to hold megabytes.
-    socket.set_send_buffer_size(KERNEL_MOST)?;
+    // Connections inherit it from the listener. It keeps watchers that do not read from holding megabytes each.
+    socket.set_send_buffer_size(SEND_BUFFER_BYTES)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// Takes connections until the stop.
+/// Accepts connections until the replica stops.
 pub async fn accept(edge: Arc<Edge>, listener: TcpListener) {
     let mut stopping = edge.stopping.subscribe();
     let mut failing = false;
     loop {
-        let taken = tokio::select! {
-            taken = listener.accept() => taken,
+        let accepted = tokio::select! {
+            accepted = listener.accept() => accepted,
             _ = stopping.wait_for(|stopping| *stopping) => return,
         };
-        match taken {
+        match accepted {
             Ok((stream, peer)) => {
                 failing = false;
-                // Where there is no room the stream is dropped: the caller finds a closed connection and goes elsewhere.
-                let Ok(pass) = edge.connections.acquire() else { continue };
+                // Above the limit the stream is dropped: the caller sees a closed connection and tries another replica.
+                let Ok(permit) = edge.connections.acquire() else { continue };
                 let edge = edge.clone();
                 tokio::spawn(async move {
                     serve(edge, stream, peer).await;
-                    drop(pass);
+                    drop(permit);
                 });
             }
             Err(error) => {
                 if !std::mem::replace(&mut failing, true) {
                     tracing::warn!(%error, "can't take connections: raise the process's limit of open files");
                 }
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 async fn serve(edge: Arc<Edge>, stream: TcpStream, peer: SocketAddr) {
-    // A socket that is broken already fails at its first read.
+    // If this fails the socket is broken, and its first read fails too.
     let _ = stream.set_nodelay(true);
     let mut stopping = edge.stopping.subscribe();
     let service = service_fn(move |request| {
@@ -85,15 +88,16 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
-        .max_headers(HEADERS_MOST)
-        .max_buf_size(HEAD_MOST);
-    let connection = builder.serve_connection(TokioIo::new(Guarded::new(stream, STALL)), service);
+        .header_read_timeout(HEAD_TIMEOUT)
+        .max_headers(MAX_HEADERS)
+        .max_buf_size(MAX_HEAD_BYTES);
+    let connection =
+        builder.serve_connection(TokioIo::new(StallTimeout::new(stream, STALL_TIMEOUT)), service);
     tokio::pin!(connection);
-    let over = Instant::now() + LIFE;
+    let max_age_reached = Instant::now() + MAX_CONNECTION_AGE;
     let ended = tokio::select! {
         ended = &mut connection => Some(ended),
-        () = sleep_until(over) => None,
+        () = sleep_until(max_age_reached) => None,
         _ = stopping.wait_for(|stopping| *stopping) => None,
     };
     let ended = match ended {
@@ -102,11 +106,11 @@
             connection.as_mut().graceful_shutdown();
             tokio::select! {
                 ended = &mut connection => ended,
-                () = sleep(LAST) => return,
+                () = sleep(LAST_RESPONSE_TIMEOUT) => return,
             }
         }
     };
     if let Err(error) = ended {
-        tracing::debug!(%peer, %error, "a connection ended");
+        tracing::debug!(%peer, %error, "connection failed");
     }
 }
--- a/crates/control/src/edge/mod.rs
+++ b/crates/control/src/edge/mod.rs
@@ -1,22 +1,22 @@
-//! A replica's edge: HTTP/1.1 for nodes, operators and the other replicas, and the task that leads.
+//! A replica's HTTP/1.1 interface for nodes, operators and the other replicas, and the task that runs the leader.
 //!
-//! | module | what it knows |
+//! | module | content |
 //! | --- | --- |
-//! | `http` | connections and their bounds |
-//! | `sock` | a connection that does not stand still |
-//! | `calls` | which path takes what, and what comes of it |
-//! | `answer` | answers, and errors with what to do about them |
+//! | `http` | connections and their limits |
+//! | `stalled_write` | a connection with a timeout for stalled writes |
+//! | `calls` | the paths, and how each call is handled |
+//! | `response` | responses, and errors with advice |
 //! | `watch` | the body of a watch |
 //! | `actor` | [`crate::leader::Leader`] while this replica leads |
 //!
-//! Whoever reaches the listening address may do all that operators may: it belongs on a network that only nodes,
-//! operators and replicas reach.
+//! There is no authentication: whoever reaches the listening address may make every operators' call. It belongs on a
+//! network that only nodes, operators and replicas can reach.
 
 mod actor;
-mod answer;
 mod calls;
 mod http;
-mod sock;
+mod response;
+mod stalled_write;
 mod watch;
 
 use std::io;
@@ -37,53 +37,55 @@
 use crate::limiter::Limiter;
 use crate::machine::FleetState;
 
-/// How many of operators' writes may be under way.
-const CALLS_MOST: usize = 64;
-/// How many messages of other replicas may be read at a time.
-const LETTERS_MOST: usize = 32;
-/// After so long without a word of a leader watches end, so that their watchers go to another replica.
-const OUT_OF_TOUCH: Duration = Duration::from_secs(3);
-/// How often that is looked at.
-const TOUCH: Duration = Duration::from_millis(500);
-/// The record of how often the replica was started.
-const STARTS: &str = "starts";
+/// The maximum number of operators' writes in flight.
+const MAX_WRITES: usize = 64;
+/// The maximum number of messages of other replicas that are read at the same time.
+const MAX_PEER_MESSAGES: usize = 32;
+/// Without contact to a leader for this long, watches end, so that their watchers go to another replica.
+const LEADER_CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
+/// The interval at which the contact to the leader is checked.
+const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// The name of the stored record that counts the starts of the replica.
+const STARTS_RECORD: &str = "starts";
 /// How long a stop waits for calls in flight.
-const STOP: Duration = Duration::from_secs(2);
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a replica does not run, or not any more.
+/// Why a replica did not start or has stopped running.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// Its address can't be had.
-    #[error("listen: {address}: {error}; end the process that has it, or give this replica another address")]
+    /// It cannot listen on its address.
+    #[error(
+        "listen: {address}: {error}; stop the process that uses it, or give this replica another address"
+    )]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         error: io::Error,
     },
-    /// The system.
-    #[error("{what}: {error}; see the system's limits")]
+    /// A system call failed.
+    #[error("{what}: {error}; check the system's limits")]
     System {
-        /// What was asked for.
+        /// What was requested.
         what: &'static str,
-        /// What it says.
+        /// The system's error.
         error: io::Error,
     },
-    /// Its disk.
+    /// Its store failed.
     #[error("{0}; {advice}", advice = .0.advice())]
     Store(#[from] StoreError),
-    /// Its start.
+    /// The consensus library did not start.
     #[error("{0}; {advice}", advice = .0.advice())]
     Start(#[from] ConsensusError),
-    /// It can't go on.
+    /// The consensus library failed while running.
     #[error("{0}; {advice}", advice = .0.advice)]
     Failed(Failure),
-    /// A part of it has ended.
-    #[error("the part that {0} has ended; start the replica again, and report it with its log")]
+    /// One of its tasks has ended.
+    #[error("the task that {0} has ended; restart the replica, and report this with its log")]
     Ended(&'static str),
 }
 
-/// What the calls share.
+/// The state that all calls share.
 struct Edge {
     config: Config,
     address: SocketAddr,
@@ -92,53 +94,57 @@
     hub: WatchHub,
     actor: actor::Handle,
     connections: Limiter,
-    calls: Limiter,
-    letters: Limiter,
+    writes: Limiter,
+    peer_messages: Limiter,
     in_touch: Receiver<bool>,
     stopping: Sender<bool>,
-    /// The last entry that was on the disk at the start.
-    begun_with: u64,
+    /// The last log entry on disk at the start.
+    last_entry_at_start: u64,
 }
 
 impl Edge {
-    /// It has applied what it had on its disk, and knows a leader. What it had may be cut off by a leader.
+    /// Returns whether it has applied what was on its disk at the start, and knows a leader. A leader may have truncated
+    /// some of it.
     fn is_ready(&self) -> bool {
         let status = self.replica.status();
-        let had = self.begun_with.min(status.last.unwrap_or_default());
-        self.replica.leading().borrow().leader.is_some() && status.applied >= had && !*self.stopping.borrow()
+        let required = self.last_entry_at_start.min(status.last.unwrap_or_default());
+        self.replica.leading().borrow().leader.is_some()
+            && status.applied >= required
+            && !*self.stopping.borrow()
     }
 }
 
-/// A replica that runs.
+/// A running replica.
 pub struct Control {
     edge: Arc<Edge>,
     tasks: JoinSet<&'static str>,
 }
 
 impl Control {
-    /// Starts a replica, which from then on takes calls.
+    /// Starts a replica, which accepts calls from then on.
     ///
     /// # Errors
-    /// Its address or its disk.
+    /// If its address or its store is not usable.
     pub async fn start(config: Config) -> Result<Self, ControlError> {
-        let at = config.listen;
-        let listen = |error| ControlError::Listen { address: at, error };
-        // Before the disk: a second process of the same replica is told so by its address.
-        let listener = http::listen(at).map_err(listen)?;
-        let address = listener.local_addr().map_err(listen)?;
+        let requested = config.listen;
+        let listen_error = |error| ControlError::Listen { address: requested, error };
+        // Before the store, so that a second process of the same replica fails on the address.
+        let listener = http::listen(requested).map_err(listen_error)?;
+        let address = listener.local_addr().map_err(listen_error)?;
         let owner = Owner { cluster: config.cluster.clone(), replica: config.id };
-        let dir = config.state_dir.clone();
-        let opened = tokio::task::spawn_blocking(move || Store::open(&dir, &owner)).await;
+        let state_dir = config.state_dir.clone();
+        let opened = tokio::task::spawn_blocking(move || Store::open(&state_dir, &owner)).await;
         let store = opened.map_err(|_| ControlError::Ended("opens the disk"))??;
-        let mut place = ReplicaConfig::new(config.id, &config.cluster, config.address, config.peers.clone());
-        place.heartbeat_ms = config.election.heartbeat_ms;
-        place.election_ms = config.election.timeout_range_ms;
+        let mut replica_config =
+            ReplicaConfig::new(config.id, &config.cluster, config.address, config.peers.clone());
+        replica_config.heartbeat_ms = config.election.heartbeat_ms;
+        replica_config.election_ms = config.election.timeout_range_ms;
         let starts = count_start(&store).await?;
-        let replica = Replica::start(place, store.clone(), FleetState::new()).await?;
-        let begun_with = replica.status().last.unwrap_or_default();
+        let replica = Replica::start(replica_config, store.clone(), FleetState::new()).await?;
+        let last_entry_at_start = replica.status().last.unwrap_or_default();
 
         let (stopping, _) = channel(false);
-        let (touch, in_touch) = channel(false);
+        let (in_touch_sender, in_touch) = channel(false);
         let (handle, actor) = actor::new(replica.clone(), starts, config.leader.clone());
         let hub = WatchHub::default();
         let mut tasks = JoinSet::new();
@@ -147,20 +153,20 @@
             actor.run(stop).await;
             "leads"
         });
-        let (shown, followed) = (hub.clone(), replica.clone());
+        let (task_hub, task_replica) = (hub.clone(), replica.clone());
         tasks.spawn(async move {
-            follow(followed, shown).await;
-            "shows what is agreed"
+            publish_changes(task_replica, task_hub).await;
+            "publishes the agreed state"
         });
-        let (shown, watched) = (hub.clone(), replica.clone());
+        let (task_hub, task_replica) = (hub.clone(), replica.clone());
         tasks.spawn(async move {
-            keep_touch(watched, shown, touch).await;
-            "looks for the leader"
+            check_leader_contact(task_replica, task_hub, in_touch_sender).await;
+            "checks the contact to the leader"
         });
         let edge = Arc::new(Edge {
             connections: Limiter::new(config.limits.max_connections),
-            calls: Limiter::new(CALLS_MOST),
-            letters: Limiter::new(LETTERS_MOST),
+            writes: Limiter::new(MAX_WRITES),
+            peer_messages: Limiter::new(MAX_PEER_MESSAGES),
             config,
             address,
             replica,
@@ -169,61 +175,61 @@
             actor: handle,
             in_touch,
             stopping,
-            begun_with,
+            last_entry_at_start,
         });
         let accepting = edge.clone();
         tasks.spawn(async move {
             http::accept(accepting, listener).await;
-            "takes connections"
+            "accepts connections"
         });
-        tracing::info!(cluster = edge.config.cluster, id = edge.config.id, %address, "replica runs");
+        tracing::info!(cluster = edge.config.cluster, id = edge.config.id, %address, "replica started");
         Ok(Self { edge, tasks })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.edge.address
     }
 
-    /// Returns once the replica can't go on.
+    /// Returns once the replica has failed.
     pub async fn failed(&mut self) -> ControlError {
         let replica = &self.edge.replica;
         tokio::select! {
             failure = replica.failure() => ControlError::Failed(failure),
-            // The replica's failure may be what ended it.
-            Some(ended) = self.tasks.join_next() => match timeout(STOP, replica.failure()).await {
+            // A failure of the replica may have ended the task.
+            Some(ended) = self.tasks.join_next() => match timeout(STOP_TIMEOUT, replica.failure()).await {
                 Ok(failure) => ControlError::Failed(failure),
                 Err(_) => ControlError::Ended(ended.unwrap_or("panicked")),
             }
         }
     }
 
-    /// Takes nothing new, ends watches, finishes writes in flight, and lets go of disk and address.
+    /// Refuses new calls, ends watches, finishes writes in flight, and releases the store and the address.
     pub async fn stop(mut self) {
         let edge = &self.edge;
         edge.stopping.send_replace(true);
-        edge.calls.stop();
+        edge.writes.stop();
         edge.hub.close();
-        if timeout(STOP, edge.calls.drained()).await.is_err() {
-            tracing::warn!("calls in flight at the stop: what they wrote may hold");
+        if timeout(STOP_TIMEOUT, edge.writes.drained()).await.is_err() {
+            tracing::warn!("stopped with writes in flight: they may or may not take effect");
         }
         edge.replica.stop().await;
-        // Last answers are on their way.
-        if timeout(STOP, edge.connections.drained()).await.is_err() {
-            tracing::debug!(left = edge.connections.in_use(), "connections are cut off");
+        // The last responses are still being sent.
+        if timeout(STOP_TIMEOUT, edge.connections.drained()).await.is_err() {
+            tracing::debug!(left = edge.connections.in_use(), "open connections are closed");
         }
         self.tasks.shutdown().await;
-        tracing::info!(id = self.edge.config.id, "replica has stopped");
+        tracing::info!(id = self.edge.config.id, "replica stopped");
     }
 }
 
-/// Counts the starts of a replica on its disk; this one's number.
+/// Increments the stored number of the replica's starts, and returns it.
 async fn count_start(store: &Store) -> Result<u64, ControlError> {
     let store = store.clone();
     let counted = tokio::task::spawn_blocking(move || {
-        let before = store.get(STARTS)?.and_then(|bytes| <[u8; 8]>::try_from(bytes).ok());
-        let starts = before.map_or(0, u64::from_le_bytes) + 1;
-        store.put(STARTS, &starts.to_le_bytes()).map(|()| starts)
+        let previous = store.get(STARTS_RECORD)?.and_then(|bytes| <[u8; 8]>::try_from(bytes).ok());
+        let starts = previous.map_or(0, u64::from_le_bytes) + 1;
+        store.put(STARTS_RECORD, &starts.to_le_bytes()).map(|()| starts)
     });
     Ok(counted.await.map_err(|_| ControlError::Ended("counts its starts"))??)
 }
@@ -231,62 +237,62 @@
 /// Runs a replica until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// Why it did not start, or could not go on.
+/// Why it did not start, or has failed.
 pub fn run(config: Config) -> Result<(), ControlError> {
-    let system = |what| move |error| ControlError::System { what, error };
+    let system_error = |what| move |error| ControlError::System { what, error };
     let runtime =
-        tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(system("runtime"))?;
+        tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(system_error("runtime"))?;
     runtime.block_on(async {
-        let mut terminate = signal(SignalKind::terminate()).map_err(system("signal"))?;
-        let mut interrupt = signal(SignalKind::interrupt()).map_err(system("signal"))?;
+        let mut terminate = signal(SignalKind::terminate()).map_err(system_error("signal"))?;
+        let mut interrupt = signal(SignalKind::interrupt()).map_err(system_error("signal"))?;
         let mut control = Control::start(config).await?;
-        let failed = tokio::select! {
+        let result = tokio::select! {
             error = control.failed() => Err(error),
             _ = terminate.recv() => Ok(()),
             _ = interrupt.recv() => Ok(()),
         };
         control.stop().await;
-        failed
+        result
     })
 }
 
-/// Shows each change of policy and of verdicts to whoever watches, and each change of policy to the log.
-async fn follow(replica: Replica<FleetState>, hub: WatchHub) {
+/// Publishes each change of the policy and of the verdicts to watchers, and logs each change of the policy.
+async fn publish_changes(replica: Replica<FleetState>, hub: WatchHub) {
     let mut applied = replica.applied();
-    let mut shown = None;
+    let mut published = None;
     loop {
         applied.borrow_and_update();
-        let fresh = replica.read(|agreement, _| {
-            let mark = (agreement.policy_state().version(), agreement.verdicts().version());
-            let told = || (mark, agreement.agreed_state(), agreement.verdicts().in_force());
-            (shown != Some(mark)).then(told)
+        let fresh = replica.read(|state, _| {
+            let versions = (state.policy_state().version(), state.verdicts().version());
+            let read = || (versions, state.agreed_state(), state.verdicts().in_force());
+            (published != Some(versions)).then(read)
         });
-        if let Some((mark, agreed, verdicts)) = fresh {
-            let policy = shown.is_none_or(|(policy, _): (u64, u64)| policy != mark.0);
+        if let Some((versions, agreed, verdicts)) = fresh {
+            let policy_changed = published.is_none_or(|(policy, _): (u64, u64)| policy != versions.0);
             match (&agreed.change, agreed.ended_changes.last()) {
-                _ if !policy => {}
+                _ if !policy_changed => {}
                 (Some(change), _) => {
-                    tracing::info!(change = change.id.0, epoch = change.epoch, "a change is under way");
+                    tracing::info!(change = change.id.0, epoch = change.epoch, "change proposed");
                 }
                 (None, Some(ended)) => {
                     let (change, epoch) = (ended.id.0, ended.epoch);
                     match &ended.abort_reason {
-                        None => tracing::info!(change, epoch, "the change is committed"),
-                        Some(why) => tracing::info!(change, epoch, ?why, "the change is aborted"),
+                        None => tracing::info!(change, epoch, "change committed"),
+                        Some(reason) => tracing::info!(change, epoch, ?reason, "change aborted"),
                     }
                 }
                 (None, None) => {}
             }
-            let version = mark.0.max(mark.1);
-            shown = Some(mark);
+            let version = versions.0.max(versions.1);
+            published = Some(versions);
             let verdicts = Some(verdicts).filter(|verdicts| verdicts.version > 0);
-            let news = WatchEvent { agreed_state: Some(agreed), version, verdicts };
-            match serde_json::to_vec(&news) {
+            let event = WatchEvent { agreed_state: Some(agreed), version, verdicts };
+            match serde_json::to_vec(&event) {
                 Ok(mut line) => {
                     line.push(b'\n');
                     hub.publish(version, line.into());
                 }
-                Err(error) => tracing::error!(%error, "what is agreed has no form in JSON"),
+                Err(error) => tracing::error!(%error, "the agreed state cannot be encoded as JSON"),
             }
         }
         if applied.changed().await.is_err() {
@@ -295,31 +301,32 @@
     }
 }
 
-/// Follows whether this replica is in touch with a leader that a majority follows; ends watches where it is not.
-async fn keep_touch(replica: Replica<FleetState>, hub: WatchHub, touch: Sender<bool>) {
+/// Tracks whether this replica is in contact with a leader that a majority follows, and ends watches if it is not.
+async fn check_leader_contact(replica: Replica<FleetState>, hub: WatchHub, in_touch: Sender<bool>) {
     let mut leading = replica.leading();
-    let mut heard: Option<Instant> = None;
+    let mut last_contact: Option<Instant> = None;
     loop {
-        let led = leading.borrow_and_update().clone();
-        let began = Instant::now();
-        let known = match led.me {
-            true => matches!(timeout(OUT_OF_TOUCH, replica.confirm()).await, Ok(Ok(()))),
-            false => led.leader.is_some(),
+        let current = leading.borrow_and_update().clone();
+        let started = Instant::now();
+        let has_leader = match current.me {
+            true => matches!(timeout(LEADER_CONTACT_TIMEOUT, replica.confirm()).await, Ok(Ok(()))),
+            false => current.leader.is_some(),
         };
-        if known {
-            heard = Some(began);
+        if has_leader {
+            last_contact = Some(started);
         }
-        let now = heard.is_some_and(|heard| heard.elapsed() < OUT_OF_TOUCH);
-        let changed = touch.send_if_modified(|touch| std::mem::replace(touch, now) != now);
-        if changed && !now {
-            tracing::warn!("out of touch with the leader: watches end");
+        let is_in_touch = last_contact.is_some_and(|contact| contact.elapsed() < LEADER_CONTACT_TIMEOUT);
+        let changed =
+            in_touch.send_if_modified(|in_touch| std::mem::replace(in_touch, is_in_touch) != is_in_touch);
+        if changed && !is_in_touch {
+            tracing::warn!("no contact to a leader: watches are ended");
             hub.disconnect_all();
         }
         tokio::select! {
-            () = sleep(TOUCH) => {}
-            // Not more often than that where leadership changes back and forth.
+            () = sleep(LEADER_CHECK_INTERVAL) => {}
+            // Limits the rate of checks if leadership changes back and forth.
             changed = leading.changed() => match changed {
-                Ok(()) => sleep(TOUCH / 10).await,
+                Ok(()) => sleep(LEADER_CHECK_INTERVAL / 10).await,
                 Err(_) => return,
             }
         }
--- a/crates/control/src/edge/response.rs
+++ b/crates/control/src/edge/response.rs
@@ -1,4 +1,4 @@
-//! Answers: JSON, and what went wrong with what to do about it.
+//! Responses: JSON, and errors with advice.
 
 use std::net::SocketAddr;
 
@@ -10,50 +10,51 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use super::watch::Lines;
+use super::watch::WatchBody;
 
-/// An answer's body.
-pub type Outgoing = Either<Full<Bytes>, Lines>;
+/// The body of a response.
+pub type ResponseBody = Either<Full<Bytes>, WatchBody>;
 
-/// A call that is answered with what went wrong.
+/// A call that failed, with what the caller can do about it.
 #[derive(Debug, Serialize)]
-pub struct Refused {
+pub struct ErrorResponse {
     #[serde(skip)]
     status: StatusCode,
     error: String,
     advice: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     leader: Option<SocketAddr>,
-    /// What a program wants to know besides.
+    /// Further fields for programs.
     #[serde(flatten)]
-    more: Box<Map<String, Value>>,
+    details: Box<Map<String, Value>>,
+    /// The value of the `Allow` header.
     #[serde(skip)]
-    allow: Option<&'static str>,
+    allowed_methods: Option<&'static str>,
 }
 
-impl Refused {
-    /// What went wrong, and what the caller can do about it.
+impl ErrorResponse {
+    /// Creates an error with this status; `advice` says what the caller can do about it.
     pub fn new(status: StatusCode, error: impl ToString, advice: impl ToString) -> Self {
         let (error, advice) = (error.to_string(), advice.to_string());
-        Self { status, error, advice, leader: None, more: Box::default(), allow: None }
+        Self { status, error, advice, leader: None, details: Box::default(), allowed_methods: None }
     }
 
-    /// The call itself is wrong.
-    pub fn bad(error: impl ToString, advice: impl ToString) -> Self {
+    /// Status 400: the request is invalid.
+    pub fn bad_request(error: impl ToString, advice: impl ToString) -> Self {
         Self::new(StatusCode::BAD_REQUEST, error, advice)
     }
 
-    /// It is right, and can't be done as things stand.
+    /// Status 409: the request is valid but not possible in the current state.
     pub fn conflict(error: impl ToString, advice: impl ToString) -> Self {
         Self::new(StatusCode::CONFLICT, error, advice)
     }
 
-    /// It can't be done now.
+    /// Status 503: the request is not possible at the moment.
     pub fn unavailable(error: impl ToString, advice: impl ToString) -> Self {
         Self::new(StatusCode::SERVICE_UNAVAILABLE, error, advice)
     }
 
-    /// This replica does not lead.
+    /// Status 503 from a replica that does not lead.
     pub fn not_leader(leader: Option<SocketAddr>) -> Self {
         let error = WriteError::NotLeader { leader: None };
         let advice = match leader {
@@ -63,24 +64,24 @@
         Self { leader, ..Self::unavailable(&error, advice) }
     }
 
-    /// Another method is needed.
-    pub fn method(allow: &'static str) -> Self {
-        let advice = format!("this path takes {allow}");
-        let refused = Self::new(StatusCode::METHOD_NOT_ALLOWED, "no such method here", advice);
-        Self { allow: Some(allow), ..refused }
+    /// Status 405: the path does not have this method.
+    pub fn method_not_allowed(allowed: &'static str) -> Self {
+        let advice = format!("this path takes {allowed}");
+        let error = Self::new(StatusCode::METHOD_NOT_ALLOWED, "no such method here", advice);
+        Self { allowed_methods: Some(allowed), ..error }
     }
 
-    /// With a further field.
+    /// Adds a field to the body.
     pub fn with(mut self, name: &str, value: impl Serialize) -> Self {
-        // What has no form in JSON is left out; error and advice stand without it.
+        // A value that cannot be encoded as JSON is left out; error and advice are complete without it.
         if let Ok(value) = serde_json::to_value(value) {
-            self.more.insert(name.to_owned(), value);
+            self.details.insert(name.to_owned(), value);
         }
         self
     }
 }
 
-impl From<WriteError> for Refused {
+impl From<WriteError> for ErrorResponse {
     fn from(error: WriteError) -> Self {
         let advice = error.advice();
         match error {
@@ -94,28 +95,28 @@
     }
 }
 
-impl From<Refused> for Response<Outgoing> {
-    fn from(refused: Refused) -> Self {
-        let mut response = json(refused.status, &refused);
-        if refused.status == StatusCode::SERVICE_UNAVAILABLE {
+impl From<ErrorResponse> for Response<ResponseBody> {
+    fn from(error: ErrorResponse) -> Self {
+        let mut response = json(error.status, &error);
+        if error.status == StatusCode::SERVICE_UNAVAILABLE {
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
         }
-        if let Some(allow) = refused.allow {
-            response.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
+        if let Some(allowed) = error.allowed_methods {
+            response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
         }
         response
     }
 }
 
-/// An answer of one JSON object and a line's end.
-pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Outgoing> {
+/// Creates a response with one JSON object and a newline.
+pub fn json(status: StatusCode, value: &impl Serialize) -> Response<ResponseBody> {
     let mut bytes = serde_json::to_vec(value).unwrap_or_default();
     bytes.push(b'\n');
-    raw(status, bytes.into())
+    json_bytes(status, bytes.into())
 }
 
-/// An answer that is JSON already.
-pub fn raw(status: StatusCode, bytes: Bytes) -> Response<Outgoing> {
+/// Creates a response from bytes that are JSON already.
+pub fn json_bytes(status: StatusCode, bytes: Bytes) -> Response<ResponseBody> {
     let mut response = Response::new(Either::Left(Full::new(bytes)));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/control/src/edge/stalled_write.rs
+++ b/crates/control/src/edge/stalled_write.rs
@@ -1,4 +1,4 @@
-//! A connection whose writes may not stand still: who reads too slowly is cut off.
+//! A connection with a timeout for stalled writes, which disconnects callers that read too slowly.
 
 use std::future::Future;
 use std::io;
@@ -10,35 +10,36 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// A TCP stream that fails once the kernel has taken nothing of what is to be written for a while.
-pub struct Guarded {
+/// A TCP stream that fails once the kernel has accepted no written data for the stall timeout.
+pub struct StallTimeout {
     stream: TcpStream,
-    stall: Duration,
-    /// When it fails; counts while `stalled`.
+    stall_timeout: Duration,
+    /// When the stream fails; valid while `stalled`.
     timer: Pin<Box<Sleep>>,
     stalled: bool,
 }
 
-impl Guarded {
-    /// Guards a connected stream.
-    pub fn new(stream: TcpStream, stall: Duration) -> Self {
-        Self { stream, stall, timer: Box::pin(sleep(stall)), stalled: false }
+impl StallTimeout {
+    /// Wraps a connected stream.
+    pub fn new(stream: TcpStream, stall_timeout: Duration) -> Self {
+        Self { stream, stall_timeout, timer: Box::pin(sleep(stall_timeout)), stalled: false }
     }
 
-    fn guard<T>(&mut self, cx: &mut Context<'_>, took: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
-        if took.is_ready() {
+    /// Passes a write's result on, or fails once writes have stalled for too long.
+    fn check_stall<T>(&mut self, cx: &mut Context<'_>, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+        if written.is_ready() {
             self.stalled = false;
-            return took;
+            return written;
         }
         if !self.stalled {
             self.stalled = true;
-            self.timer.as_mut().reset(Instant::now() + self.stall);
+            self.timer.as_mut().reset(Instant::now() + self.stall_timeout);
         }
         self.timer.as_mut().poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl AsyncRead for Guarded {
+impl AsyncRead for StallTimeout {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -48,10 +49,10 @@
     }
 }
 
-impl AsyncWrite for Guarded {
+impl AsyncWrite for StallTimeout {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let took = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.guard(cx, took)
+        let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
+        self.check_stall(cx, written)
     }
 
     fn poll_write_vectored(
@@ -59,8 +60,8 @@
         cx: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let took = Pin::new(&mut self.stream).poll_write_vectored(cx, parts);
-        self.guard(cx, took)
+        let written = Pin::new(&mut self.stream).poll_write_vectored(cx, parts);
+        self.check_stall(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/control/src/edge/watch.rs
+++ b/crates/control/src/edge/watch.rs
@@ -1,4 +1,4 @@
-//! The body of a watch: the hub's lines as they come, and an empty one now and then that shows that the link works.
+//! The body of a watch: the hub's lines as they are published, and an empty line at intervals as keep-alive.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -12,25 +12,26 @@
 
 use crate::hub::Watcher;
 
-/// How often an empty line goes out while there is none.
-pub const EMPTY_LINE: Duration = Duration::from_secs(2);
+/// The interval between empty lines while no other line is sent.
+pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// One watcher's lines; ends with the watch, or when its time is over.
-pub struct Lines {
+/// One watcher's lines; ends with the watch, or at its maximum age.
+pub struct WatchBody {
     watcher: Watcher,
-    empty: Pin<Box<Sleep>>,
-    until: Instant,
+    keep_alive: Pin<Box<Sleep>>,
+    ends_at: Instant,
 }
 
-impl Lines {
-    /// The lines of a watch, for so long at the most.
-    pub fn new(watcher: Watcher, most: Duration) -> Self {
+impl WatchBody {
+    /// Creates the body of a watch that ends after `max_age` at the latest.
+    pub fn new(watcher: Watcher, max_age: Duration) -> Self {
         let now = Instant::now();
-        Self { watcher, empty: Box::pin(sleep_until(now + EMPTY_LINE)), until: now + most }
+        let keep_alive = Box::pin(sleep_until(now + KEEP_ALIVE_INTERVAL));
+        Self { watcher, keep_alive, ends_at: now + max_age }
     }
 }
 
-impl Body for Lines {
+impl Body for WatchBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -41,11 +42,11 @@
         let line = match self.watcher.poll_next_line(cx) {
             Poll::Ready(None) => return Poll::Ready(None),
             Poll::Ready(Some(line)) => line,
-            Poll::Pending if self.empty.as_mut().poll(cx).is_pending() => return Poll::Pending,
-            Poll::Pending if Instant::now() >= self.until => return Poll::Ready(None),
+            Poll::Pending if self.keep_alive.as_mut().poll(cx).is_pending() => return Poll::Pending,
+            Poll::Pending if Instant::now() >= self.ends_at => return Poll::Ready(None),
             Poll::Pending => Bytes::from_static(b"\n"),
         };
-        self.empty.as_mut().reset(Instant::now() + EMPTY_LINE);
+        self.keep_alive.as_mut().reset(Instant::now() + KEEP_ALIVE_INTERVAL);
         Poll::Ready(Some(Ok(Frame::data(line))))
     }
 }
--- a/crates/control/src/hub.rs
+++ b/crates/control/src/hub.rs
@@ -1,10 +1,10 @@
-//! The watch hub: what was last agreed, encoded once, and whoever waits for the next.
+//! The watch hub: the newest agreed state, encoded once, and the watchers that wait for the next one.
 //!
-//! A line holds the whole state, so that a watcher who was slow needs only the newest one: there is no queue to bound,
-//! each watcher has at most the line that is being written to it.
+//! Each line contains the whole state, so a slow watcher needs only the newest one: there is no queue to bound, and a
+//! watcher holds at most the line that is being written to it.
 //!
-//! Rejected: a bounded queue of lines a watcher. It costs memory by watchers times lines to deliver what the next line
-//! overtakes.
+//! Rejected: a bounded queue of lines per watcher. It costs memory proportional to watchers times lines, to deliver
+//! lines that the next one supersedes.
 
 use std::collections::BTreeMap;
 use std::future::poll_fn;
@@ -15,20 +15,20 @@
 
 use crate::sync::Lock;
 
-/// Shared by whoever publishes and all who watch.
+/// Publishes lines to watchers; clones share it.
 pub struct WatchHub<L: Lock<HubState> = Mutex<HubState>>(Arc<L>);
 
-/// What is under the hub's lock.
+/// The state under the hub's lock.
 #[derive(Default)]
 pub struct HubState {
-    /// The newest line, and the log's version that it tells of.
-    line: Option<(u64, Bytes)>,
-    /// How often watches were cut off.
-    cuts: u64,
+    /// The newest line, and the log version that it contains.
+    newest: Option<(u64, Bytes)>,
+    /// The number of calls of [`WatchHub::disconnect_all`].
+    disconnects: u64,
     closed: bool,
-    /// How many watch, and the number of the next one.
-    watchers: usize,
-    next: u64,
+    watcher_count: usize,
+    /// The ID of the last watcher.
+    last_id: u64,
     waiting: BTreeMap<u64, Waker>,
 }
 
@@ -45,44 +45,44 @@
 }
 
 impl<L: Lock<HubState>> WatchHub<L> {
-    /// Shows a line to all who watch, unless it is not newer than the one that is shown.
+    /// Publishes a line to all watchers, unless it is not newer than the current one.
     pub fn publish(&self, version: u64, line: Bytes) {
-        self.change(|board| {
-            if board.line.as_ref().is_none_or(|(shown, _)| *shown < version) {
-                board.line = Some((version, line));
+        self.update(|state| {
+            if state.newest.as_ref().is_none_or(|(newest, _)| *newest < version) {
+                state.newest = Some((version, line));
             }
         });
     }
 
-    /// Ends all watches that are on now; others may begin.
+    /// Ends all current watches; new ones may start.
     pub fn disconnect_all(&self) {
-        self.change(|board| board.cuts += 1);
+        self.update(|state| state.disconnects += 1);
     }
 
-    /// Ends all watches, and those that begin from now on too.
+    /// Ends all watches, and new ones too once they have received the newest line.
     pub fn close(&self) {
-        self.change(|board| board.closed = true);
+        self.update(|state| state.closed = true);
     }
 
-    /// How many watch.
+    /// Returns the number of watchers.
     pub fn watcher_count(&self) -> usize {
-        self.0.with(|board| board.watchers)
+        self.0.with(|state| state.watcher_count)
     }
 
-    /// Begins a watch for whoever knows what was agreed at version `from`; of `None`, an older or an unknown version
-    /// the newest line comes at once.
+    /// Starts a watch for a caller that knows the agreed state at version `from`. If that is `None`, older or unknown,
+    /// the newest line comes immediately.
     pub fn subscribe(&self, from: Option<u64>) -> Watcher<L> {
-        self.0.with(|board| {
-            board.watchers += 1;
-            board.next += 1;
-            Watcher { hub: self.clone(), number: board.next, cuts: board.cuts, seen: from }
+        self.0.with(|state| {
+            state.watcher_count += 1;
+            state.last_id += 1;
+            Watcher { hub: self.clone(), id: state.last_id, disconnects: state.disconnects, seen: from }
         })
     }
 
-    fn change(&self, f: impl FnOnce(&mut HubState)) {
-        let woken = self.0.with(|board| {
-            f(board);
-            std::mem::take(&mut board.waiting)
+    fn update(&self, f: impl FnOnce(&mut HubState)) {
+        let woken = self.0.with(|state| {
+            f(state);
+            std::mem::take(&mut state.waiting)
         });
         woken.into_values().for_each(Waker::wake);
     }
@@ -91,32 +91,32 @@
 /// One watch.
 pub struct Watcher<L: Lock<HubState> = Mutex<HubState>> {
     hub: WatchHub<L>,
-    number: u64,
-    cuts: u64,
+    id: u64,
+    disconnects: u64,
     seen: Option<u64>,
 }
 
 impl<L: Lock<HubState>> Watcher<L> {
-    /// The next line; `None` once the watch is over.
+    /// Returns the next line; `None` once the watch has ended.
     pub async fn next_line(&mut self) -> Option<Bytes> {
         poll_fn(|cx| self.poll_next_line(cx)).await
     }
 
-    /// As [`Watcher::next_line`].
+    /// Polls for the result of [`Watcher::next_line`].
     pub fn poll_next_line(&mut self, cx: &mut Context<'_>) -> Poll<Option<Bytes>> {
-        // Looked at and waited for under one lock: what is published in between would wake nobody.
-        self.hub.0.with(|board| {
-            if board.cuts != self.cuts {
+        // The check and the registration are under one lock, so a line published in between cannot be missed.
+        self.hub.0.with(|state| {
+            if state.disconnects != self.disconnects {
                 return Poll::Ready(None);
             }
-            match &board.line {
+            match &state.newest {
                 Some((version, line)) if self.seen != Some(*version) => {
                     self.seen = Some(*version);
                     Poll::Ready(Some(line.clone()))
                 }
-                _ if board.closed => Poll::Ready(None),
+                _ if state.closed => Poll::Ready(None),
                 _ => {
-                    board.waiting.insert(self.number, cx.waker().clone());
+                    state.waiting.insert(self.id, cx.waker().clone());
                     Poll::Pending
                 }
             }
@@ -126,9 +126,9 @@
 
 impl<L: Lock<HubState>> Drop for Watcher<L> {
     fn drop(&mut self) {
-        let waker = self.hub.0.with(|board| {
-            board.watchers -= 1;
-            board.waiting.remove(&self.number)
+        let waker = self.hub.0.with(|state| {
+            state.watcher_count -= 1;
+            state.waiting.remove(&self.id)
         });
         drop(waker);
     }
@@ -140,14 +140,14 @@
 
     use super::*;
 
-    type Shared = WatchHub<shuttle::sync::Mutex<HubState>>;
+    type ShuttleHub = WatchHub<shuttle::sync::Mutex<HubState>>;
 
     fn line(version: u64) -> Bytes {
         version.to_string().into()
     }
 
-    /// All lines of a watch until it ends.
-    fn all(mut watcher: Watcher<shuttle::sync::Mutex<HubState>>) -> Vec<Bytes> {
+    /// Returns all lines of a watch until it ends.
+    fn all_lines(mut watcher: Watcher<shuttle::sync::Mutex<HubState>>) -> Vec<Bytes> {
         future::block_on(async {
             let mut lines = Vec::new();
             while let Some(line) = watcher.next_line().await {
@@ -159,12 +159,12 @@
 
     /// A lost wake-up is a deadlock, which the checker reports.
     #[test]
-    fn a_watcher_sees_versions_grow_up_to_the_last() {
+    fn a_watcher_sees_increasing_versions_up_to_the_last() {
         let run = || {
-            let hub = Shared::default();
+            let hub = ShuttleHub::default();
             hub.publish(1, line(1));
             let watcher = hub.subscribe(Some(1));
-            let watching = thread::spawn(move || all(watcher));
+            let watching = thread::spawn(move || all_lines(watcher));
             hub.publish(2, line(2));
             hub.publish(3, line(3));
             hub.close();
@@ -177,11 +177,11 @@
     }
 
     #[test]
-    fn a_cut_ends_present_watches_alone() {
+    fn disconnect_all_ends_only_the_current_watches() {
         let run = || {
-            let hub = Shared::default();
+            let hub = ShuttleHub::default();
             let first = hub.subscribe(None);
-            let watching = thread::spawn(move || all(first));
+            let watching = thread::spawn(move || all_lines(first));
             hub.disconnect_all();
             let mut second = hub.subscribe(None);
             hub.publish(7, line(7));
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -1,32 +1,36 @@
-//! What a leader knows beside the log: sessions, promises and leases by its own monotonic clock. Pure: a time and an
-//! event in, what is to be written, asked and answered out.
+//! The leader's state beside the log: sessions, promises and leases by its own monotonic clock. It does no I/O: it takes
+//! times and inputs, and returns what to write, reply and probe.
 //!
-//! Need: the log says who is a member and what a change is; whether all members have promised, and whether silent
-//! ones have stopped, is a matter of time on one process's clock. Shape: a [`Leader`] lives for one term. The next
-//! one starts from the log alone and counts every span anew, as members say again what they have staged.
+//! Goal: the log says who is a member and what the pending change is. Whether all members have promised, and whether
+//! silent ones have stopped, depends on time on one process's clock. Design: a [`Leader`] lives for one term. The next
+//! one starts from the log alone and measures all durations anew, because members repeat what they have staged.
 //!
-//! Why each span holds:
-//! - *Promise.* A member's `left_ms` counts from its beat's sending, which is after it had the stamp that the beat
-//!   echoes, so `stamp + left_ms * (1 - MAX_CLOCK_DRIFT)` is no later than the promise's end. A late or repeated beat makes it
-//!   no later, one out of order changes nothing, as the latest end counts: promises about one change only grow. Stamps
-//!   of another term say nothing and count for nothing. A commit is decided only while each has `reserve_ms` left.
-//! - *Lease.* A member counts it from its beat's sending, the leader from its answer, which is later; with
-//!   `* (1 + MAX_CLOCK_DRIFT)` it is over at the member first. A new leader counts from its own start: an earlier one confirmed
-//!   after the beat came, so before this one was elected.
-//! - *Answers.* Each goes out only after a confirm that was begun after the beat came, so a leader that was deposed
-//!   without knowing makes no promise longer and grants no lease that its follower does not count. What is agreed is
-//!   told whole unless the beat names just that state; [`AgreedUpdate::Unchanged`] then proves as much.
-//! - *A commit in flight.* From its decision until its fate is known no fenced member that it counts on gets a lease,
-//!   and where the write's fate stays unknown, not until the change ends. Answers go on making promises longer: they
-//!   are counted from before the commit.
-//! - *Joins.* A newcomer is answered once it stands in the roster. A commit written before its join is known to it by
-//!   its first answer; one written after it must count it, and is void if it does not: the leader goes on waiting.
-//! - *One name, two processes.* A newcomer that comes `beside` is a member as well as the older one until that one's
-//!   session closes. Any other waits until the older one is proven ended (its address refuses connections) or was
-//!   silent for a session and has no lease; as long as it is alive the newcomer is refused. What is left to operators
-//!   (or to who gives out names) is an older process that lives, cut off, and is not fenced.
+//! Why each deadline is safe:
+//! - *Promise.* A member's `remaining_ms` counts from when it sent the heartbeat, which is after it received the stamp
+//!   that the heartbeat echoes. So `stamp + remaining_ms * (1 - MAX_CLOCK_DRIFT)` is no later than the promise's end. A
+//!   late or duplicated heartbeat makes it no later, and one out of order changes nothing, because the latest end counts:
+//!   promises about one change are only extended. Stamps of another term count for nothing. A commit is decided only
+//!   while each promise has `commit_reserve_ms` left.
+//! - *Lease.* A member counts it from when it sent the heartbeat, the leader from its reply, which is later; with
+//!   `* (1 + MAX_CLOCK_DRIFT)` it expires on the member first. A new leader counts from its own start: any earlier
+//!   leader confirmed its leadership after receiving the heartbeat, and so before this one was elected.
+//! - *Replies.* Each is sent only after a confirmation of leadership that started after the heartbeat was received, so a
+//!   leader that was deposed without knowing it extends no promise, and grants no lease that its successor does not
+//!   count. The agreed state is sent in full unless the heartbeat names exactly that state;
+//!   [`AgreedUpdate::Unchanged`] then proves as much.
+//! - *Commit in flight.* From the decision until the outcome is known, no fenced member that the commit counts on gets a
+//!   lease; if the write's outcome stays unknown, not until the change ends. Replies go on extending promises, because
+//!   those are counted from before the commit.
+//! - *Joins.* A new process gets a reply once it is in the roster. It learns of a commit written before its join from its
+//!   first reply; a commit written after the join must count it, and is void if it does not: the leader then goes on
+//!   waiting.
+//! - *Two processes with one name.* A new process with `coexists_with_previous` is a member next to the older one until
+//!   that one's session closes. Any other waits until the older one has provably exited (its address refuses
+//!   connections), or has been silent for a session timeout and has no lease; as long as it is alive the new one is
+//!   refused. What remains to operators (or to whoever assigns names) is an older process that is alive, partitioned
+//!   and not fenced.
 //!
-//! A connection that is refused counts as proof that a process has ended; firewalls between must drop, not refuse.
+//! A refused connection counts as proof that a process has exited; firewalls in between must drop, not refuse.
 
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,38 +47,38 @@
 use crate::policy::{MAX_EPOCH, MAX_NAMED_MEMBERS};
 use crate::roster::{MAX_MEMBERS, MAX_NODE_NAME_BYTES};
 
-/// What becomes of a change when members can't be reached.
+/// What happens to a change if members are unreachable.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnreachableAction {
-    /// It is aborted: nodes serve on under the old policy, also without the control group.
+    /// It is aborted: nodes go on serving under the old policy, even without the control group.
     #[default]
     Abort,
-    /// It is committed once their leases are over: nodes take nothing while they don't reach the group.
+    /// It is committed once their leases have expired: nodes admit nothing while they cannot reach the group.
     Fence,
 }
 
-/// A leader's terms. All replicas of a group should have the same.
+/// A leader's settings. All replicas of a group should have the same.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeaderSettings {
-    /// What becomes of a change when members can't be reached. Holds for processes that join from now on.
+    /// What happens to a change if members are unreachable. Applies to processes that join from now on.
     #[serde(rename = "unreachable")]
     pub unreachable_action: UnreachableAction,
-    /// From an answer to the next beat.
+    /// The delay from a reply to the member's next heartbeat.
     #[serde(rename = "beat_ms")]
     pub heartbeat_interval_ms: Millis,
-    /// For how long a member may be silent before its address is tried and a successor of its name taken.
+    /// How long a member may be silent before its address is probed and a new process of its name is accepted.
     #[serde(rename = "session_ms")]
     pub session_timeout_ms: Millis,
     /// How long members have to stage a change.
     #[serde(rename = "stage_ms")]
     pub stage_timeout_ms: Millis,
-    /// How long a promise lasts: the longest that two policies can be in service at once.
+    /// How long a promise lasts: the maximum time that two policies can be in service at once.
     pub promise_ms: Millis,
     /// How long a lease lasts.
     pub lease_ms: Millis,
-    /// What must be left of every promise when a commit is decided: the time that its write may take.
+    /// The minimum time left of every promise when a commit is decided: the time that its write may take.
     #[serde(rename = "reserve_ms")]
     pub commit_reserve_ms: Millis,
 }
@@ -93,9 +97,9 @@
     }
 }
 
-/// Settings that can't hold: the field, what is wrong with it, what to set.
+/// A duration of the settings is out of its range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{field} = {value} must be at least {minimum} ({reason}) and at most {MAX_SPAN_MS}")]
+#[error("{field} = {value} must be at least {minimum} ({reason}) and at most {MAX_DURATION_MS}")]
 pub struct LeaderSettingsError {
     field: &'static str,
     value: Millis,
@@ -103,32 +107,37 @@
     reason: &'static str,
 }
 
-/// The longest span, in milliseconds.
-const MAX_SPAN_MS: Millis = 600_000.0;
+/// The maximum of every duration in the settings, in milliseconds.
+const MAX_DURATION_MS: Millis = 600_000.0;
 
 impl LeaderSettings {
-    /// Whether the spans fit together.
+    /// Checks that the durations fit together.
     ///
     /// # Errors
-    /// The first one that does not.
+    /// Names the first one that does not fit.
     pub fn check(&self) -> Result<(), LeaderSettingsError> {
-        let twice = 2.0 * self.heartbeat_interval_ms;
-        let over = self.lease_ms * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
+        let two_heartbeats = 2.0 * self.heartbeat_interval_ms;
+        let lease_with_drift = self.lease_ms * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
         let rules = [
-            ("beat_ms", self.heartbeat_interval_ms, 1.0, "a beat"),
-            ("reserve_ms", self.commit_reserve_ms, 1.0, "a write's time"),
-            ("stage_ms", self.stage_timeout_ms, twice, "two beats"),
+            ("beat_ms", self.heartbeat_interval_ms, 1.0, "a heartbeat"),
+            ("reserve_ms", self.commit_reserve_ms, 1.0, "the time of a write"),
+            ("stage_ms", self.stage_timeout_ms, two_heartbeats, "two heartbeats"),
             (
                 "promise_ms",
                 self.promise_ms,
-                (twice + self.commit_reserve_ms) / (1.0 - MAX_CLOCK_DRIFT),
-                "two beats and the reserve",
+                (two_heartbeats + self.commit_reserve_ms) / (1.0 - MAX_CLOCK_DRIFT),
+                "two heartbeats and the reserve",
+            ),
+            ("lease_ms", self.lease_ms, two_heartbeats, "two heartbeats"),
+            (
+                "session_ms",
+                self.session_timeout_ms,
+                lease_with_drift.max(two_heartbeats),
+                "a lease, with clock drift",
             ),
-            ("lease_ms", self.lease_ms, twice, "two beats"),
-            ("session_ms", self.session_timeout_ms, over.max(twice), "a lease, with clocks that differ"),
         ];
         for (field, value, minimum, reason) in rules {
-            if !(value >= minimum && value <= MAX_SPAN_MS) {
+            if !(value >= minimum && value <= MAX_DURATION_MS) {
                 return Err(LeaderSettingsError { field, value, minimum, reason });
             }
         }
@@ -136,505 +145,532 @@
     }
 }
 
-/// What has happened.
+/// An event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A beat came. `token` is the caller's, to find whom to answer.
+    /// A heartbeat was received.
     Heartbeat {
-        /// Never the same again.
+        /// Identifies the heartbeat for the reply; the caller never reuses one.
         token: u64,
-        /// The beat.
+        /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// The confirm that was asked for at `requested_at` has succeeded: the replica still led *in this term* at some moment
-    /// after that, and the agreement given holds all that was committed by then.
+    /// The confirmation that was requested at `requested_at` has succeeded: the replica still led *in this term* at some
+    /// moment after that, and the fleet state given contains all that was committed by then.
     Confirmed {
-        /// The time of the call that gave [`Effect::ConfirmLeadership`].
+        /// The time of the call that returned [`Effect::ConfirmLeadership`].
         requested_at: Millis,
     },
-    /// That confirm has failed. (If the term is over, drop this leader.)
+    /// That confirmation has failed. (If the term has ended, drop this leader.)
     ConfirmFailed {
-        /// The time of the call that gave [`Effect::ConfirmLeadership`].
+        /// The time of the call that returned [`Effect::ConfirmLeadership`].
         requested_at: Millis,
     },
-    /// The agreement has changed.
+    /// The fleet state has changed.
     Applied,
-    /// How an [`Effect::Probe`] ended.
+    /// The result of an [`Effect::Probe`].
     ProbeResult {
-        /// Whom it was for.
+        /// The process that was probed.
         process: Process,
-        /// The connection was refused. Anything else (made, reset, timed out) proves nothing.
+        /// The connection was refused. Any other result (connected, reset, timed out) proves nothing.
         refused: bool,
     },
-    /// How an [`Effect::Write`] ended; comes for each, and with an agreement that holds it where it has an outcome.
+    /// The result of an [`Effect::Write`]. There is one for each; if there is an outcome, the fleet state already
+    /// contains it.
     WriteResult {
-        /// What was to be written.
+        /// The command.
         command: Command,
-        /// What came of it; `None`: it may have been written or not.
+        /// Its outcome; `None` if it is unknown whether it was written.
         outcome: Option<Outcome>,
     },
     /// Time has passed.
     Tick,
 }
 
-/// What the caller is to do.
+/// What the caller must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Answer a beat, now.
+    /// Reply to a heartbeat, immediately.
     Reply {
-        /// Which.
+        /// The heartbeat's token.
         token: u64,
-        /// With what.
+        /// The reply.
         reply: Box<HeartbeatReply>,
     },
-    /// Say no to a beat, or let go of it.
+    /// Refuse a heartbeat.
     Refuse {
-        /// Which.
+        /// The heartbeat's token.
         token: u64,
         /// Why.
         reason: Refusal,
     },
-    /// Write this to the log, and say how it ended by [`Input::WriteResult`].
+    /// Write this to the log, and report the result by [`Input::WriteResult`].
     Write(Command),
-    /// Make sure that this replica still leads, and say so by [`Input::Confirmed`] or [`Input::Unconfirmed`]. One is
-    /// out at a time.
+    /// Confirm that this replica still leads, and report the result by [`Input::Confirmed`] or
+    /// [`Input::ConfirmFailed`]. At most one is in flight.
     ConfirmLeadership,
-    /// Try to connect to where a process listens as long as it lives, and say how it ended by [`Input::ProbeResult`].
+    /// Try to connect to a process's liveness address, and report the result by [`Input::ProbeResult`].
     Probe {
-        /// Who.
+        /// The process.
         process: Process,
-        /// Where.
+        /// Its address.
         liveness_addr: SocketAddr,
     },
 }
 
-/// Why a beat is not answered.
+/// Why a heartbeat gets no reply.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Refusal {
-    /// No more members.
+    /// The maximum number of members is reached.
     #[error("the roster is full, or this node has too many processes: remove nodes that are gone")]
     RosterFull,
     /// Another process of this name is alive.
-    #[error("another process of this name is alive: end it, or give this node another name")]
+    #[error("another process of this name is alive: stop it, or give this node another name")]
     NameInUse,
-    /// The name is none.
+    /// The name is invalid.
     #[error("the node's name must have 1 to {MAX_NODE_NAME_BYTES} bytes")]
     InvalidName,
-    /// It could not be made sure of in time that this replica leads, or that another process has ended.
-    #[error("no answer could be given in time: try again")]
+    /// It could not be confirmed in time that this replica leads, or that another process has exited.
+    #[error("no reply was possible in time: try again")]
     TimedOut,
-    /// The same process has sent another beat since.
-    #[error("a newer beat of this process has come")]
+    /// The same process has sent another heartbeat since.
+    #[error("a newer heartbeat of this process has arrived")]
     Superseded,
 }
 
-/// What this leader knows of a member.
+/// What this leader knows about a member.
 #[derive(Clone, Debug, PartialEq)]
 struct Session {
-    /// When its last beat came; the session's start where none has.
-    heard: Millis,
-    /// When its last answer that may hold a lease was written; the session's start where none was.
-    granted: Millis,
-    /// When its promise about the change under way ends, at the earliest.
-    until: Option<Millis>,
-    /// It can't bear that change.
-    refused: Option<String>,
-    /// When its address was tried last, and when it was found not to refuse.
-    probed: Millis,
-    alive: Option<Millis>,
+    /// When its last heartbeat was received, or when the session started.
+    last_heartbeat_at: Millis,
+    /// When the last reply that may contain a lease was written, or when the session started.
+    lease_granted_at: Millis,
+    /// The earliest time at which its promise about the pending change ends.
+    promise_until: Option<Millis>,
+    /// Why it cannot apply that change.
+    refusal: Option<String>,
+    /// When its address was last probed, and when it last did not refuse.
+    probed_at: Millis,
+    alive_at: Option<Millis>,
 }
 
-/// A beat that waits for its answer.
+/// A heartbeat that waits for its reply.
 #[derive(Clone, Debug, PartialEq)]
-struct Waiting {
+struct PendingHeartbeat {
     token: u64,
-    came: Millis,
-    /// The first round of confirms that was begun after it came.
+    received_at: Millis,
+    /// The first round of confirmation that started after it was received.
     round: u64,
-    life: SocketAddr,
-    beside: bool,
-    active: Option<Epoch>,
-    known: Option<StateId>,
-    bye: bool,
+    liveness_addr: SocketAddr,
+    coexists_with_previous: bool,
+    active_epoch: Option<Epoch>,
+    known_state: Option<StateId>,
+    leaving: bool,
 }
 
-/// The change under way.
+/// The pending change.
 #[derive(Clone, Debug, PartialEq)]
 struct Staging {
     id: ChangeId,
-    /// When this leader saw it first.
-    began: Millis,
+    /// When this leader first saw it.
+    started_at: Millis,
     /// Its commit or abort is being written.
     deciding: bool,
-    /// Members that a commit which may be written counts as fenced.
+    /// Members that a commit in flight counts as fenced, which get no lease.
     frozen: BTreeSet<Process>,
 }
 
-/// The leader of one term. Started when the replica has become leader, dropped when the term is over.
+/// The leader of one term. Created when the replica becomes leader, dropped when the term ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leader {
-    terms: LeaderSettings,
+    settings: LeaderSettings,
     term: u64,
-    /// The version that sessions and change were last taken from.
-    synced: Option<u64>,
-    /// The state of what is agreed that nodes are told, as of then.
-    known: Option<StateId>,
+    /// The version that sessions and change were last updated from.
+    synced_version: Option<u64>,
+    /// The agreed state as of then.
+    agreed_state: Option<StateId>,
     sessions: BTreeMap<Process, Session>,
-    waiting: BTreeMap<Process, Waiting>,
+    pending_heartbeats: BTreeMap<Process, PendingHeartbeat>,
     staging: Option<Staging>,
-    /// Processes with a command about them on its way.
-    writing: BTreeSet<Process>,
-    /// Rounds of confirms begun and done; when the one on its way was asked for.
-    begun: u64,
-    done: u64,
-    asked: Option<Millis>,
-    /// Not before these is a confirm asked for, or anything written, as the last one failed.
-    confirm_at: Millis,
-    write_at: Millis,
-    probe_at: Millis,
+    /// Processes with a command about them in flight.
+    in_flight: BTreeSet<Process>,
+    /// Rounds of confirmation started and succeeded, and when the one in flight was requested.
+    rounds_started: u64,
+    rounds_confirmed: u64,
+    confirm_requested_at: Option<Millis>,
+    /// The earliest times for the next confirmation and the next write, delayed after a failure.
+    next_confirm_at: Millis,
+    next_write_at: Millis,
+    next_probe_at: Millis,
     now: Millis,
 }
 
 impl Leader {
-    /// A leader whose term has begun before `now`.
-    pub fn new(terms: LeaderSettings, term: u64, now: Millis) -> Self {
+    /// Creates the leader of a term that started before `now`.
+    pub fn new(settings: LeaderSettings, term: u64, now: Millis) -> Self {
         Self {
-            terms,
+            settings,
             term,
-            synced: None,
-            known: None,
+            synced_version: None,
+            agreed_state: None,
             sessions: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            pending_heartbeats: BTreeMap::new(),
             staging: None,
-            writing: BTreeSet::new(),
-            begun: 0,
-            done: 0,
-            asked: None,
-            confirm_at: now,
-            write_at: now,
-            probe_at: now,
+            in_flight: BTreeSet::new(),
+            rounds_started: 0,
+            rounds_confirmed: 0,
+            confirm_requested_at: None,
+            next_confirm_at: now,
+            next_write_at: now,
+            next_probe_at: now,
             now,
         }
     }
 
-    /// Takes what has happened; `agreement` is the replica's state at this moment.
-    pub fn handle(&mut self, now: Millis, input: Input, agreement: &FleetState) -> Vec<Effect> {
-        self.handle_all(now, [input], agreement)
+    /// Handles an event; `state` is the replica's fleet state at this moment.
+    pub fn handle(&mut self, now: Millis, input: Input, state: &FleetState) -> Vec<Effect> {
+        self.handle_all(now, [input], state)
     }
 
-    /// Takes what has happened up to `now`, in its order: what follows from it is looked for once, which costs time by
-    /// the members.
+    /// Handles all events up to `now`, in order. The effects are determined once for all of them, because that takes time
+    /// proportional to the number of members.
     pub fn handle_all(
         &mut self,
         now: Millis,
         inputs: impl IntoIterator<Item = Input>,
-        agreement: &FleetState,
+        state: &FleetState,
     ) -> Vec<Effect> {
         self.now = now;
         let mut effects = Vec::new();
-        self.sync(now, agreement);
+        self.sync(now, state);
         for input in inputs {
-            self.take(now, input, agreement, &mut effects);
+            self.handle_input(now, input, state, &mut effects);
         }
-        self.join(now, agreement, &mut effects);
-        self.answer(now, agreement, &mut effects);
-        self.decide(now, agreement, &mut effects);
-        self.probe(now, agreement, &mut effects);
-        if self.asked.is_none()
-            && now >= self.confirm_at
-            && self.waiting.values().any(|w| w.round > self.done)
+        self.join_waiting(now, state, &mut effects);
+        self.reply_to_ready(now, state, &mut effects);
+        self.decide_change(now, state, &mut effects);
+        self.probe_silent(now, state, &mut effects);
+        if self.confirm_requested_at.is_none()
+            && now >= self.next_confirm_at
+            && self.pending_heartbeats.values().any(|pending| pending.round > self.rounds_confirmed)
         {
-            self.begun += 1;
-            self.asked = Some(now);
+            self.rounds_started += 1;
+            self.confirm_requested_at = Some(now);
             effects.push(Effect::ConfirmLeadership);
         }
         effects
     }
 
-    fn take(&mut self, now: Millis, input: Input, agreement: &FleetState, effects: &mut Vec<Effect>) {
+    fn handle_input(&mut self, now: Millis, input: Input, state: &FleetState, effects: &mut Vec<Effect>) {
         match input {
-            Input::Heartbeat { token, heartbeat: beat } => self.beat(now, token, beat, agreement, effects),
-            Input::Confirmed { requested_at: asked } => {
-                if self.asked == Some(asked) {
-                    self.asked = None;
-                    self.done = self.begun;
+            Input::Heartbeat { token, heartbeat } => self.on_heartbeat(now, token, heartbeat, state, effects),
+            Input::Confirmed { requested_at } => {
+                if self.confirm_requested_at == Some(requested_at) {
+                    self.confirm_requested_at = None;
+                    self.rounds_confirmed = self.rounds_started;
                 }
             }
-            Input::ConfirmFailed { requested_at: asked } => {
-                if self.asked == Some(asked) {
-                    self.asked = None;
-                    self.confirm_at = now + self.pace();
+            Input::ConfirmFailed { requested_at } => {
+                if self.confirm_requested_at == Some(requested_at) {
+                    self.confirm_requested_at = None;
+                    self.next_confirm_at = now + self.retry_delay();
                 }
             }
-            Input::ProbeResult { process, refused } => self.probed(now, process, refused, effects),
-            Input::WriteResult { command, outcome } => self.written(now, &command, outcome, effects),
+            Input::ProbeResult { process, refused } => self.on_probe_result(now, process, refused, effects),
+            Input::WriteResult { command, outcome } => self.on_write_result(now, &command, outcome, effects),
             Input::Applied | Input::Tick => {}
         }
     }
 
-    /// When [`Input::Tick`] is due.
+    /// Returns when the next [`Input::Tick`] is due.
     pub fn next_tick_at(&self) -> Option<Millis> {
-        let busy = self.staging.is_some() || !self.waiting.is_empty();
-        Some(self.now + if busy { self.pace() } else { self.terms.heartbeat_interval_ms })
+        let is_busy = self.staging.is_some() || !self.pending_heartbeats.is_empty();
+        Some(self.now + if is_busy { self.retry_delay() } else { self.settings.heartbeat_interval_ms })
     }
 
-    /// Members, and for how long each has been silent.
+    /// Returns the members, and for how long each has been silent.
     pub fn silence_by_member(&self, now: Millis) -> impl Iterator<Item = (&Process, Millis)> {
-        self.sessions.iter().map(move |(process, session)| (process, now - session.heard))
+        self.sessions.iter().map(move |(process, session)| (process, now - session.last_heartbeat_at))
     }
 
-    /// Members whose promise about the change under way holds at `now`.
+    /// Returns the number of members whose promise about the pending change holds at `now`.
     pub fn staged_count(&self, now: Millis) -> usize {
-        self.sessions.values().filter(|session| session.until.is_some_and(|until| until > now)).count()
+        self.sessions
+            .values()
+            .filter(|session| session.promise_until.is_some_and(|until| until > now))
+            .count()
     }
 
-    fn pace(&self) -> Millis {
-        self.terms.heartbeat_interval_ms / 4.0
+    fn retry_delay(&self) -> Millis {
+        self.settings.heartbeat_interval_ms / 4.0
     }
 
-    /// Sessions are those of the roster's members, and the change is the log's.
-    fn sync(&mut self, now: Millis, agreement: &FleetState) {
-        if self.synced == Some(agreement.version()) {
+    /// Updates the sessions from the roster and the pending change from the log.
+    fn sync(&mut self, now: Millis, state: &FleetState) {
+        if self.synced_version == Some(state.version()) {
             return;
         }
-        self.synced = Some(agreement.version());
-        if self.known.map(|known| known.version) != Some(agreement.policy_state().version()) {
-            self.known = Some(agreement.agreed_state().state_id());
+        self.synced_version = Some(state.version());
+        if self.agreed_state.map(|id| id.version) != Some(state.policy_state().version()) {
+            self.agreed_state = Some(state.agreed_state().state_id());
         }
-        self.sessions.retain(|process, _| agreement.roster().member(process).is_some());
-        for (process, _) in agreement.roster().members() {
+        self.sessions.retain(|process, _| state.roster().member(process).is_some());
+        for (process, _) in state.roster().members() {
             if !self.sessions.contains_key(process) {
                 let session = Session {
-                    heard: now,
-                    granted: now,
-                    until: None,
-                    refused: None,
-                    probed: now - MAX_SPAN_MS,
-                    alive: None,
+                    last_heartbeat_at: now,
+                    lease_granted_at: now,
+                    promise_until: None,
+                    refusal: None,
+                    probed_at: now - MAX_DURATION_MS,
+                    alive_at: None,
                 };
                 self.sessions.insert(process.clone(), session);
             }
         }
-        let id = agreement.policy_state().pending_change().map(|change| change.id);
+        let id = state.policy_state().pending_change().map(|change| change.id);
         if self.staging.as_ref().map(|staging| staging.id) != id {
-            self.staging = id.map(|id| Staging { id, began: now, deciding: false, frozen: BTreeSet::new() });
+            self.staging =
+                id.map(|id| Staging { id, started_at: now, deciding: false, frozen: BTreeSet::new() });
             for session in self.sessions.values_mut() {
-                (session.until, session.refused) = (None, None);
+                (session.promise_until, session.refusal) = (None, None);
             }
         }
     }
 
-    fn beat(
+    fn on_heartbeat(
         &mut self,
         now: Millis,
         token: u64,
-        beat: Heartbeat,
-        agreement: &FleetState,
+        heartbeat: Heartbeat,
+        state: &FleetState,
         effects: &mut Vec<Effect>,
     ) {
         let Heartbeat {
             process,
-            liveness_addr: life,
-            coexists_with_previous: beside,
-            echoed_stamp: echo,
-            active_epoch: active,
-            known_state: known,
-            stage_reply: change,
-            leaving: bye,
+            liveness_addr,
+            coexists_with_previous,
+            echoed_stamp,
+            active_epoch,
+            known_state,
+            stage_reply,
+            leaving,
             ..
-        } = beat;
+        } = heartbeat;
         if process.name.is_empty() || process.name.len() > MAX_NODE_NAME_BYTES {
             effects.push(Effect::Refuse { token, reason: Refusal::InvalidName });
             return;
         }
         if let Some(session) = self.sessions.get_mut(&process) {
-            session.heard = now;
-            session.note(now, self.term, self.staging.as_ref(), echo, change, self.terms.promise_ms);
-            if bye {
+            session.last_heartbeat_at = now;
+            let (staging, promise_ms) = (self.staging.as_ref(), self.settings.promise_ms);
+            session.on_stage_reply(now, self.term, staging, echoed_stamp, stage_reply, promise_ms);
+            if leaving {
                 let proof = Proof::SessionClosed;
                 self.write(&process, RosterCommand::MarkEnded { process: process.clone(), proof }, effects);
-            } else if active.is_some_and(|active| {
-                active > agreement.policy_state().highest_epoch() && active <= MAX_EPOCH
-            }) {
-                let join = self.join_of(&process, life, beside, active);
+            } else if active_epoch
+                .is_some_and(|active| active > state.policy_state().highest_epoch() && active <= MAX_EPOCH)
+            {
+                // The join changes nothing for a member, but reserves its epoch.
+                let join = self.join_command(&process, liveness_addr, coexists_with_previous, active_epoch);
                 self.write(&process, join, effects);
             }
-        } else if self.waiting.len() >= 2 * MAX_MEMBERS {
+        } else if self.pending_heartbeats.len() >= 2 * MAX_MEMBERS {
             effects.push(Effect::Refuse { token, reason: Refusal::RosterFull });
             return;
         }
-        let round = self.begun + 1;
-        let waiting = Waiting { token, came: now, round, life, beside, active, known, bye };
-        if let Some(older) = self.waiting.insert(process, waiting) {
+        let pending = PendingHeartbeat {
+            token,
+            received_at: now,
+            round: self.rounds_started + 1,
+            liveness_addr,
+            coexists_with_previous,
+            active_epoch,
+            known_state,
+            leaving,
+        };
+        if let Some(older) = self.pending_heartbeats.insert(process, pending) {
             effects.push(Effect::Refuse { token: older.token, reason: Refusal::Superseded });
         }
     }
 
-    fn join_of(
+    fn join_command(
         &self,
         process: &Process,
-        life: SocketAddr,
-        beside: bool,
-        active: Option<Epoch>,
+        liveness_addr: SocketAddr,
+        coexists_with_previous: bool,
+        active_epoch: Option<Epoch>,
     ) -> RosterCommand {
-        let fenced = self.terms.unreachable_action == UnreachableAction::Fence;
-        RosterCommand::Join {
-            process: process.clone(),
-            liveness_addr: life,
-            coexists_with_previous: beside,
-            fenced,
-            active_epoch: active,
-        }
+        let fenced = self.settings.unreachable_action == UnreachableAction::Fence;
+        let process = process.clone();
+        RosterCommand::Join { process, liveness_addr, coexists_with_previous, fenced, active_epoch }
     }
 
-    /// Writes about a process, unless something is on its way already.
+    /// Writes a command about a process, unless one is in flight already.
     fn write(&mut self, process: &Process, command: RosterCommand, effects: &mut Vec<Effect>) {
-        if self.writing.insert(process.clone()) {
+        if self.in_flight.insert(process.clone()) {
             effects.push(Effect::Write(Command::Roster(command)));
         }
     }
 
-    /// Newcomers that wait. Whoever has waited for a session is let go: it is gone, or sends another beat.
-    fn join(&mut self, now: Millis, agreement: &FleetState, effects: &mut Vec<Effect>) {
-        let session_ms = self.terms.session_timeout_ms;
-        self.waiting.retain(|_, waiting| {
-            let keep = now - waiting.came < session_ms;
+    /// Lets waiting processes join. A heartbeat that has waited for a session timeout is refused: its sender is gone, or
+    /// sends another one.
+    fn join_waiting(&mut self, now: Millis, state: &FleetState, effects: &mut Vec<Effect>) {
+        let session_timeout_ms = self.settings.session_timeout_ms;
+        self.pending_heartbeats.retain(|_, pending| {
+            let keep = now - pending.received_at < session_timeout_ms;
             if !keep {
-                effects.push(Effect::Refuse { token: waiting.token, reason: Refusal::TimedOut });
+                effects.push(Effect::Refuse { token: pending.token, reason: Refusal::TimedOut });
             }
             keep
         });
-        if now < self.write_at {
+        if now < self.next_write_at {
             return;
         }
-        let roster = agreement.roster();
-        let newcomers: Vec<Process> = self
-            .waiting
+        let roster = state.roster();
+        let waiting: Vec<Process> = self
+            .pending_heartbeats
             .iter()
-            .filter(|(process, waiting)| {
-                !waiting.bye && roster.member(process).is_none() && !roster.has_left(process)
+            .filter(|(process, pending)| {
+                !pending.leaving && roster.member(process).is_none() && !roster.has_left(process)
             })
-            .filter(|(process, _)| !self.writing.contains(*process))
+            .filter(|(process, _)| !self.in_flight.contains(*process))
             .map(|(process, _)| process.clone())
             .collect();
-        for process in newcomers {
-            let Waiting { token, came, life, beside, active, .. } = self.waiting[&process].clone();
-            let mut blocked = false;
-            let mut alive = false;
-            let older = roster.processes_of(&process.name).filter(|_| !beside);
-            for (older, seat) in older.collect::<Vec<_>>() {
+        for process in waiting {
+            let PendingHeartbeat {
+                token,
+                received_at,
+                liveness_addr,
+                coexists_with_previous,
+                active_epoch,
+                ..
+            } = self.pending_heartbeats[&process].clone();
+            let mut is_blocked = false;
+            let mut is_alive = false;
+            let older = roster.processes_of(&process.name).filter(|_| !coexists_with_previous);
+            for (older, entry) in older.collect::<Vec<_>>() {
                 let session = &self.sessions[older];
-                let silent = now - session.heard >= self.terms.session_timeout_ms;
-                if silent && (!seat.fenced || self.lease_over(now, session)) {
+                let is_silent = now - session.last_heartbeat_at >= self.settings.session_timeout_ms;
+                if is_silent && (!entry.fenced || self.is_lease_expired(now, session)) {
                     continue;
                 }
-                blocked = true;
-                alive |= session.alive.is_some_and(|alive| alive >= came);
-                self.try_life(now, self.terms.heartbeat_interval_ms, older, seat.liveness_addr, effects);
+                is_blocked = true;
+                is_alive |= session.alive_at.is_some_and(|alive_at| alive_at >= received_at);
+                let interval = self.settings.heartbeat_interval_ms;
+                self.probe(now, interval, older, entry.liveness_addr, effects);
             }
-            if alive {
-                self.waiting.remove(&process);
+            if is_alive {
+                self.pending_heartbeats.remove(&process);
                 effects.push(Effect::Refuse { token, reason: Refusal::NameInUse });
-            } else if !blocked {
-                let join = self.join_of(&process, life, beside, active);
+            } else if !is_blocked {
+                let join = self.join_command(&process, liveness_addr, coexists_with_previous, active_epoch);
                 self.write(&process, join, effects);
             }
         }
     }
 
-    /// Answers whom it may: a member, or one that is none any more, whose beat came before a confirm was begun.
-    fn answer(&mut self, now: Millis, agreement: &FleetState, effects: &mut Vec<Effect>) {
-        let roster = agreement.roster();
-        let ready = |process: &Process, waiting: &Waiting| {
-            let member = roster.member(process).is_some();
-            waiting.round <= self.done
-                && if waiting.bye { !member } else { member || roster.has_left(process) }
+    /// Replies to members and former members whose heartbeats were received before a confirmed round started.
+    fn reply_to_ready(&mut self, now: Millis, state: &FleetState, effects: &mut Vec<Effect>) {
+        let roster = state.roster();
+        let is_ready = |process: &Process, pending: &PendingHeartbeat| {
+            let is_member = roster.member(process).is_some();
+            pending.round <= self.rounds_confirmed
+                && if pending.leaving { !is_member } else { is_member || roster.has_left(process) }
         };
-        let ready: Vec<Process> =
-            self.waiting.iter().filter(|(p, w)| ready(p, w)).map(|(process, _)| process.clone()).collect();
+        let ready: Vec<Process> = self
+            .pending_heartbeats
+            .iter()
+            .filter(|(process, pending)| is_ready(process, pending))
+            .map(|(process, _)| process.clone())
+            .collect();
         if ready.is_empty() {
             return;
         }
         let agreed = OnceCell::new();
         for process in ready {
-            let Waiting { token, known, .. } = self.waiting.remove(&process).expect("it was just found");
-            let told = match known.filter(|_| known == self.known) {
-                Some(known) => AgreedUpdate::Unchanged(known),
-                None => AgreedUpdate::Changed(agreed.get_or_init(|| agreement.agreed_state()).clone()),
+            let PendingHeartbeat { token, known_state, .. } =
+                self.pending_heartbeats.remove(&process).expect("it was just found");
+            let update = match known_state.filter(|_| known_state == self.agreed_state) {
+                Some(id) => AgreedUpdate::Unchanged(id),
+                None => AgreedUpdate::Changed(agreed.get_or_init(|| state.agreed_state()).clone()),
             };
-            let seat = roster.member(&process);
-            let fenced = seat.is_some_and(|seat| seat.fenced);
-            let frozen = self.staging.as_ref().is_some_and(|staging| staging.frozen.contains(&process));
-            if let Some(session) = self.sessions.get_mut(&process).filter(|_| fenced && !frozen) {
-                session.granted = now;
+            let entry = roster.member(&process);
+            let fenced = entry.is_some_and(|entry| entry.fenced);
+            let is_frozen = self.staging.as_ref().is_some_and(|staging| staging.frozen.contains(&process));
+            if let Some(session) = self.sessions.get_mut(&process).filter(|_| fenced && !is_frozen) {
+                session.lease_granted_at = now;
             }
-            let answer = Box::new(HeartbeatReply {
+            let reply = Box::new(HeartbeatReply {
                 stamp: Stamp { term: self.term, time: now },
-                update: told,
-                heartbeat_interval_ms: self.terms.heartbeat_interval_ms,
-                lease_ms: (fenced && !frozen).then_some(self.terms.lease_ms),
+                update,
+                heartbeat_interval_ms: self.settings.heartbeat_interval_ms,
+                lease_ms: (fenced && !is_frozen).then_some(self.settings.lease_ms),
                 fenced,
-                promise_ms: self.terms.promise_ms,
-                superseded: seat.is_none(),
+                promise_ms: self.settings.promise_ms,
+                superseded: entry.is_none(),
                 queried_servers: Vec::new(),
                 verdicts: None,
             });
-            effects.push(Effect::Reply { token, reply: answer });
+            effects.push(Effect::Reply { token, reply });
         }
     }
 
-    /// Its lease is over at the member, too.
-    fn lease_over(&self, now: Millis, session: &Session) -> bool {
-        now > session.granted + self.terms.lease_ms * (1.0 + MAX_CLOCK_DRIFT)
+    /// Returns whether the member's lease has expired by its own clock too.
+    fn is_lease_expired(&self, now: Millis, session: &Session) -> bool {
+        now > session.lease_granted_at + self.settings.lease_ms * (1.0 + MAX_CLOCK_DRIFT)
     }
 
-    /// Whether the change under way can end now.
-    fn decide(&mut self, now: Millis, agreement: &FleetState, effects: &mut Vec<Effect>) {
+    /// Decides the pending change, if that is possible now.
+    fn decide_change(&mut self, now: Millis, state: &FleetState, effects: &mut Vec<Effect>) {
         let Some(staging) = self.staging.as_ref().filter(|staging| !staging.deciding) else { return };
-        if now < self.write_at {
+        if now < self.next_write_at {
             return;
         }
-        let (change, began) = (staging.id, staging.began);
-        let due = began + self.terms.stage_timeout_ms;
-        let last = due + self.terms.lease_ms * (1.0 + MAX_CLOCK_DRIFT) + self.terms.heartbeat_interval_ms;
-        let may_fence = self.terms.unreachable_action == UnreachableAction::Fence;
-        let mut abort = None;
+        let (change, started_at) = (staging.id, staging.started_at);
+        let stage_deadline = started_at + self.settings.stage_timeout_ms;
+        let fence_deadline = stage_deadline
+            + self.settings.lease_ms * (1.0 + MAX_CLOCK_DRIFT)
+            + self.settings.heartbeat_interval_ms;
+        let may_fence = self.settings.unreachable_action == UnreachableAction::Fence;
+        let mut abort_reason = None;
         let (mut staged, mut fenced, mut missing) = (Vec::new(), BTreeSet::new(), BTreeSet::new());
-        let mut waits = false;
-        for (process, seat) in agreement.roster().members() {
+        let mut waits_for_lease = false;
+        for (process, entry) in state.roster().members() {
             let session = &self.sessions[process];
-            if let Some(words) = &session.refused {
-                abort = Some(AbortReason::Refused { node: process.name.clone(), reason: words.clone() });
+            if let Some(reason) = &session.refusal {
+                let (node, reason) = (process.name.clone(), reason.clone());
+                abort_reason = Some(AbortReason::Refused { node, reason });
                 break;
             }
-            if session.until.is_some_and(|until| until > now + self.terms.commit_reserve_ms) {
+            if session.promise_until.is_some_and(|until| until > now + self.settings.commit_reserve_ms) {
                 staged.push(process.clone());
-            } else if may_fence && seat.fenced && self.lease_over(now, session) {
+            } else if may_fence && entry.fenced && self.is_lease_expired(now, session) {
                 fenced.insert(process.clone());
             } else {
                 missing.insert(process.name.clone());
-                // Worth waiting for past the time: its lease runs out, as it does not come back.
-                waits |= may_fence && seat.fenced && session.heard <= due && now < last;
+                // A silent member is worth waiting for past the deadline, because its lease expires.
+                waits_for_lease |= may_fence
+                    && entry.fenced
+                    && session.last_heartbeat_at <= stage_deadline
+                    && now < fence_deadline;
             }
         }
-        let command = if let Some(why) = abort {
-            PolicyCommand::Abort { change, reason: why }
+        let command = if let Some(reason) = abort_reason {
+            PolicyCommand::Abort { change, reason }
         } else if missing.is_empty() {
-            if !self.writing.is_empty() && now < due {
-                return; // A join on its way would make it void, or be asked nothing.
+            if !self.in_flight.is_empty() && now < stage_deadline {
+                return; // A join in flight would make the commit void, or its process would not be asked to stage.
             }
-            PolicyCommand::Commit {
-                change,
-                staged_members: staged,
-                fenced_members: fenced.iter().cloned().collect(),
-            }
-        } else if now >= due && !waits {
+            let (staged_members, fenced_members) = (staged, fenced.iter().cloned().collect());
+            PolicyCommand::Commit { change, staged_members, fenced_members }
+        } else if now >= stage_deadline && !waits_for_lease {
             let nodes = missing.into_iter().take(MAX_NAMED_MEMBERS).collect();
             PolicyCommand::Abort { change, reason: AbortReason::Unresponsive { nodes } }
         } else {
             return;
         };
-        let staging = self.staging.as_mut().expect("a change is under way");
+        let staging = self.staging.as_mut().expect("a change is pending");
         staging.deciding = true;
         if matches!(command, PolicyCommand::Commit { .. }) {
             staging.frozen.append(&mut fenced);
@@ -642,7 +678,7 @@
         effects.push(Effect::Write(Command::Policy(command)));
     }
 
-    fn written(
+    fn on_write_result(
         &mut self,
         now: Millis,
         command: &Command,
@@ -651,18 +687,19 @@
     ) {
         match command {
             Command::Roster(RosterCommand::Join { process, .. }) => {
-                self.writing.remove(process);
+                self.in_flight.remove(process);
                 if outcome == Some(Outcome::LimitExceeded) {
-                    if let Some(waiting) = self.waiting.remove(process) {
-                        effects.push(Effect::Refuse { token: waiting.token, reason: Refusal::RosterFull });
+                    if let Some(pending) = self.pending_heartbeats.remove(process) {
+                        let reason = Refusal::RosterFull;
+                        effects.push(Effect::Refuse { token: pending.token, reason });
                     }
                 }
                 if outcome.is_none() {
-                    self.write_at = now + self.pace();
+                    self.next_write_at = now + self.retry_delay();
                 }
             }
             Command::Roster(RosterCommand::MarkEnded { process, .. }) => {
-                self.writing.remove(process);
+                self.in_flight.remove(process);
             }
             Command::Roster(RosterCommand::RemoveNode { .. }) => {}
             Command::Policy(PolicyCommand::Commit { change, .. } | PolicyCommand::Abort { change, .. }) => {
@@ -673,82 +710,84 @@
                 match outcome {
                     Some(Outcome::MissingMembers { .. }) => staging.frozen.clear(),
                     Some(_) => {}
-                    None => self.write_at = now + self.pace(),
+                    None => self.next_write_at = now + self.retry_delay(),
                 }
             }
-            // Verdicts are the tally's, beside.
+            // The tally handles verdicts.
             Command::Policy(PolicyCommand::Propose { .. }) | Command::Verdict(_) => {}
         }
     }
 
-    /// Tries the addresses of silent members: sooner where a change waits for them.
-    fn probe(&mut self, now: Millis, agreement: &FleetState, effects: &mut Vec<Effect>) {
-        if now < self.probe_at {
+    /// Probes the addresses of silent members, at shorter intervals if a change waits for them.
+    fn probe_silent(&mut self, now: Millis, state: &FleetState, effects: &mut Vec<Effect>) {
+        if now < self.next_probe_at {
             return;
         }
-        self.probe_at = now + self.terms.heartbeat_interval_ms / 2.0;
-        let staged = |session: &Session| session.until.is_some_and(|until| until > now);
-        for (process, seat) in agreement.roster().members() {
+        self.next_probe_at = now + self.settings.heartbeat_interval_ms / 2.0;
+        let has_staged = |session: &Session| session.promise_until.is_some_and(|until| until > now);
+        for (process, entry) in state.roster().members() {
             let session = &self.sessions[process];
-            let hurry = self.staging.is_some() && !staged(session);
-            let pace =
-                if hurry { 2.0 * self.terms.heartbeat_interval_ms } else { self.terms.session_timeout_ms };
-            if now - session.heard >= pace {
-                self.try_life(now, pace, process, seat.liveness_addr, effects);
+            let is_urgent = self.staging.is_some() && !has_staged(session);
+            let interval = if is_urgent {
+                2.0 * self.settings.heartbeat_interval_ms
+            } else {
+                self.settings.session_timeout_ms
+            };
+            if now - session.last_heartbeat_at >= interval {
+                self.probe(now, interval, process, entry.liveness_addr, effects);
             }
         }
     }
 
-    fn try_life(
+    fn probe(
         &mut self,
         now: Millis,
-        pace: Millis,
+        interval: Millis,
         process: &Process,
-        life: SocketAddr,
+        liveness_addr: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
         let session = self.sessions.get_mut(process).expect("each member has a session");
-        if now - session.probed >= pace {
-            session.probed = now;
-            effects.push(Effect::Probe { process: process.clone(), liveness_addr: life });
+        if now - session.probed_at >= interval {
+            session.probed_at = now;
+            effects.push(Effect::Probe { process: process.clone(), liveness_addr });
         }
     }
 
-    fn probed(&mut self, now: Millis, process: Process, refused: bool, effects: &mut Vec<Effect>) {
+    fn on_probe_result(&mut self, now: Millis, process: Process, refused: bool, effects: &mut Vec<Effect>) {
         let Some(session) = self.sessions.get_mut(&process) else { return };
         if refused {
             let proof = Proof::ConnectionRefused;
             self.write(&process, RosterCommand::MarkEnded { process: process.clone(), proof }, effects);
         } else {
-            session.alive = Some(now);
+            session.alive_at = Some(now);
         }
     }
 }
 
 impl Session {
-    /// What a member says of the change under way.
-    fn note(
+    /// Records a member's answer about the pending change.
+    fn on_stage_reply(
         &mut self,
         now: Millis,
         term: u64,
         staging: Option<&Staging>,
-        echo: Option<Stamp>,
-        word: Option<StageReply>,
+        echoed_stamp: Option<Stamp>,
+        stage_reply: Option<StageReply>,
         promise_ms: Millis,
     ) {
-        let about = |change: ChangeId| staging.is_some_and(|staging| staging.id == change);
-        match word {
-            Some(StageReply::Staged { change, remaining_ms: left_ms }) if about(change) => {
-                let Some(echo) = echo.filter(|echo| echo.term == term && echo.time <= now) else { return };
-                if left_ms.is_nan() {
+        let is_pending = |change: ChangeId| staging.is_some_and(|staging| staging.id == change);
+        match stage_reply {
+            Some(StageReply::Staged { change, remaining_ms }) if is_pending(change) => {
+                let is_valid = |stamp: &Stamp| stamp.term == term && stamp.time <= now;
+                let Some(stamp) = echoed_stamp.filter(is_valid) else { return };
+                if remaining_ms.is_nan() {
                     return;
                 }
-                let until = echo.time + left_ms.clamp(0.0, promise_ms) * (1.0 - MAX_CLOCK_DRIFT);
-                self.until = Some(self.until.map_or(until, |known| known.max(until)));
-            }
-            Some(StageReply::Refused { change, reason: words }) if about(change) => {
-                self.refused = Some(words)
+                let until = stamp.time + remaining_ms.clamp(0.0, promise_ms) * (1.0 - MAX_CLOCK_DRIFT);
+                self.promise_until = Some(self.promise_until.map_or(until, |known| known.max(until)));
             }
+            Some(StageReply::Refused { change, reason }) if is_pending(change) => self.refusal = Some(reason),
             _ => {}
         }
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,22 +1,24 @@
-//! What the fleet agrees on, as pure state machines on one log, and the replica's edge round them.
+//! The control group: state machines on one replicated log that hold what the fleet agrees on, and a replica's HTTP
+//! interface to them.
 //!
-//! | module | what it knows |
+//! | module | content |
 //! | --- | --- |
-//! | [`command`] | the log's commands, one enum a module, and what comes of them |
-//! | [`roster`] | which processes are members: join, leave, proven ended, removed |
-//! | [`policy`] | the agreed epoch, the change under way, how changes ended |
-//! | [`verdicts`] | servers that are removed by votes, and the caps |
-//! | [`machine`] | all three on the log: [`consensus::Machine`] |
-//! | [`leader`] | pure too, but not on the log: sessions, promises and leases by one leader's monotonic clock; what it would have written, answered and asked |
-//! | [`tally`] | as the leader, beside it: ballots on servers, and the verdicts that follow from them |
-//! | [`config`] | one replica's configuration, checked whole |
-//! | [`hub`], [`limiter`], [`sync`] | what threads share: the watch's newest line, and who is inside |
-//! | [`edge`] | HTTP: nodes' beats and watches, operators' calls, the replicas' own messages |
+//! | [`command`] | the log's commands, one enum per state machine, and their outcomes |
+//! | [`roster`] | which processes are members: join, leave, proven exit, removal |
+//! | [`policy`] | the agreed epoch, the pending change, the outcomes of past changes |
+//! | [`verdicts`] | servers that are removed by votes, and the removal caps |
+//! | [`machine`] | the three of them combined, driven by [`consensus::Machine`] |
+//! | [`leader`] | sessions, promises and leases by one leader's monotonic clock; pure like the others, but not replicated: it returns what to write, reply and probe |
+//! | [`tally`] | ballots on servers and the verdicts that follow from them; next to the leader and built the same way |
+//! | [`config`] | one replica's configuration, with complete validation |
+//! | [`hub`], [`limiter`], [`sync`] | state shared between threads: the newest watch line, and the calls in flight |
+//! | [`edge`] | HTTP: nodes' heartbeats and watches, operators' calls, messages between replicas |
 //!
-//! Adding a subject (the list, the catalog) is adding a module, its commands and its part of the snapshot.
+//! A new subject (the server list, the catalog) is a new module with its commands and its part of the snapshot.
 //!
-//! Rejected: staging acknowledged in the log, an entry a node: at 300 nodes a change would cost 300 synced writes where
-//! one does; the leader's memory is enough, as members say again what they have staged to whoever leads next.
+//! Rejected: acknowledging staged changes in the log, one entry per node. With 300 nodes a change would cost 300 synced
+//! writes instead of one. The leader's memory is enough, because members repeat what they have staged to each new
+//! leader.
 
 pub mod command;
 pub mod config;
--- a/crates/control/src/limiter.rs
+++ b/crates/control/src/limiter.rs
@@ -1,7 +1,8 @@
-//! A gate that counts who is inside: bounded, and once it is stopped nobody enters and the last to leave is waited for.
+//! A concurrency limiter that counts the calls in flight: it bounds them, and once it is stopped it admits no more calls
+//! and lets a caller wait until the last one has ended.
 //!
-//! Count and stop flag are under one lock: a call that has looked at a flag and not yet counted itself would be left
-//! behind with its write in flight.
+//! The count and the stop flag are under one lock: with two locks, a call that had read the flag but not yet counted
+//! itself would be missed by the stop, with its write in flight.
 
 use std::future::poll_fn;
 use std::sync::{Arc, Mutex};
@@ -9,23 +10,23 @@
 
 use crate::sync::Lock;
 
-/// Shared by all who go through.
+/// A concurrency limiter; clones share it.
 pub struct Limiter<L: Lock<LimiterState> = Mutex<LimiterState>>(Arc<L>);
 
-/// What is under the gate's lock.
+/// The state under the limiter's lock.
 pub struct LimiterState {
-    count: usize,
-    most: usize,
+    in_use: usize,
+    limit: usize,
     stopped: bool,
     waiting: Vec<Waker>,
 }
 
-/// Why somebody may not enter.
+/// Why no permit is available.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitError {
-    /// As many are inside as may be.
+    /// The limit is reached.
     Full,
-    /// It was stopped.
+    /// The limiter was stopped.
     Stopped,
 }
 
@@ -36,62 +37,62 @@
 }
 
 impl<L: Lock<LimiterState>> Limiter<L> {
-    /// A gate that lets so many in at once.
-    pub fn new(most: usize) -> Self {
-        Self(Arc::new(L::new(LimiterState { count: 0, most, stopped: false, waiting: Vec::new() })))
+    /// Creates a limiter for at most `limit` permits at the same time.
+    pub fn new(limit: usize) -> Self {
+        Self(Arc::new(L::new(LimiterState { in_use: 0, limit, stopped: false, waiting: Vec::new() })))
     }
 
-    /// Enters, until the pass is dropped.
+    /// Returns a permit, which is released when it is dropped.
     ///
     /// # Errors
-    /// Where it is full or stopped.
+    /// If the limit is reached or the limiter was stopped.
     pub fn acquire(&self) -> Result<Permit<L>, LimitError> {
-        self.0.with(|inside| {
-            if inside.stopped {
+        self.0.with(|state| {
+            if state.stopped {
                 return Err(LimitError::Stopped);
             }
-            if inside.count >= inside.most {
+            if state.in_use >= state.limit {
                 return Err(LimitError::Full);
             }
-            inside.count += 1;
+            state.in_use += 1;
             Ok(Permit(self.clone()))
         })
     }
 
-    /// How many are inside.
+    /// Returns the number of permits in use.
     pub fn in_use(&self) -> usize {
-        self.0.with(|inside| inside.count)
+        self.0.with(|state| state.in_use)
     }
 
-    /// Lets nobody in any more.
+    /// Grants no more permits from now on.
     pub fn stop(&self) {
-        self.0.with(|inside| inside.stopped = true);
+        self.0.with(|state| state.stopped = true);
     }
 
-    /// Until nobody is inside.
+    /// Waits until no permit is in use.
     pub async fn drained(&self) {
-        let look = |waker: &Waker| {
-            self.0.with(|inside| {
-                if inside.count == 0 {
+        let poll = |waker: &Waker| {
+            self.0.with(|state| {
+                if state.in_use == 0 {
                     return Poll::Ready(());
                 }
-                inside.waiting.push(waker.clone());
+                state.waiting.push(waker.clone());
                 Poll::Pending
             })
         };
-        poll_fn(|cx| look(cx.waker())).await;
+        poll_fn(|cx| poll(cx.waker())).await;
     }
 }
 
-/// Somebody's stay inside.
+/// The right to one call in flight.
 pub struct Permit<L: Lock<LimiterState> = Mutex<LimiterState>>(Limiter<L>);
 
 impl<L: Lock<LimiterState>> Drop for Permit<L> {
     fn drop(&mut self) {
-        let woken = self.0 .0.with(|inside| {
-            inside.count -= 1;
-            if inside.count == 0 {
-                std::mem::take(&mut inside.waiting)
+        let woken = self.0 .0.with(|state| {
+            state.in_use -= 1;
+            if state.in_use == 0 {
+                std::mem::take(&mut state.waiting)
             } else {
                 Vec::new()
             }
@@ -107,35 +108,35 @@
 
     use super::*;
 
-    /// A write and a stop: once the gate is stopped and empty no write is in flight, and none begins.
+    /// A write races with a stop: once the limiter is stopped and drained, no write is in flight, and none starts.
     #[test]
     fn a_stop_waits_for_a_write_in_flight() {
         let run = || {
-            let gate = Limiter::<shuttle::sync::Mutex<LimiterState>>::new(2);
+            let limiter = Limiter::<shuttle::sync::Mutex<LimiterState>>::new(2);
             let writing = Arc::new(AtomicUsize::new(0));
-            let (through, count) = (gate.clone(), writing.clone());
+            let (shared, count) = (limiter.clone(), writing.clone());
             let writer = thread::spawn(move || {
-                let Ok(pass) = through.acquire() else { return };
+                let Ok(permit) = shared.acquire() else { return };
                 count.fetch_add(1, Ordering::SeqCst);
                 count.fetch_sub(1, Ordering::SeqCst);
-                drop(pass);
+                drop(permit);
             });
-            gate.stop();
-            future::block_on(gate.drained());
+            limiter.stop();
+            future::block_on(limiter.drained());
             assert_eq!(writing.load(Ordering::SeqCst), 0, "a write is in flight");
-            assert_eq!(gate.acquire().err(), Some(LimitError::Stopped));
+            assert_eq!(limiter.acquire().err(), Some(LimitError::Stopped));
             writer.join().expect("ends");
         };
         shuttle::check_dfs(run, None);
     }
 
     #[test]
-    fn no_more_than_may_are_inside() {
-        let gate = Limiter::<Mutex<LimiterState>>::new(2);
-        let first = gate.acquire().expect("has room");
-        let _second = gate.acquire().expect("has room");
-        assert_eq!((gate.acquire().err(), gate.in_use()), (Some(LimitError::Full), 2));
+    fn permits_are_limited() {
+        let limiter = Limiter::<Mutex<LimiterState>>::new(2);
+        let first = limiter.acquire().expect("below the limit");
+        let _second = limiter.acquire().expect("below the limit");
+        assert_eq!((limiter.acquire().err(), limiter.in_use()), (Some(LimitError::Full), 2));
         drop(first);
-        assert!(gate.acquire().is_ok());
+        assert!(limiter.acquire().is_ok());
     }
 }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,4 +1,4 @@
-//! Roster, policy and verdicts on the log: what [`consensus`] drives.
+//! The replicated state machine: roster, policy and verdicts combined, as [`consensus`] drives it.
 
 use consensus::Machine;
 use member::AgreedState;
@@ -9,11 +9,11 @@
 use crate::roster::Roster;
 use crate::verdicts::VerdictState;
 
-/// The newest schema of snapshots that this program reads. It writes the oldest one that tells all, so that a fleet
-/// which never had votes can go back to a program without them.
+/// The newest snapshot schema that this program reads. It writes the oldest one that can represent the state, so that a
+/// fleet that never had votes can be downgraded to a program without them.
 const SCHEMA: u32 = 2;
 
-/// All that the fleet agrees on.
+/// Everything that the fleet agrees on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetState {
     version: u64,
@@ -22,13 +22,13 @@
     verdicts: VerdictState,
 }
 
-/// A snapshot as JSON; a later schema may be another shape, but keeps this field.
+/// The field of a JSON snapshot that every schema has, also later ones.
 #[derive(Deserialize)]
 struct Header {
     schema: u32,
 }
 
-/// Schema 1; with verdicts, schema 2.
+/// Schema 1, or schema 2 if it has verdicts.
 #[derive(Deserialize, Serialize)]
 struct Snapshot {
     schema: u32,
@@ -40,32 +40,32 @@
 }
 
 impl FleetState {
-    /// Nobody and epoch 0.
+    /// Creates the initial state: no members and epoch 0.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The version of the last command that was taken.
+    /// Returns the version of the last applied command.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The members.
+    /// Returns the members.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// What is agreed on policy.
+    /// Returns the state of the policy.
     pub fn policy_state(&self) -> &PolicyState {
         &self.policy
     }
 
-    /// What is agreed on servers.
+    /// Returns the state of the verdicts on servers.
     pub fn verdicts(&self) -> &VerdictState {
         &self.verdicts
     }
 
-    /// What nodes are told of policy.
+    /// Returns the state of the policy as it is sent to nodes.
     pub fn agreed_state(&self) -> AgreedState {
         self.policy.agreed_state()
     }
@@ -79,8 +79,8 @@
         self.version = version;
         match command {
             Command::Roster(command) => {
-                if let RosterCommand::Join { active_epoch: Some(active), .. } = command {
-                    self.policy.reserve_epochs_up_to(*active);
+                if let RosterCommand::Join { active_epoch: Some(active_epoch), .. } = command {
+                    self.policy.reserve_epochs_up_to(*active_epoch);
                 }
                 self.roster.apply(command)
             }
--- a/crates/control/src/policy.rs
+++ b/crates/control/src/policy.rs
@@ -1,9 +1,9 @@
-//! The agreed epoch, the change under way and how changes ended, on the log.
+//! The replicated state of the policy: the agreed epoch, the pending change and the outcomes of past changes.
 //!
-//! Need: one change at a time, with one outcome, and no number of an epoch that stands for two policies. Shape: a
-//! number is given when a change is proposed and never again, so that "nothing was admitted under an aborted epoch"
-//! can be told from requests alone. A member may have known a higher number than the log does (a group that was set up
-//! again from an old backup): [`PolicyState::reserve_epochs_up_to`] keeps clear of it.
+//! Goal: at most one pending change, exactly one outcome per change, and no epoch number that stands for two policies.
+//! Design: a number is assigned when a change is proposed and never reused, so that "no request was admitted under an
+//! aborted epoch" can be checked from the requests alone. A member may know a higher number than the log does (if the
+//! group was restored from an old backup): [`PolicyState::reserve_epochs_up_to`] skips those.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hasher as _};
@@ -14,25 +14,25 @@
 use crate::command::{Outcome, PolicyCommand};
 use crate::roster::Roster;
 
-/// The largest policy, in bytes of JSON.
+/// The maximum size of a policy, in bytes of JSON.
 pub const MAX_POLICY_BYTES: usize = 64 * 1024;
-/// How many ended changes are kept.
+/// The number of ended changes that are kept.
 pub const MAX_ENDED_CHANGES: usize = 32;
-/// How many of them each [`AgreedState`] tells of.
+/// The number of ended changes that each [`AgreedState`] contains.
 pub const MAX_REPORTED_CHANGES: usize = 4;
-/// How many nodes or processes a list of missing ones names.
+/// The maximum number of missing nodes or processes that are listed by name.
 pub const MAX_NAMED_MEMBERS: usize = 8;
-/// The longest words of a refusal, in bytes.
+/// The maximum length of the reason of a refusal, in bytes.
 const MAX_REASON_BYTES: usize = 256;
-/// The highest number that is believed of a member: far from where counting on would overflow.
+/// The highest epoch that is accepted from a member, so that counting on from it cannot overflow.
 pub const MAX_EPOCH: Epoch = 1 << 52;
 
-/// What is agreed on policy.
+/// The replicated state of the policy.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct PolicyState {
     epoch: Epoch,
     policy: Policy,
-    /// The highest number that was given, or that a member has known.
+    /// The highest number that was assigned, or that a member has known.
     #[serde(rename = "given")]
     highest_epoch: Epoch,
     change: Option<Change>,
@@ -41,22 +41,22 @@
 }
 
 impl PolicyState {
-    /// Takes a command at a version of the log; `roster` is the one at this entry.
+    /// Applies a command at a version of the log; `roster` is the roster at this entry.
     pub fn apply(&mut self, version: u64, command: &PolicyCommand, roster: &Roster) -> Outcome {
         match command {
-            PolicyCommand::Propose { base_epoch: base, policy } => self.propose(version, *base, policy),
-            PolicyCommand::Commit { change, staged_members: staged, fenced_members: fenced } => {
+            PolicyCommand::Propose { base_epoch, policy } => self.propose(version, *base_epoch, policy),
+            PolicyCommand::Commit { change, staged_members, fenced_members } => {
                 if self.change.as_ref().map(|change| change.id) != Some(*change) {
                     return Outcome::Obsolete;
                 }
-                let staged: BTreeSet<&Process> = staged.iter().collect();
-                let fenced: BTreeSet<&Process> = fenced.iter().collect();
-                let covered = |process: &Process, may: bool| {
-                    staged.contains(process) || (may && fenced.contains(process))
+                let staged: BTreeSet<&Process> = staged_members.iter().collect();
+                let fenced: BTreeSet<&Process> = fenced_members.iter().collect();
+                let is_covered = |process: &Process, needs_lease: bool| {
+                    staged.contains(process) || (needs_lease && fenced.contains(process))
                 };
                 let missing: Vec<Process> = roster
                     .members()
-                    .filter(|(process, seat)| !covered(process, seat.fenced))
+                    .filter(|(process, entry)| !is_covered(process, entry.fenced))
                     .map(|(process, _)| process.clone())
                     .take(MAX_NAMED_MEMBERS)
                     .collect();
@@ -67,9 +67,9 @@
                     Outcome::MissingMembers { missing }
                 }
             }
-            PolicyCommand::Abort { change, reason: why } => match &self.change {
-                Some(under_way) if under_way.id == *change => {
-                    self.end(Some(bounded(why)));
+            PolicyCommand::Abort { change, reason } => match &self.change {
+                Some(pending) if pending.id == *change => {
+                    self.end(Some(truncated(reason)));
                     Outcome::Done
                 }
                 _ => Outcome::Obsolete,
@@ -77,41 +77,41 @@
         }
     }
 
-    /// A member has known this epoch: no number up to it is given again.
+    /// Ensures that no number up to `known`, which a member has known, is assigned again.
     pub fn reserve_epochs_up_to(&mut self, known: Epoch) {
         if known <= MAX_EPOCH {
             self.highest_epoch = self.highest_epoch.max(known);
         }
     }
 
-    /// The agreed epoch.
+    /// Returns the agreed epoch.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The agreed policy.
+    /// Returns the agreed policy.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// The highest number that was given, or that a member has known.
+    /// Returns the highest number that was assigned, or that a member has known.
     pub fn highest_epoch(&self) -> Epoch {
         self.highest_epoch
     }
 
-    /// The change under way.
+    /// Returns the pending change.
     pub fn pending_change(&self) -> Option<&Change> {
         self.change.as_ref()
     }
 
-    /// How the last changes ended, newest last.
+    /// Returns the last changes and their outcomes, newest last.
     pub fn ended_changes(&self) -> impl DoubleEndedIterator<Item = &EndedChange> {
         self.ended_changes.iter()
     }
 
-    /// The version of what nodes are told: the number of the change under way, or one past that of the last one that
-    /// ended. Who joins or leaves moves the log and not this; the next change's number is greater than both, as an
-    /// entry of the log ended the one before it.
+    /// Returns the version of the [`AgreedState`]: the number of the pending change, or one more than that of the last
+    /// ended one. Joins and leaves advance the log but not this version. The next change's number is greater than both,
+    /// because an entry of the log ended the previous change.
     pub fn version(&self) -> u64 {
         match (&self.change, self.ended_changes.back()) {
             (Some(change), _) => change.id.0,
@@ -120,16 +120,16 @@
         }
     }
 
-    /// What nodes are told.
+    /// Returns the state as it is sent to nodes.
     pub fn agreed_state(&self) -> AgreedState {
-        let told = self.ended_changes.len().saturating_sub(MAX_REPORTED_CHANGES);
+        let skipped = self.ended_changes.len().saturating_sub(MAX_REPORTED_CHANGES);
         let mut agreed = AgreedState {
             version: self.version(),
             fingerprint: 0,
             epoch: self.epoch,
             policy: self.policy.clone(),
             change: self.change.clone(),
-            ended_changes: self.ended_changes.iter().skip(told).cloned().collect(),
+            ended_changes: self.ended_changes.iter().skip(skipped).cloned().collect(),
         };
         let mut hasher = DefaultHasher::new();
         hasher.write(&serde_json::to_vec(&agreed).expect("names and JSON values always serialize"));
@@ -137,11 +137,11 @@
         agreed
     }
 
-    fn propose(&mut self, version: u64, base: Epoch, policy: &Policy) -> Outcome {
+    fn propose(&mut self, version: u64, base_epoch: Epoch, policy: &Policy) -> Outcome {
         if let Some(change) = &self.change {
             return Outcome::ChangePending { change: change.id };
         }
-        if base != self.epoch {
+        if base_epoch != self.epoch {
             return Outcome::StaleEpoch { epoch: self.epoch };
         }
         let size = serde_json::to_vec(policy).map_or(usize::MAX, |bytes| bytes.len());
@@ -154,28 +154,26 @@
         Outcome::Proposed { change: id, epoch }
     }
 
-    fn end(&mut self, aborted: Option<AbortReason>) {
+    /// Ends the pending change; without a reason it is committed.
+    fn end(&mut self, abort_reason: Option<AbortReason>) {
         let Some(change) = self.change.take() else { return };
-        self.ended_changes.push_back(EndedChange {
-            id: change.id,
-            epoch: change.epoch,
-            abort_reason: aborted.clone(),
-        });
+        let ended = EndedChange { id: change.id, epoch: change.epoch, abort_reason: abort_reason.clone() };
+        self.ended_changes.push_back(ended);
         if self.ended_changes.len() > MAX_ENDED_CHANGES {
             self.ended_changes.pop_front();
         }
-        if aborted.is_none() {
+        if abort_reason.is_none() {
             (self.epoch, self.policy) = (change.epoch, change.policy);
         }
     }
 }
 
-/// The reason with its lists and words cut to their bounds.
-fn bounded(why: &AbortReason) -> AbortReason {
-    match why {
-        AbortReason::Refused { node, reason: words } => {
-            let end = (0..=words.len().min(MAX_REASON_BYTES)).rev().find(|&at| words.is_char_boundary(at));
-            AbortReason::Refused { node: node.clone(), reason: words[..end.unwrap_or(0)].to_owned() }
+/// Returns the reason with its lists and texts truncated to their limits.
+fn truncated(reason: &AbortReason) -> AbortReason {
+    match reason {
+        AbortReason::Refused { node, reason } => {
+            let end = (0..=reason.len().min(MAX_REASON_BYTES)).rev().find(|&at| reason.is_char_boundary(at));
+            AbortReason::Refused { node: node.clone(), reason: reason[..end.unwrap_or(0)].to_owned() }
         }
         AbortReason::Unresponsive { nodes } => {
             AbortReason::Unresponsive { nodes: nodes.iter().take(MAX_NAMED_MEMBERS).cloned().collect() }
