--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -1,10 +1,10 @@
-//! Which processes are members, on the log.
+//! The replicated roster: which processes are members.
 //!
-//! Need: a commit must count every process that may take requests, so one leaves the roster only with a proof that it
-//! takes nothing more, and none that has left comes back unseen. Shape: processes by node, and the last ones that
-//! have left, so that a beat which was long on its way does not make a member of a dead process.
+//! Goal: a commit must count every process that may admit requests, so a process leaves the roster only with a proof
+//! that it admits nothing new, and one that has left cannot return unnoticed. Design: the current processes by node, and
+//! the last ones that have left, so that a delayed heartbeat does not make a member of a dead process.
 //!
-//! Bounds are constants of the program and not configuration: replicas that differ in them would part ways.
+//! The limits are constants and not configuration, because replicas with different limits would diverge.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,26 +14,26 @@
 
 use crate::command::{Outcome, RosterCommand};
 
-/// The most members.
+/// The maximum number of members.
 pub const MAX_MEMBERS: usize = 4096;
-/// The most processes of one node.
+/// The maximum number of processes of one node.
 pub const MAX_PROCESSES_PER_NODE: usize = 4;
-/// The longest name of a node, in bytes.
+/// The maximum length of a node's name, in bytes.
 pub const MAX_NODE_NAME_BYTES: usize = 128;
-/// How many processes that have left are known.
+/// The number of processes that have left and are remembered.
 pub const MAX_FORMER_MEMBERS: usize = 1024;
 
-/// A member's place.
+/// A member's entry in the roster.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct MemberEntry {
-    /// Where it listens as long as it lives.
+    /// The address that the process listens on until it exits.
     #[serde(rename = "life")]
     pub liveness_addr: SocketAddr,
-    /// It takes nothing without a lease, from its join to its end.
+    /// It admits no request without a lease, from its join to its end.
     pub fenced: bool,
 }
 
-/// The members.
+/// The members and the last former members.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(from = "RosterSnapshot", into = "RosterSnapshot")]
 pub struct Roster {
@@ -41,79 +41,79 @@
     former_members: VecDeque<Process>,
 }
 
-/// As it stands in a snapshot.
+/// The roster's form in a snapshot.
 #[derive(Deserialize, Serialize)]
 struct RosterSnapshot {
     members: Vec<(Process, MemberEntry)>,
-    past: VecDeque<Process>,
+    #[serde(rename = "past")]
+    former_members: VecDeque<Process>,
 }
 
 impl From<RosterSnapshot> for Roster {
-    fn from(record: RosterSnapshot) -> Self {
-        Self { members: record.members.into_iter().collect(), former_members: record.past }
+    fn from(snapshot: RosterSnapshot) -> Self {
+        Self { members: snapshot.members.into_iter().collect(), former_members: snapshot.former_members }
     }
 }
 
 impl From<Roster> for RosterSnapshot {
     fn from(roster: Roster) -> Self {
-        Self { members: roster.members.into_iter().collect(), past: roster.former_members }
+        Self { members: roster.members.into_iter().collect(), former_members: roster.former_members }
     }
 }
 
 impl Roster {
-    /// Takes a command.
+    /// Applies a command.
     pub fn apply(&mut self, command: &RosterCommand) -> Outcome {
         match command {
-            RosterCommand::Join { process, liveness_addr, coexists_with_previous, fenced, .. } => self.join(
-                process,
-                MemberEntry { liveness_addr: *liveness_addr, fenced: *fenced },
-                *coexists_with_previous,
-            ),
+            RosterCommand::Join { process, liveness_addr, coexists_with_previous, fenced, .. } => {
+                let entry = MemberEntry { liveness_addr: *liveness_addr, fenced: *fenced };
+                self.join(process, entry, *coexists_with_previous)
+            }
             RosterCommand::MarkEnded { process, .. } => match self.members.contains_key(process) {
                 true => {
-                    self.end(process.clone());
+                    self.remove(process.clone());
                     Outcome::Done
                 }
                 false if self.has_left(process) => Outcome::Done,
                 false => Outcome::UnknownNode,
             },
             RosterCommand::RemoveNode { name } => {
-                let gone: Vec<Process> =
+                let removed: Vec<Process> =
                     self.processes_of(name).map(|(process, _)| process.clone()).collect();
-                let outcome = if gone.is_empty() { Outcome::UnknownNode } else { Outcome::Done };
-                gone.into_iter().for_each(|process| self.end(process));
+                let outcome = if removed.is_empty() { Outcome::UnknownNode } else { Outcome::Done };
+                removed.into_iter().for_each(|process| self.remove(process));
                 outcome
             }
         }
     }
 
-    /// The members, in order.
+    /// Returns the members, in order.
     pub fn members(&self) -> impl Iterator<Item = (&Process, &MemberEntry)> {
         self.members.iter()
     }
 
-    /// The processes of one node.
+    /// Returns the processes of one node.
     pub fn processes_of<'a>(&'a self, name: &'a str) -> impl Iterator<Item = (&'a Process, &'a MemberEntry)> {
         let first = Process { name: name.to_owned(), boot: 0 };
         self.members.range(first..).take_while(move |(process, _)| process.name == name)
     }
 
-    /// A member's place.
+    /// Returns a member's entry.
     pub fn member(&self, process: &Process) -> Option<&MemberEntry> {
         self.members.get(process)
     }
 
-    /// It was a member and is none any more (as far back as is known).
+    /// Returns whether the process is a former member, as far as those are remembered.
     pub fn has_left(&self, process: &Process) -> bool {
         self.former_members.contains(process)
     }
 
-    /// How many.
+    /// Returns the number of members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Nobody.
+    /// Returns whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
@@ -126,21 +126,21 @@
             return Outcome::Superseded;
         }
         let older: Vec<Process> = self.processes_of(&process.name).map(|(older, _)| older.clone()).collect();
-        let staying = if coexists_with_previous { older.len() } else { 0 };
-        let gone = older.len() - staying;
+        let remaining = if coexists_with_previous { older.len() } else { 0 };
+        let replaced = older.len() - remaining;
         if process.name.is_empty()
             || process.name.len() > MAX_NODE_NAME_BYTES
-            || staying >= MAX_PROCESSES_PER_NODE
-            || self.members.len() - gone >= MAX_MEMBERS
+            || remaining >= MAX_PROCESSES_PER_NODE
+            || self.members.len() - replaced >= MAX_MEMBERS
         {
             return Outcome::LimitExceeded;
         }
-        older.into_iter().take(gone).for_each(|process| self.end(process));
+        older.into_iter().take(replaced).for_each(|process| self.remove(process));
         self.members.insert(process.clone(), entry);
         Outcome::Done
     }
 
-    fn end(&mut self, process: Process) {
+    fn remove(&mut self, process: Process) {
         self.members.remove(&process);
         self.former_members.push_back(process);
         if self.former_members.len() > MAX_FORMER_MEMBERS {
--- a/crates/control/src/sync.rs
+++ b/crates/control/src/sync.rs
@@ -1,13 +1,14 @@
-//! The one primitive that what threads share is made of, so that tests can put every interleaving's in its place.
+//! The lock behind all state that threads share, as a trait so that tests can substitute a lock that explores every
+//! interleaving.
 
 use std::sync::{Mutex, PoisonError};
 
-/// A lock round a value.
+/// A mutual-exclusion lock around a value.
 pub trait Lock<T>: Send + Sync + 'static {
-    /// A lock that is open.
+    /// Creates an unlocked lock.
     fn new(value: T) -> Self;
 
-    /// Calls `f` with the value, alone.
+    /// Calls `f` with exclusive access to the value.
     fn with<R>(&self, f: impl FnOnce(&mut T) -> R) -> R;
 }
 
@@ -17,7 +18,7 @@
     }
 
     fn with<R>(&self, f: impl FnOnce(&mut T) -> R) -> R {
-        // Nothing under these locks panics half way; a value is whole whoever held it.
+        // No code under these locks panics halfway through an update, so the value is consistent even if poisoned.
         f(&mut self.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/crates/control/src/tally/view.rs
+++ b/crates/control/src/tally/view.rs
@@ -1,33 +1,33 @@
-//! What operators are shown of votes: who voted what on what evidence, when it lapses, what the cap holds back.
+//! The operators' view of votes: who voted what on which evidence, when it expires, and what the caps hold back.
 
 use member::votes::{Evidence, Vote};
 use member::Millis;
 use serde::Serialize;
 
-use super::poll::{Count, Poll, Voice};
-use super::{term, zone_of, Tally};
+use super::poll::{Count, Poll, ValidBallot};
+use super::{server_zone, term_length, Tally};
 use crate::machine::FleetState;
 use crate::verdicts::{max_removed, vote_settings, VerdictEntry, VoteResult};
 
-/// How many voters of a server are shown; how many nodes that doubt themselves are named.
+/// The maximum number of ballots listed per server, and of abstaining nodes.
 const MAX_LISTED: usize = 64;
 
-/// All of it, at one moment of a leader's term.
+/// The state of all votes at one moment of a leader's term.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct TallyView {
-    /// The agreed policy has votes.
+    /// The agreed policy enables votes.
     #[serde(rename = "on")]
     pub enabled: bool,
-    /// The version of the log that verdicts last changed at.
+    /// The log version at which verdicts last changed.
     pub version: u64,
-    /// Nodes whose votes stand.
+    /// The number of nodes whose votes are valid.
     pub voters: usize,
-    /// Nodes that suspect too many servers, and abstain; the first ones where there are many.
+    /// The nodes that suspect too many servers and abstain; the first ones if there are many.
     #[serde(rename = "doubting")]
     pub abstaining_nodes: Vec<String>,
-    /// In force.
+    /// The verdicts in force.
     pub verdicts: Vec<VerdictView>,
-    /// Servers that nodes were asked about.
+    /// The servers that nodes were queried about.
     #[serde(rename = "questions")]
     pub queries: Vec<QueryView>,
 }
@@ -37,121 +37,122 @@
 pub struct VerdictView {
     /// The server.
     pub server: String,
-    /// As it is on the log.
+    /// The verdict's entry in the log's state.
     #[serde(flatten)]
     pub entry: VerdictEntry,
-    /// What is left of its term, or of its probing; 0 where it ends as soon as nodes are known.
+    /// The time left of its term or probing; 0 if it ends as soon as this leader knows the voters.
     #[serde(rename = "left_ms")]
     pub remaining_ms: Millis,
-    /// What probers say.
+    /// The probers' ballots.
     pub ballots: Vec<BallotView>,
 }
 
-/// A server that nodes were asked about.
+/// A server that nodes were queried about.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct QueryView {
     /// The server.
     pub server: String,
-    /// When its process started that the question is about.
+    /// The start time of the server process that the query is about.
     pub born_ms: f64,
-    /// Its zone, as most say.
+    /// Its zone according to most ballots.
     pub zone: String,
-    /// How long ago it was asked.
+    /// The time since the query was opened.
     #[serde(rename = "asked_ms")]
     pub age_ms: Millis,
-    /// For how long nothing comes of it, as too few were for the removal, or the cap was reached.
+    /// How long it stays suspended, because too few were in favor or the cap was reached.
     #[serde(rename = "rests_ms")]
     pub suspended_for_ms: Option<Millis>,
-    /// It would be removed, but its zone's cap is reached: so many may be.
+    /// If only the zone's cap prevents the removal: the number of servers that the cap allows.
     #[serde(rename = "held_back_by")]
     pub blocking_cap: Option<usize>,
-    /// What is for it and against it now.
+    /// The current votes.
     #[serde(rename = "case")]
     pub vote_result: VoteResult,
-    /// What those weigh that have not answered yet; they count as against.
+    /// The assumed weight of the outstanding answers, which count as against.
     #[serde(rename = "waited_for")]
     pub pending_weight: u32,
-    /// The ballots; those with most evidence where there are many.
+    /// The ballots; those with the most evidence if there are many.
     pub ballots: Vec<BallotView>,
 }
 
-/// A ballot that stands.
+/// A valid ballot.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BallotView {
     /// The node.
     pub node: String,
     /// Its zone.
     pub zone: Option<String>,
-    /// For or against.
+    /// For or against the removal.
     #[serde(rename = "stand")]
     pub vote: Vote,
-    /// By what.
+    /// What the vote rests on.
     pub evidence: Evidence,
-    /// When it lapses, unless it is renewed.
+    /// The time until it expires, unless it is renewed.
     #[serde(rename = "lapses_ms")]
     pub expires_in_ms: Millis,
 }
 
 impl Tally {
-    /// What operators are shown.
-    pub fn view(&self, now: Millis, agreement: &FleetState) -> TallyView {
-        let verdicts = agreement.verdicts();
+    /// Returns the operators' view of all votes at `now`.
+    pub fn view(&self, now: Millis, state: &FleetState) -> TallyView {
+        let verdicts = state.verdicts();
         let version = verdicts.version();
-        let Some(figures) = vote_settings(agreement.policy_state().policy()).filter(|_| self.on) else {
+        let Some(settings) = vote_settings(state.policy_state().policy()).filter(|_| self.enabled) else {
             return TallyView { version, ..TallyView::default() };
         };
-        let poll = Poll::new(now, self.began, &figures, &self.voters, agreement.roster());
-        let in_force = verdicts.entries().map(|(server, entry)| {
-            let since = self.held.get(server).map_or(now, |(_, since)| *since);
-            let span = match entry.probers.is_empty() {
-                true => term(&figures, entry.term_index),
-                false => figures.evidence_window + figures.ballot_ttl,
+        let poll = Poll::new(now, self.started_at, &settings, &self.voters, state.roster());
+        let verdict_views = verdicts.entries().map(|(server, entry)| {
+            let since = self.verdict_clocks.get(server).map_or(now, |(_, since)| *since);
+            let duration = match entry.probers.is_empty() {
+                true => term_length(&settings, entry.term_index),
+                false => settings.evidence_window + settings.ballot_ttl,
             };
-            let probes = |voice: &&Voice| entry.probers.iter().any(|name| name == voice.name);
-            let ballots = shots(now, poll.on(server).iter().filter(probes));
-            let left_ms = (since + span - now).max(0.0).round();
-            VerdictView { server: server.clone(), entry: entry.clone(), remaining_ms: left_ms, ballots }
+            let is_probers = |valid: &&ValidBallot| entry.probers.iter().any(|name| name == valid.voter);
+            let ballots = ballot_views(now, poll.ballots_on(server).iter().filter(is_probers));
+            let remaining_ms = (since + duration - now).max(0.0).round();
+            VerdictView { server: server.clone(), entry: entry.clone(), remaining_ms, ballots }
         });
-        let questions = self.questions.iter().map(|(server, question)| {
-            let of = |voice: &&Voice| voice.ballot.born_ms == question.born_ms;
-            let voices: Vec<Voice> = poll.on(server).iter().filter(of).copied().collect();
-            let Count { case, waited, .. } = poll.count(&voices, question.since, None);
-            let zone = zone_of(&voices);
-            let most = max_removed(figures.removal_cap, poll.up(&zone).unwrap_or(0));
+        let queries = self.queries.iter().map(|(server, query)| {
+            let is_about = |valid: &&ValidBallot| valid.ballot.born_ms == query.born_ms;
+            let ballots: Vec<ValidBallot> =
+                poll.ballots_on(server).iter().filter(is_about).copied().collect();
+            let Count { result, pending_weight, .. } = poll.count(&ballots, query.queried_at, None);
+            let zone = server_zone(&ballots);
+            let cap = max_removed(settings.removal_cap, poll.up_servers(&zone).unwrap_or(0));
             QueryView {
                 server: server.clone(),
-                born_ms: question.born_ms,
+                born_ms: query.born_ms,
                 zone,
-                age_ms: (now - question.since).round(),
-                suspended_for_ms: question.rests.map(|(until, _)| (until - now).max(0.0).round()),
-                blocking_cap: question.capped.then_some(most),
-                vote_result: case,
-                pending_weight: waited,
-                ballots: shots(now, voices.iter()),
+                age_ms: (now - query.queried_at).round(),
+                suspended_for_ms: query.suspended.map(|(until, _)| (until - now).max(0.0).round()),
+                blocking_cap: query.blocked_by_cap.then_some(cap),
+                vote_result: result,
+                pending_weight,
+                ballots: ballot_views(now, ballots.iter()),
             }
         });
-        let doubting =
-            poll.standing.iter().filter(|(_, voter)| voter.doubts).map(|(name, _)| (*name).to_owned());
+        let abstaining =
+            poll.voters.iter().filter(|(_, voter)| voter.abstains).map(|(name, _)| (*name).to_owned());
         TallyView {
             enabled: true,
             version,
-            voters: poll.standing.len(),
-            abstaining_nodes: doubting.take(MAX_LISTED).collect(),
-            verdicts: in_force.collect(),
-            queries: questions.collect(),
+            voters: poll.voters.len(),
+            abstaining_nodes: abstaining.take(MAX_LISTED).collect(),
+            verdicts: verdict_views.collect(),
+            queries: queries.collect(),
         }
     }
 }
 
-fn shots<'a>(now: Millis, voices: impl Iterator<Item = &'a Voice<'a>>) -> Vec<BallotView> {
-    let mut voices: Vec<&Voice> = voices.collect();
-    voices.sort_by_key(|voice| std::cmp::Reverse(voice.ballot.evidence.attempts));
-    let shot = |voice: &Voice| BallotView {
-        node: voice.name.to_owned(),
-        zone: voice.zone.map(str::to_owned),
-        vote: voice.ballot.vote,
-        evidence: voice.ballot.evidence,
-        expires_in_ms: (voice.until - now).round(),
+fn ballot_views<'a>(now: Millis, ballots: impl Iterator<Item = &'a ValidBallot<'a>>) -> Vec<BallotView> {
+    let mut ballots: Vec<&ValidBallot> = ballots.collect();
+    ballots.sort_by_key(|valid| std::cmp::Reverse(valid.ballot.evidence.attempts));
+    let view = |valid: &ValidBallot| BallotView {
+        node: valid.voter.to_owned(),
+        zone: valid.zone.map(str::to_owned),
+        vote: valid.ballot.vote,
+        evidence: valid.ballot.evidence,
+        expires_in_ms: (valid.expires_at - now).round(),
     };
-    voices.into_iter().take(MAX_LISTED).map(shot).collect()
+    ballots.into_iter().take(MAX_LISTED).map(view).collect()
 }
--- a/crates/control/src/verdicts.rs
+++ b/crates/control/src/verdicts.rs
@@ -1,16 +1,17 @@
-//! Which servers are removed by votes, on the log: verdicts in force, the caps, how the last ones ended.
+//! The replicated verdicts: which servers are removed by votes, the removal caps, and how past verdicts ended.
 //!
-//! Need: a cap that counts what was removed meanwhile can be held only where all removals are seen in one order. Shape:
-//! the leader's [`crate::tally`] judges and writes; the machine here counts, in the log's order, and refuses what is
-//! over a zone's cap. It has no clock: terms are counted by whoever leads, and each command about a verdict names the
-//! version that it last changed at, so that one which was long on its way changes nothing.
+//! Goal: a cap on the number of removed servers holds only where all removals are seen in one order. Design: the
+//! leader's [`crate::tally`] counts votes and writes commands; this state machine counts removals in the log's order, and
+//! refuses those that exceed a zone's cap. It has no clock: the leader measures the terms, and each command about a
+//! verdict names the version at which the verdict last changed, so that a delayed command has no effect.
 //!
-//! - *Cap.* `Cap` of the agreed policy, times the servers that are up in the zone (draining ones are not), rounded
-//!   down and never up: of 3 servers 1 at 0.34, of 2 or 1 none. Fleets with two servers a zone set 0.5. A verdict counts
-//!   in its server's zone once, in however many zones it holds. Who came first stays; a leader writes the worst first.
-//! - *VoteSettings.* The cap alone is read here, and by itself: replicas whose programs know different figures don't part.
-//!   A policy without `Votes` ends all verdicts, one with a smaller cap the newest that are over it.
-//! - *Process.* A verdict is about one process of a server; one about another process of the server takes its place.
+//! - *Cap.* The agreed policy's `Cap` times the number of servers that are up in the zone (draining ones are not),
+//!   always rounded down: with 0.34, 1 of 3 servers, and none of 2 or 1. Fleets with two servers per zone set 0.5. A
+//!   verdict counts once, in its server's zone, however many zones it applies to. Earlier verdicts have priority; a
+//!   leader writes those on the worst servers first.
+//! - *Settings.* Only the cap is read here, on its own, so that replicas whose programs know different settings do not
+//!   diverge. A policy without `Votes` ends all verdicts; one with a smaller cap ends the newest ones that exceed it.
+//! - *Process.* A verdict is about one process of a server; one about another process of the same server replaces it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -22,60 +23,60 @@
 use crate::command::{Outcome, VerdictCommand};
 use crate::roster::MAX_NODE_NAME_BYTES;
 
-/// The most verdicts in force.
+/// The maximum number of verdicts in force.
 pub const MAX_VERDICTS: usize = 256;
-/// How many ended verdicts are kept.
+/// The number of ended verdicts that are kept.
 pub const MAX_ENDED_VERDICTS: usize = 64;
-/// The most nodes that probe a server.
+/// The maximum number of nodes that probe a server.
 pub const MAX_PROBERS: usize = 16;
-/// How many voters of each side a case names.
+/// The maximum number of voters of each side that a [`VoteResult`] names.
 pub const MAX_NAMED_VOTERS: usize = 16;
-/// The most terms that are counted of one verdict.
+/// The highest term index that is counted for a verdict.
 pub const MAX_TERM_INDEX: u32 = 1000;
 
-/// What one side said of a server.
+/// The sum of the votes for or against a removal.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct VoteSide {
-    /// How many voters.
+    /// The number of voters.
     pub voters: u32,
-    /// What their evidence weighs together.
+    /// The total weight of their evidence.
     pub weight: u32,
-    /// How many failures that counts.
+    /// The total number of failures that count, each voter's capped by its weight.
     #[serde(rename = "failed")]
     pub failures: u32,
-    /// Their evidence, added up.
+    /// The sum of their evidence.
     pub evidence: Evidence,
-    /// Who; those whose evidence weighs most, [`MAX_NAMED_VOTERS`] at most.
+    /// The voters with the most evidence, at most [`MAX_NAMED_VOTERS`].
     #[serde(rename = "named")]
     pub voter_names: Vec<String>,
 }
 
-/// What was voted of a server, for operators.
+/// The votes on a server, for operators.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct VoteResult {
-    /// For its removal, or for its staying removed.
+    /// The votes for its removal, or for extending it.
     #[serde(rename = "for")]
     pub in_favor: VoteSide,
-    /// Against.
+    /// The votes against.
     pub against: VoteSide,
 }
 
-/// EndReason a verdict ended.
+/// Why a verdict ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
-    /// Those that probed it are for its return.
+    /// The probers voted for its return.
     #[serde(rename = "probed")]
     ProbesPassed,
-    /// None of those that were to probe it has said anything: without a vote nobody stays removed.
+    /// No prober has cast a ballot: without a vote no server stays removed.
     #[serde(rename = "unprobed")]
     NoProbeVotes,
-    /// It has started anew.
+    /// The server has restarted.
     Restarted,
-    /// The cap has become smaller, as there are fewer servers or as operators say.
+    /// The cap has become smaller, because there are fewer servers or because the policy says so.
     #[serde(rename = "cap")]
     CapReduced,
-    /// The agreed policy has no votes any more.
+    /// The agreed policy no longer enables votes.
     #[serde(rename = "off")]
     VotesDisabled,
 }
@@ -83,210 +84,205 @@
 /// A verdict in force.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct VerdictEntry {
-    /// When the process started that it is about.
+    /// The start time of the server process that it is about.
     pub born_ms: f64,
     /// The server's zone.
     pub zone: String,
-    /// It holds for nodes of these zones alone; for all where there are none.
+    /// It applies to nodes of these zones only; to all nodes if empty.
     pub zones: Vec<String>,
-    /// Servers up in its zone when it was written.
+    /// The number of servers that were up in its zone when it was written.
     #[serde(rename = "up")]
     pub up_servers: u32,
-    /// The version of the log that it came at.
+    /// The log version of its first command.
     #[serde(rename = "since")]
     pub created_at: u64,
-    /// The version that it last changed at.
+    /// The log version at which it last changed.
     #[serde(rename = "at")]
     pub changed_at: u64,
-    /// Its how manieth term this is, counted from 0.
+    /// The index of its current term, counted from 0.
     #[serde(rename = "terms")]
     pub term_index: u32,
-    /// Who probes the server; nobody while the term lasts.
+    /// The nodes that probe the server; empty until the term ends.
     pub probers: Vec<String>,
-    /// What was voted last.
+    /// The last vote on it.
     #[serde(rename = "case")]
     pub vote_result: VoteResult,
 }
 
-/// How a verdict ended.
+/// A verdict that has ended.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EndedVerdict {
     /// The server.
     pub server: String,
-    /// When the process started that it was about.
+    /// The start time of the server process that it was about.
     pub born_ms: f64,
     /// The server's zone.
     pub zone: String,
-    /// The zones that it held in; all where there are none.
+    /// The zones that it applied to; all if empty.
     pub zones: Vec<String>,
-    /// The versions of the log that it came and ended at.
+    /// The log version of its first command.
     #[serde(rename = "since")]
     pub created_at: u64,
-    /// See `created_at`.
+    /// The log version at which it ended.
     #[serde(rename = "until")]
     pub ended_at: u64,
-    /// How many terms it had, counted from 0.
+    /// The index of its last term, counted from 0.
     #[serde(rename = "terms")]
     pub term_index: u32,
-    /// EndReason it ended.
+    /// Why it ended.
     #[serde(rename = "why")]
     pub reason: EndReason,
-    /// What was voted last.
+    /// The last vote on it.
     #[serde(rename = "case")]
     pub vote_result: VoteResult,
 }
 
-/// What is agreed on servers.
+/// The replicated state of all verdicts.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct VerdictState {
-    /// The version that they last changed at.
+    /// The log version at which they last changed.
     version: u64,
     entries: BTreeMap<String, VerdictEntry>,
     #[serde(rename = "past")]
     ended: VecDeque<EndedVerdict>,
 }
 
-/// The figures of the votes, where the policy has them on. One that can't be read has them off.
+/// Returns the policy's vote settings, if it enables votes. Settings that are invalid disable them.
 pub fn vote_settings(policy: &Policy) -> Option<VoteSettings> {
-    let figures: VoteSettings = serde_json::from_value(policy.0.get("Votes")?.clone()).ok()?;
-    figures.check().ok().map(|()| figures)
+    let settings: VoteSettings = serde_json::from_value(policy.0.get("Votes")?.clone()).ok()?;
+    settings.check().ok().map(|()| settings)
 }
 
-/// The cap alone, where the policy has votes on.
-fn cap(policy: &Policy) -> Option<f64> {
+/// Returns only the cap, if the policy enables votes.
+fn removal_cap(policy: &Policy) -> Option<f64> {
     let cap = policy.0.get("Votes")?.as_object()?.get("Cap").and_then(Value::as_f64);
     Some(cap.filter(|cap| *cap > 0.0 && *cap <= 1.0).unwrap_or(VoteSettings::default().removal_cap))
 }
 
-/// How many of a zone's servers may be removed at a time, of so many that are up.
-pub fn max_removed(cap: f64, up: u32) -> usize {
-    (cap * f64::from(up) + 1e-9) as usize
+/// Returns how many servers of a zone may be removed at the same time, given the number that are up.
+pub fn max_removed(cap: f64, up_servers: u32) -> usize {
+    // The epsilon absorbs floating-point rounding errors.
+    (cap * f64::from(up_servers) + 1e-9) as usize
 }
 
 impl VerdictState {
-    /// Takes a command at a version of the log; `policy` is the agreed one at this entry.
+    /// Applies a command at a version of the log; `policy` is the agreed one at this entry.
     pub fn apply(&mut self, version: u64, command: &VerdictCommand, policy: &Policy) -> Outcome {
-        let Some(cap) = cap(policy) else { return Outcome::Obsolete };
+        let Some(cap) = removal_cap(policy) else { return Outcome::Obsolete };
         match command {
-            VerdictCommand::Remove {
-                server,
-                born_ms,
-                zone,
-                zones,
-                up_servers: up,
-                term_index: terms,
-                vote_result: case,
-            } => {
-                let long = |name: &String| name.len() > MAX_NAME_BYTES;
-                let known = self.entries.get(server).filter(|entry| entry.born_ms == *born_ms);
-                if known.is_some_and(|entry| within(zones, &entry.zones)) {
+            VerdictCommand::Remove { server, born_ms, zone, zones, up_servers, term_index, vote_result } => {
+                let too_long = |name: &String| name.len() > MAX_NAME_BYTES;
+                let current = self.entries.get(server).filter(|entry| entry.born_ms == *born_ms);
+                if current.is_some_and(|entry| is_covered(zones, &entry.zones)) {
                     return Outcome::Done;
                 }
-                let new = !self.entries.contains_key(server);
+                let is_new = !self.entries.contains_key(server);
                 if !born_ms.is_finite()
-                    || long(server)
-                    || long(zone)
+                    || too_long(server)
+                    || too_long(zone)
                     || zones.len() > MAX_ZONES
-                    || zones.iter().any(long)
-                    || (new && self.entries.len() >= MAX_VERDICTS)
+                    || zones.iter().any(too_long)
+                    || (is_new && self.entries.len() >= MAX_VERDICTS)
                 {
                     return Outcome::LimitExceeded;
                 }
                 let others =
                     self.entries.iter().filter(|(other, entry)| *other != server && entry.zone == *zone);
-                if others.count() >= max_removed(cap, *up) {
+                if others.count() >= max_removed(cap, *up_servers) {
                     return Outcome::CapReached;
                 }
-                let (since, up, zones) = match known {
-                    Some(entry) => (entry.created_at, entry.up_servers, both(zones, &entry.zones)),
-                    None => (version, *up, zones.clone()),
+                let (created_at, up_servers, zones) = match current {
+                    Some(entry) => (entry.created_at, entry.up_servers, union_of_zones(zones, &entry.zones)),
+                    None => (version, *up_servers, zones.clone()),
                 };
-                if known.is_none() {
+                if current.is_none() {
                     self.end(version, server, EndReason::Restarted, None);
                 }
                 let entry = VerdictEntry {
                     born_ms: *born_ms,
                     zone: zone.clone(),
                     zones,
-                    up_servers: up,
-                    created_at: since,
+                    up_servers,
+                    created_at,
                     changed_at: version,
-                    term_index: (*terms).min(MAX_TERM_INDEX),
+                    term_index: (*term_index).min(MAX_TERM_INDEX),
                     probers: Vec::new(),
-                    vote_result: bounded(case),
+                    vote_result: truncated(vote_result),
                 };
                 self.entries.insert(server.clone(), entry);
             }
-            VerdictCommand::Probe { server, changed_at: at, probers } => {
-                let Some(entry) = self.entry(server, *at) else { return Outcome::Obsolete };
+            VerdictCommand::Probe { server, changed_at, probers } => {
+                let Some(entry) = self.entry_mut(server, *changed_at) else { return Outcome::Obsolete };
                 let names = probers.iter().filter(|name| name.len() <= MAX_NODE_NAME_BYTES);
                 entry.probers = names.take(MAX_PROBERS).cloned().collect();
                 entry.changed_at = version;
             }
-            VerdictCommand::Extend { server, changed_at: at, vote_result: case } => {
-                let Some(entry) = self.entry(server, *at) else { return Outcome::Obsolete };
+            VerdictCommand::Extend { server, changed_at, vote_result } => {
+                let Some(entry) = self.entry_mut(server, *changed_at) else { return Outcome::Obsolete };
                 entry.probers.clear();
-                (entry.changed_at, entry.vote_result) = (version, bounded(case));
+                (entry.changed_at, entry.vote_result) = (version, truncated(vote_result));
                 entry.term_index = (entry.term_index + 1).min(MAX_TERM_INDEX);
             }
-            VerdictCommand::Return { server, changed_at: at, reason: why, vote_result: case } => {
-                if self.entry(server, *at).is_none() {
+            VerdictCommand::Return { server, changed_at, reason, vote_result } => {
+                if self.entry_mut(server, *changed_at).is_none() {
                     return Outcome::Obsolete;
                 }
-                self.end(version, server, *why, case.as_ref());
+                self.end(version, server, *reason, vote_result.as_ref());
             }
         }
         self.version = version;
         Outcome::Done
     }
 
-    /// The agreed policy may be another one from this version on.
+    /// Ends the verdicts that the policy agreed at this version does not allow.
     pub fn apply_policy(&mut self, version: u64, policy: &Policy) {
-        let cap = cap(policy);
-        let mut newest: Vec<(u64, String)> =
+        let cap = removal_cap(policy);
+        let mut newest_first: Vec<(u64, String)> =
             self.entries.iter().map(|(server, entry)| (entry.created_at, server.clone())).collect();
-        newest.sort_unstable_by(|a, b| b.cmp(a));
-        // What is up in a zone is what the newest one there says.
-        let mut ups = BTreeMap::new();
-        for (_, server) in newest {
+        newest_first.sort_unstable_by(|a, b| b.cmp(a));
+        // A zone's number of servers is taken from the newest verdict there.
+        let mut up_by_zone = BTreeMap::new();
+        for (_, server) in newest_first {
             let entry = &self.entries[&server];
-            let up = *ups.entry(entry.zone.clone()).or_insert(entry.up_servers);
-            let why = match cap {
+            let up_servers = *up_by_zone.entry(entry.zone.clone()).or_insert(entry.up_servers);
+            let reason = match cap {
                 None => EndReason::VotesDisabled,
-                Some(cap) if self.removed_count(&entry.zone) > max_removed(cap, up) => EndReason::CapReduced,
+                Some(cap) if self.removed_count(&entry.zone) > max_removed(cap, up_servers) => {
+                    EndReason::CapReduced
+                }
                 Some(_) => continue,
             };
-            self.end(version, &server, why, None);
+            self.end(version, &server, reason, None);
             self.version = version;
         }
     }
 
-    /// Those in force, in the order of servers.
+    /// Returns the verdicts in force, ordered by server.
     pub fn entries(&self) -> impl ExactSizeIterator<Item = (&String, &VerdictEntry)> {
         self.entries.iter()
     }
 
-    /// The one about a server.
+    /// Returns the verdict on a server.
     pub fn get(&self, server: &str) -> Option<&VerdictEntry> {
         self.entries.get(server)
     }
 
-    /// How many of a zone's servers are removed.
+    /// Returns how many of a zone's servers are removed.
     pub fn removed_count(&self, zone: &str) -> usize {
         self.entries.values().filter(|entry| entry.zone == zone).count()
     }
 
-    /// How the last ones ended, newest last.
+    /// Returns the last ended verdicts, newest last.
     pub fn ended(&self) -> impl DoubleEndedIterator<Item = &EndedVerdict> {
         self.ended.iter()
     }
 
-    /// The version that they last changed at.
+    /// Returns the log version at which the verdicts last changed.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What nodes are told.
+    /// Returns the verdicts in force as they are sent to nodes.
     pub fn in_force(&self) -> Verdicts {
         let verdict = |(server, entry): (&String, &VerdictEntry)| Verdict {
             server: server.clone(),
@@ -297,11 +293,11 @@
         Verdicts { version: self.version, verdicts: self.entries.iter().map(verdict).collect() }
     }
 
-    fn entry(&mut self, server: &str, at: u64) -> Option<&mut VerdictEntry> {
-        self.entries.get_mut(server).filter(|entry| entry.changed_at == at)
+    fn entry_mut(&mut self, server: &str, changed_at: u64) -> Option<&mut VerdictEntry> {
+        self.entries.get_mut(server).filter(|entry| entry.changed_at == changed_at)
     }
 
-    fn end(&mut self, version: u64, server: &str, why: EndReason, case: Option<&VoteResult>) {
+    fn end(&mut self, version: u64, server: &str, reason: EndReason, vote_result: Option<&VoteResult>) {
         let Some(entry) = self.entries.remove(server) else { return };
         self.ended.push_back(EndedVerdict {
             server: server.to_owned(),
@@ -311,8 +307,8 @@
             created_at: entry.created_at,
             ended_at: version,
             term_index: entry.term_index,
-            reason: why,
-            vote_result: case.map_or(entry.vote_result, bounded),
+            reason,
+            vote_result: vote_result.map_or(entry.vote_result, truncated),
         });
         if self.ended.len() > MAX_ENDED_VERDICTS {
             self.ended.pop_front();
@@ -320,13 +316,13 @@
     }
 }
 
-/// Whether a verdict in these zones says nothing beyond one in those.
-fn within(zones: &[String], those: &[String]) -> bool {
-    those.is_empty() || (!zones.is_empty() && zones.iter().all(|zone| those.contains(zone)))
+/// Returns whether a verdict for `existing` zones also covers `zones`; empty means all zones.
+fn is_covered(zones: &[String], existing: &[String]) -> bool {
+    existing.is_empty() || (!zones.is_empty() && zones.iter().all(|zone| existing.contains(zone)))
 }
 
-/// Zones that either verdict holds in.
-fn both(zones: &[String], others: &[String]) -> Vec<String> {
+/// Returns the zones that either verdict applies to; empty means all zones.
+fn union_of_zones(zones: &[String], others: &[String]) -> Vec<String> {
     if zones.is_empty() || others.is_empty() {
         return Vec::new();
     }
@@ -334,17 +330,12 @@
     all.into_iter().take(MAX_ZONES).cloned().collect()
 }
 
-/// The case with its lists cut to their bounds.
-fn bounded(case: &VoteResult) -> VoteResult {
-    let side = |side: &VoteSide| {
-        let named = side
-            .voter_names
-            .iter()
-            .filter(|name| name.len() <= MAX_NODE_NAME_BYTES)
-            .take(MAX_NAMED_VOTERS)
-            .cloned()
-            .collect();
-        VoteSide { voter_names: named, ..side.clone() }
+/// Returns the result with its lists truncated to their limits.
+fn truncated(result: &VoteResult) -> VoteResult {
+    let truncate = |side: &VoteSide| {
+        let names = side.voter_names.iter().filter(|name| name.len() <= MAX_NODE_NAME_BYTES);
+        let voter_names = names.take(MAX_NAMED_VOTERS).cloned().collect();
+        VoteSide { voter_names, ..side.clone() }
     };
-    VoteResult { in_favor: side(&case.in_favor), against: side(&case.against) }
+    VoteResult { in_favor: truncate(&result.in_favor), against: truncate(&result.against) }
 }
