--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -1,19 +1,24 @@
-//! A short run of the simulated fleet: it keeps its bounds, and a change costs messages in proportion to the nodes.
+//! A short run of the simulated fleet: it keeps its bounds, and the cost of a change is proportional to the number of
+//! nodes.
 
 #[path = "../examples/fleet/sim.rs"]
 mod sim;
 
-use sim::{bound, quantile, run, Plan};
+use sim::{max_mixed_ms, quantile, run, Plan};
 
 #[test]
-fn a_change_is_active_everywhere_within_a_second_and_costs_in_proportion() {
+fn a_change_is_active_everywhere_within_a_second_at_a_cost_proportional_to_the_nodes() {
     let mut costs = Vec::new();
     for nodes in [30, 120] {
-        let report = run(Plan { nodes, changes: 4, classes: 20, losses: false, seed: 7 });
-        assert_eq!((report.commit.len(), report.everywhere.len(), report.aborted), (4, 4, 0), "{report:?}");
-        assert!(quantile(&report.everywhere, 1.0) < 1000.0, "{report:?}");
-        assert!(quantile(&report.mixed, 1.0) < bound(), "{report:?}");
-        // A beat and its answer each quarter of a second and round trip.
+        let report = run(Plan { nodes, changes: 4, classes: 20, leader_dies: false, seed: 7 });
+        assert_eq!(
+            (report.commit_ms.len(), report.active_everywhere_ms.len(), report.aborted_count),
+            (4, 4, 0),
+            "{report:?}"
+        );
+        assert!(quantile(&report.active_everywhere_ms, 1.0) < 1000.0, "{report:?}");
+        assert!(quantile(&report.mixed_ms, 1.0) < max_mixed_ms(), "{report:?}");
+        // One heartbeat and its reply per quarter of a second plus a round trip.
         assert!(report.idle_messages < 8.0 * nodes as f64, "{report:?}");
         assert!(report.idle_bytes < 1000.0 * report.idle_messages, "{report:?}");
         costs.push((report.messages as f64 / nodes as f64, report.bytes as f64 / nodes as f64));
@@ -22,9 +27,12 @@
 }
 
 #[test]
-fn the_loss_of_a_leader_in_each_change_delays_it_and_breaks_no_bound() {
-    let report = run(Plan { nodes: 30, changes: 6, classes: 20, losses: true, seed: 7 });
-    assert_eq!(report.everywhere.len() + report.aborted, 6, "{report:?}");
-    assert!(report.everywhere.len() >= 5 && quantile(&report.everywhere, 1.0) < 4000.0, "{report:?}");
-    assert!(quantile(&report.mixed, 1.0) < bound(), "{report:?}");
+fn losing_the_leader_in_each_change_delays_it_and_keeps_the_bounds() {
+    let report = run(Plan { nodes: 30, changes: 6, classes: 20, leader_dies: true, seed: 7 });
+    assert_eq!(report.active_everywhere_ms.len() + report.aborted_count, 6, "{report:?}");
+    assert!(
+        report.active_everywhere_ms.len() >= 5 && quantile(&report.active_everywhere_ms, 1.0) < 4000.0,
+        "{report:?}"
+    );
+    assert!(quantile(&report.mixed_ms, 1.0) < max_mixed_ms(), "{report:?}");
 }
--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -1,13 +1,13 @@
-//! Model checking of a change of policy: the real [`Member`], [`Leader`] and [`FleetState`] in a small world, in every
+//! Model checking of a policy change: the real [`Member`], [`Leader`] and [`FleetState`] in a small world, with every
 //! order of its events.
 //!
-//! The world: one change is proposed to a few nodes. Beats and answers are lost, late, out of order or repeated;
-//! nodes stop (nothing happens at them for a while), die and start anew; the leader is deposed at any moment, does not
-//! know it and goes on, and its last write may have been carried over or not; a write may be of unknown fate; watches
-//! bring any state of the log. Clocks start at different times and differ in rate by as much as they may. The log's
-//! order is given: that is the consensus library's business.
+//! The world: one change is proposed to a few nodes. Heartbeats and replies are lost, delayed, reordered or duplicated;
+//! nodes pause, crash and restart; the leader is deposed at any moment, may not know it and go on, and its last write may
+//! have been committed or not; the outcome of a write may stay unknown; watches deliver any state of the log. Clocks
+//! start at different times and differ in rate by the allowed maximum. The order of the log is given, because that is
+//! tested with the consensus library.
 //!
-//! Every state asks each node whether it would take a request now. So whatever a client could see, the model sees.
+//! In every state each node is asked whether it would admit a request now, so the model sees whatever a client could.
 
 use std::fmt::{self, Write as _};
 use std::hash::{Hash, Hasher};
@@ -24,61 +24,61 @@
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 
-/// A world's tick on a clock that goes slowest, and on one that goes fastest.
+/// The duration of one tick on the slowest and on the fastest clock, in milliseconds.
 const SLOW: Millis = 1000.0;
 const FAST: Millis = 1009.0;
-/// Promises and leases: a fast clock is past them at the second tick, a slow one is not.
-const SPAN: Millis = 2010.0;
-/// How many ticks a promise may last.
-const BOUND: u8 = 2;
+/// The duration of promises and leases: after two ticks they have expired on a fast clock, but not on a slow one.
+const PROMISE_MS: Millis = 2010.0;
+/// The maximum duration of a promise, in ticks.
+const MAX_PROMISE_TICKS: u8 = 2;
 
-/// What is wrong with the program on purpose, to see that the model finds it.
+/// Deliberate defects, to show that the model finds them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Mutant {
     None,
-    /// A member in doubt goes on.
-    NoDoubt,
-    /// A commit is decided although promises have passed.
-    LateCommit,
-    /// The leader counts a promise from the beat's coming.
-    FromComing,
-    /// The member counts what it is granted from the answer's coming.
-    FromAnswer,
-    /// Answers go out without a confirm.
-    NoConfirm,
-    /// The leader takes clocks to be alike.
+    /// A member in doubt goes on admitting requests.
+    AdmitsInDoubt,
+    /// A commit is decided although promises have expired.
+    CommitAfterPromise,
+    /// The leader counts a promise from the heartbeat's arrival.
+    PromiseFromArrival,
+    /// The member counts its grants from the reply's arrival.
+    GrantFromReply,
+    /// Replies are sent without a confirmation of leadership.
+    NoConfirmation,
+    /// The leader ignores clock drift.
     NoDrift,
-    /// A member gets a lease also while a commit that counts it as fenced is on its way.
-    NoFreeze,
-    /// A member takes each answer for one that shows what it knew, also where that is over.
-    OldNews,
+    /// A member gets a lease while a commit that counts it as fenced is in flight.
+    LeaseDuringCommit,
+    /// A member treats each reply as proof of the state that it knew, even if that is outdated.
+    StaleProof,
 }
 
 const THREADS: usize = 8;
-/// More states than any of these worlds has.
-const MOST: usize = 20_000_000;
+/// An upper limit, above the number of states of any of these worlds.
+const MAX_STATES: usize = 20_000_000;
 
 #[derive(Clone, Debug)]
-struct Small {
-    unreachable: UnreachableAction,
+struct SmallWorld {
+    unreachable_action: UnreachableAction,
     nodes: usize,
-    /// Beats that each node may send, besides the one that it joined by.
-    beats: u8,
-    /// How many of them may be on their way; more, and the oldest is lost.
-    late: usize,
+    /// The number of heartbeats that each node may send after the one that it joined with.
+    heartbeats: u8,
+    /// The number of them that may be in flight; beyond it the oldest is lost.
+    max_in_flight: usize,
     ticks: u8,
     depositions: u8,
-    /// A deposed leader goes on. All that it can bring about needs a confirm or a write, which it does not get: the
-    /// larger worlds leave it out.
-    ghosts: bool,
+    /// A deposed leader goes on. It can cause nothing without a confirmation or a write, which it does not get, so the
+    /// larger worlds leave this out.
+    deposed_leaders_go_on: bool,
     restarts: u8,
-    /// Messages that come twice.
-    repeats: u8,
-    /// Writes of unknown fate.
-    unknown: u8,
-    /// Ticks of the leaders' clocks and of each node's.
-    leader_rate: Millis,
-    node_rate: Millis,
+    /// The number of heartbeats that are delivered twice.
+    duplicates: u8,
+    /// The number of writes with an unknown outcome.
+    unknown_writes: u8,
+    /// The duration of one tick on the leaders' clocks and on each node's.
+    leader_tick: Millis,
+    node_tick: Millis,
     mutant: Mutant,
 }
 
@@ -86,44 +86,44 @@
 struct Node {
     member: Member,
     boot: u64,
-    /// The beat that waits for its answer, when it was handed out, and what it named.
-    out: Option<(u8, Millis, Option<StateId>)>,
+    /// The heartbeat that waits for its reply: its number, when it was created, and the state that it named.
+    pending: Option<(u8, Millis, Option<StateId>)>,
     sent: u8,
-    /// The highest epoch that it took a request under.
-    top: Epoch,
+    /// The highest epoch under which it admitted a request.
+    highest_epoch: Epoch,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Lead {
+struct LeaderReplica {
     term: u8,
     leader: Leader,
-    /// What its replica has applied.
-    view: FleetState,
+    /// The state that its replica has applied.
+    applied: FleetState,
     writes: Vec<Command>,
 }
 
-/// Of which process, and its how manieth beat.
+/// A heartbeat: the node, its boot number, and the heartbeat's number.
 type Token = (usize, u64, u8);
 
 #[derive(Clone, Debug, PartialEq)]
 struct State {
     tick: u8,
     log: FleetState,
-    leads: Vec<Lead>,
+    leaders: Vec<LeaderReplica>,
     nodes: Vec<Node>,
-    beats: Vec<(Token, Heartbeat)>,
-    answers: Vec<(Token, HeartbeatReply)>,
-    /// Writes of unknown fate.
-    maybe: Vec<Command>,
+    heartbeats: Vec<(Token, Heartbeat)>,
+    replies: Vec<(Token, HeartbeatReply)>,
+    /// Writes with an unknown outcome.
+    unknown_writes: Vec<Command>,
     restarts: u8,
-    repeats: u8,
-    unknown: u8,
-    /// When the change was committed: a node that watches may take requests under its epoch from then on.
-    committed: Option<u8>,
-    bad: Option<&'static str>,
+    duplicates: u8,
+    unknown_count: u8,
+    /// When the change was committed: from then on a watching node may admit requests under its epoch.
+    committed_at: Option<u8>,
+    violation: Option<&'static str>,
 }
 
-/// The state's debug text is its identity: it tells all, and floats have no hash.
+/// Hashes the debug text, because floats implement no hash; the text contains the whole state.
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
         struct Text<'a, H>(&'a mut H);
@@ -140,62 +140,63 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Action {
     Tick,
-    /// A node sends a beat, and gives up the one that is out.
-    Beat(usize),
-    /// A beat (by its place) comes to a leader; and stays, to come again.
-    Come(usize, usize, bool),
-    /// An answer (by its place) comes.
-    Answer(usize),
-    /// A watch brings the state of the log.
-    News(usize),
-    /// The first of the leader's writes is applied, and it hears of it; or it does not hear.
+    /// A node sends a heartbeat, and gives up the pending one.
+    SendHeartbeat(usize),
+    /// A heartbeat (by index) arrives at a leader (by index), and stays in flight if it is duplicated.
+    DeliverHeartbeat(usize, usize, bool),
+    /// A reply (by index) arrives.
+    DeliverReply(usize),
+    /// A watch delivers the state of the log to a node.
+    Watch(usize),
+    /// The first of the leader's writes is applied, and the leader gets the outcome.
     Write,
-    Unknown,
-    /// A write of unknown fate is applied after all.
-    Late,
-    /// Another replica leads; the first write of the old one was carried over, or not.
+    /// The outcome of the first of the leader's writes is unknown.
+    LoseOutcome,
+    /// A write with an unknown outcome is applied.
+    ApplyUnknown,
+    /// Another replica becomes leader; the first write of the old one was committed, or not.
     Depose(bool),
-    /// A process dies and another starts in its place.
+    /// A process crashes, and the node starts a new one.
     Restart(usize),
 }
 
-impl Small {
-    fn terms(&self) -> LeaderSettings {
-        let terms = LeaderSettings {
-            unreachable_action: self.unreachable,
+impl SmallWorld {
+    fn settings(&self) -> LeaderSettings {
+        let settings = LeaderSettings {
+            unreachable_action: self.unreachable_action,
             heartbeat_interval_ms: 500.0,
             session_timeout_ms: 2100.0,
             stage_timeout_ms: 3000.0,
-            promise_ms: SPAN,
-            lease_ms: SPAN,
+            promise_ms: PROMISE_MS,
+            lease_ms: PROMISE_MS,
             commit_reserve_ms: 5.0,
         };
-        terms.check().expect("they hold");
+        settings.check().expect("valid settings");
         match self.mutant {
-            Mutant::LateCommit => LeaderSettings { commit_reserve_ms: -9000.0, ..terms },
+            Mutant::CommitAfterPromise => LeaderSettings { commit_reserve_ms: -9000.0, ..settings },
             Mutant::NoDrift => LeaderSettings {
-                lease_ms: SPAN / (1.0 + MAX_CLOCK_DRIFT),
-                promise_ms: SPAN / (1.0 - MAX_CLOCK_DRIFT),
-                ..terms
+                lease_ms: PROMISE_MS / (1.0 + MAX_CLOCK_DRIFT),
+                promise_ms: PROMISE_MS / (1.0 - MAX_CLOCK_DRIFT),
+                ..settings
             },
-            _ => terms,
+            _ => settings,
         }
     }
 
     fn node_clock(&self, tick: u8, node: usize) -> Millis {
-        70_000.0 * (node + 1) as Millis + self.node_rate * Millis::from(tick)
+        70_000.0 * (node + 1) as Millis + self.node_tick * Millis::from(tick)
     }
 
     fn leader_clock(&self, tick: u8, term: u8) -> Millis {
-        500_000.0 * Millis::from(term) + self.leader_rate * Millis::from(tick)
+        500_000.0 * Millis::from(term) + self.leader_tick * Millis::from(tick)
     }
 
-    fn leader(&self, tick: u8, term: u8, log: &FleetState) -> Lead {
-        let leader = Leader::new(self.terms(), u64::from(term), self.leader_clock(tick, term));
-        Lead { term, leader, view: log.clone(), writes: Vec::new() }
+    fn new_leader(&self, tick: u8, term: u8, log: &FleetState) -> LeaderReplica {
+        let leader = Leader::new(self.settings(), u64::from(term), self.leader_clock(tick, term));
+        LeaderReplica { term, leader, applied: log.clone(), writes: Vec::new() }
     }
 
-    fn process(&self, node: usize, boot: u64) -> Member {
+    fn new_member(&self, node: usize, boot: u64) -> Member {
         let process = Process { name: format!("n{node}"), boot };
         let liveness_addr = format!("127.0.0.1:{}", 100 * node as u64 + boot).parse().expect("an address");
         let config = MemberConfig {
@@ -207,69 +208,70 @@
         Member::new(config, None, 0.0)
     }
 
-    /// Whether a node would take a request now.
+    /// Returns the epoch under which a node would admit a request now.
     fn admit(&self, state: &State, node: usize) -> Result<Epoch, AdmissionError> {
         let member = &state.nodes[node].member;
         match member.admit(self.node_clock(state.tick, node)) {
-            Err(AdmissionError::InDoubt) if self.mutant == Mutant::NoDoubt => {
+            Err(AdmissionError::InDoubt) if self.mutant == Mutant::AdmitsInDoubt => {
                 member.active_epoch().ok_or(AdmissionError::NoEpoch)
             }
             result => result,
         }
     }
 
-    /// A leader takes an input, and what it wants is done as far as it needs no event of its own.
-    fn lead(&self, state: &mut State, lead: usize, input: Input) {
-        let now = self.leader_clock(state.tick, state.leads[lead].term);
-        let Lead { leader, view, .. } = &mut state.leads[lead];
-        for effect in leader.handle(now, input, view) {
+    /// Lets a leader handle an input, and carries out those effects that are no action of their own.
+    fn handle(&self, state: &mut State, index: usize, input: Input) {
+        let now = self.leader_clock(state.tick, state.leaders[index].term);
+        let LeaderReplica { leader, applied, .. } = &mut state.leaders[index];
+        for effect in leader.handle(now, input, applied) {
             match effect {
-                Effect::Reply { token, reply: answer } => self.answer(state, token, *answer),
+                Effect::Reply { token, reply } => self.reply(state, token, *reply),
                 Effect::Refuse { .. } => {}
                 Effect::Write(command) => {
-                    self.decided(state, &command);
-                    state.leads[lead].writes.push(command);
+                    self.check_decision(state, &command);
+                    state.leaders[index].writes.push(command);
                 }
                 Effect::ConfirmLeadership => {
-                    if lead + 1 == state.leads.len() || self.mutant == Mutant::NoConfirm {
-                        self.lead(state, lead, Input::Confirmed { requested_at: now });
+                    if index + 1 == state.leaders.len() || self.mutant == Mutant::NoConfirmation {
+                        self.handle(state, index, Input::Confirmed { requested_at: now });
                     }
                 }
                 Effect::Probe { process, .. } => {
-                    let alive = state.nodes.iter().enumerate().any(|(node, other)| {
+                    let is_alive = state.nodes.iter().enumerate().any(|(node, other)| {
                         process == Process { name: format!("n{node}"), boot: other.boot }
                     });
-                    self.lead(state, lead, Input::ProbeResult { process, refused: !alive });
+                    self.handle(state, index, Input::ProbeResult { process, refused: !is_alive });
                 }
             }
         }
     }
 
-    fn answer(&self, state: &mut State, token: u64, mut answer: HeartbeatReply) {
+    fn reply(&self, state: &mut State, token: u64, mut reply: HeartbeatReply) {
         let token = ((token >> 16) as usize, (token >> 8) & 255, (token & 255) as u8);
-        answer.promise_ms = SPAN;
-        if answer.fenced && (self.mutant == Mutant::NoFreeze || answer.lease_ms.is_some()) {
-            answer.lease_ms = Some(SPAN);
+        reply.promise_ms = PROMISE_MS;
+        if reply.fenced && (self.mutant == Mutant::LeaseDuringCommit || reply.lease_ms.is_some()) {
+            reply.lease_ms = Some(PROMISE_MS);
         }
         let node = &state.nodes[token.0];
-        if node.boot == token.1 && node.out.is_some_and(|(sent, ..)| sent == token.2) {
-            state.answers.push((token, answer));
+        if node.boot == token.1 && node.pending.is_some_and(|(sent, ..)| sent == token.2) {
+            state.replies.push((token, reply));
         }
     }
 
-    /// A commit is decided: each promise that it counts on must hold by the member's own clock.
-    fn decided(&self, state: &mut State, command: &Command) {
+    /// Checks a decision to commit: each promise that it counts on must hold by the member's own clock.
+    fn check_decision(&self, state: &mut State, command: &Command) {
         let Command::Policy(PolicyCommand::Commit { staged_members: staged, .. }) = command else { return };
         for (node, other) in state.nodes.iter().enumerate() {
             let process = Process { name: format!("n{node}"), boot: other.boot };
-            let doubt = other.member.admit(self.node_clock(state.tick, node)) == Err(AdmissionError::InDoubt);
-            if doubt && staged.contains(&process) {
-                state.bad = Some("a commit was decided when a promise had passed");
+            let is_in_doubt =
+                other.member.admit(self.node_clock(state.tick, node)) == Err(AdmissionError::InDoubt);
+            if is_in_doubt && staged.contains(&process) {
+                state.violation = Some("a commit was decided after a promise had expired");
             }
         }
     }
 
-    /// A command is committed.
+    /// Commits a command.
     fn commit(&self, state: &mut State, command: &Command) -> Outcome {
         let before = state.log.agreed_state();
         let outcome = state.log.apply(state.log.version() + 1, command);
@@ -279,19 +281,20 @@
             for node in 0..state.nodes.len() {
                 let process = Process { name: format!("n{node}"), boot: state.nodes[node].boot };
                 if fenced.contains(&process) && self.admit(state, node) == Ok(before.epoch) {
-                    state.bad = Some("a commit was made while a member that counts as fenced takes requests");
+                    state.violation =
+                        Some("a commit was made while a member that counts as fenced admits requests");
                 }
             }
         }
         let agreed = state.log.agreed_state();
         if agreed.epoch < before.epoch || agreed.ended_changes.len() > 1 {
-            state.bad = Some("the change has ended twice, or the agreed epoch has gone back");
+            state.violation = Some("the change has ended twice, or the agreed epoch has decreased");
         }
         if agreed.epoch > before.epoch {
-            state.committed = Some(state.tick);
+            state.committed_at = Some(state.tick);
         }
-        if let Some(lead) = state.leads.last_mut() {
-            lead.view = state.log.clone();
+        if let Some(current) = state.leaders.last_mut() {
+            current.applied = state.log.clone();
         }
         outcome
     }
@@ -305,166 +308,169 @@
         }
     }
 
-    /// Each node is asked whether it would take a request now.
+    /// Asks each node whether it would admit a request now, and checks the answers.
     fn observe(&self, state: &mut State) {
         for node in 0..state.nodes.len() {
             let Ok(epoch) = self.admit(state, node) else { continue };
-            let aborted = |ended: &member::EndedChange| ended.epoch == epoch && ended.abort_reason.is_some();
-            if state.log.policy_state().ended_changes().any(aborted)
+            let is_aborted =
+                |ended: &member::EndedChange| ended.epoch == epoch && ended.abort_reason.is_some();
+            if state.log.policy_state().ended_changes().any(is_aborted)
                 || epoch > state.log.policy_state().epoch()
             {
-                state.bad = Some("a request was taken under an epoch that was not agreed");
+                state.violation = Some("a request was admitted under an epoch that was not agreed");
             }
-            if epoch < state.nodes[node].top {
-                state.bad = Some("a node's epoch has gone back");
+            if epoch < state.nodes[node].highest_epoch {
+                state.violation = Some("a node's epoch has decreased");
             }
-            state.nodes[node].top = epoch;
-            let over = state.committed.is_some_and(|committed| state.tick > committed + BOUND);
-            if epoch < state.log.policy_state().epoch() && over {
-                state.bad = Some("a request was taken under the old epoch too long after the commit");
+            state.nodes[node].highest_epoch = epoch;
+            let is_overdue =
+                state.committed_at.is_some_and(|committed| state.tick > committed + MAX_PROMISE_TICKS);
+            if epoch < state.log.policy_state().epoch() && is_overdue {
+                state.violation =
+                    Some("a request was admitted under the old epoch too long after the commit");
             }
         }
-        state.beats.sort_by_key(|flight| flight.0);
-        state.answers.sort_by_key(|flight| flight.0);
+        state.heartbeats.sort_by_key(|message| message.0);
+        state.replies.sort_by_key(|message| message.0);
     }
 
     fn act(&self, state: &mut State, action: Action) {
         let tick = state.tick;
-        let current = state.leads.len() - 1;
+        let current = state.leaders.len() - 1;
         match action {
             Action::Tick => {
                 state.tick += 1;
-                for lead in 0..state.leads.len() {
-                    self.lead(state, lead, Input::Tick);
+                for index in 0..state.leaders.len() {
+                    self.handle(state, index, Input::Tick);
                 }
             }
-            Action::Beat(node) => {
+            Action::SendHeartbeat(node) => {
                 let now = self.node_clock(tick, node);
-                state.answers.retain(|(token, _)| token.0 != node);
+                state.replies.retain(|(token, _)| token.0 != node);
                 let other = &mut state.nodes[node];
                 other.sent += 1;
-                let beat = other.member.heartbeat(now);
-                other.out = Some((other.sent, now, beat.known_state));
-                state.beats.push(((node, other.boot, other.sent), beat));
-                if state.beats.iter().filter(|(token, _)| token.0 == node).count() > self.late {
-                    let oldest = state.beats.iter().position(|(token, _)| token.0 == node);
-                    state.beats.remove(oldest.expect("there are some"));
+                let heartbeat = other.member.heartbeat(now);
+                other.pending = Some((other.sent, now, heartbeat.known_state));
+                state.heartbeats.push(((node, other.boot, other.sent), heartbeat));
+                if state.heartbeats.iter().filter(|(token, _)| token.0 == node).count() > self.max_in_flight {
+                    let oldest = state.heartbeats.iter().position(|(token, _)| token.0 == node);
+                    state.heartbeats.remove(oldest.expect("one was just sent"));
                 }
             }
-            Action::Come(place, lead, again) => {
-                let (token, mut beat) = state.beats[place].clone();
-                if again {
-                    state.repeats += 1;
+            Action::DeliverHeartbeat(index, leader, duplicated) => {
+                let (token, mut heartbeat) = state.heartbeats[index].clone();
+                if duplicated {
+                    state.duplicates += 1;
                 } else {
-                    state.beats.remove(place);
+                    state.heartbeats.remove(index);
                 }
-                let now = self.leader_clock(tick, state.leads[lead].term);
-                match (&mut beat.echoed_stamp, &mut beat.stage_reply, self.mutant) {
-                    (Some(echo), _, Mutant::FromComing) => echo.time = now,
-                    (_, Some(member::StageReply::Staged { remaining_ms: left_ms, .. }), Mutant::NoDrift) => {
-                        *left_ms /= 1.0 - MAX_CLOCK_DRIFT
+                let now = self.leader_clock(tick, state.leaders[leader].term);
+                match (&mut heartbeat.echoed_stamp, &mut heartbeat.stage_reply, self.mutant) {
+                    (Some(stamp), _, Mutant::PromiseFromArrival) => stamp.time = now,
+                    (_, Some(member::StageReply::Staged { remaining_ms, .. }), Mutant::NoDrift) => {
+                        *remaining_ms /= 1.0 - MAX_CLOCK_DRIFT
                     }
                     _ => {}
                 }
                 let token = ((token.0 as u64) << 16) | (token.1 << 8) | u64::from(token.2);
-                self.lead(state, lead, Input::Heartbeat { token, heartbeat: beat });
+                self.handle(state, leader, Input::Heartbeat { token, heartbeat });
             }
-            Action::Answer(place) => {
-                let ((node, ..), mut answer) = state.answers.remove(place);
-                // A beat that came twice may have been answered twice; the caller takes the first answer.
-                state.answers.retain(|(token, _)| token.0 != node);
+            Action::DeliverReply(index) => {
+                let ((node, ..), mut reply) = state.replies.remove(index);
+                // A duplicated heartbeat may have two replies; the caller uses the first one.
+                state.replies.retain(|(token, _)| token.0 != node);
                 let now = self.node_clock(tick, node);
-                let (_, mut sent, known) =
-                    state.nodes[node].out.take().expect("answers to no beat are not kept");
-                if self.mutant == Mutant::FromAnswer {
-                    sent = now;
+                let (_, mut sent_at, known) =
+                    state.nodes[node].pending.take().expect("a reply is kept only for a pending heartbeat");
+                if self.mutant == Mutant::GrantFromReply {
+                    sent_at = now;
                 }
-                if let Some(known) = known.filter(|_| self.mutant == Mutant::OldNews) {
-                    answer.update = AgreedUpdate::Unchanged(known);
+                if let Some(known) = known.filter(|_| self.mutant == Mutant::StaleProof) {
+                    reply.update = AgreedUpdate::Unchanged(known);
                 }
-                let effects = state.nodes[node].member.on_reply(sent, answer, now);
+                let effects = state.nodes[node].member.on_reply(sent_at, reply, now);
                 self.member_effects(state, node, effects);
             }
-            Action::News(node) => {
+            Action::Watch(node) => {
                 let now = self.node_clock(tick, node);
                 let agreed = state.log.agreed_state();
                 let effects = state.nodes[node].member.on_agreed_state(agreed, now);
                 self.member_effects(state, node, effects);
             }
             Action::Write => {
-                let command = state.leads[current].writes.remove(0);
+                let command = state.leaders[current].writes.remove(0);
                 let outcome = Some(self.commit(state, &command));
-                self.lead(state, current, Input::WriteResult { command, outcome });
+                self.handle(state, current, Input::WriteResult { command, outcome });
             }
-            Action::Unknown => {
-                state.unknown += 1;
-                let command = state.leads[current].writes.remove(0);
-                state.maybe.push(command.clone());
-                self.lead(state, current, Input::WriteResult { command, outcome: None });
+            Action::LoseOutcome => {
+                state.unknown_count += 1;
+                let command = state.leaders[current].writes.remove(0);
+                state.unknown_writes.push(command.clone());
+                self.handle(state, current, Input::WriteResult { command, outcome: None });
             }
-            Action::Late => {
-                let command = state.maybe.remove(0);
+            Action::ApplyUnknown => {
+                let command = state.unknown_writes.remove(0);
                 self.commit(state, &command);
-                self.lead(state, current, Input::Applied);
+                self.handle(state, current, Input::Applied);
             }
-            Action::Depose(carried) => {
-                let mut old = state.leads[current].clone();
-                if let Some(command) = old.writes.first().filter(|_| carried) {
+            Action::Depose(write_committed) => {
+                let mut old = state.leaders[current].clone();
+                if let Some(command) = old.writes.first().filter(|_| write_committed) {
                     self.commit(state, command);
                 }
                 old.writes.clear();
-                let next = self.leader(tick, old.term + 1, &state.log);
-                state.maybe.clear();
-                state.leads = if self.ghosts { vec![old, next] } else { vec![next] };
-                self.lead(state, state.leads.len() - 1, Input::Applied);
+                let next = self.new_leader(tick, old.term + 1, &state.log);
+                state.unknown_writes.clear();
+                state.leaders = if self.deposed_leaders_go_on { vec![old, next] } else { vec![next] };
+                self.handle(state, state.leaders.len() - 1, Input::Applied);
             }
             Action::Restart(node) => {
                 state.restarts += 1;
                 let other = &mut state.nodes[node];
                 other.boot += 1;
-                other.out = None;
-                other.member = self.process(node, other.boot);
-                state.answers.retain(|(token, _)| token.0 != node);
+                other.pending = None;
+                other.member = self.new_member(node, other.boot);
+                state.replies.retain(|(token, _)| token.0 != node);
             }
         }
         self.observe(state);
     }
 
-    /// What may happen next.
-    fn possible(&self, state: &State, actions: &mut Vec<Action>) {
-        let current = state.leads.len() - 1;
+    /// Collects the actions that are possible next.
+    fn possible_actions(&self, state: &State, actions: &mut Vec<Action>) {
+        let current = state.leaders.len() - 1;
         if state.tick < self.ticks {
             actions.push(Action::Tick);
         }
         for (node, other) in state.nodes.iter().enumerate() {
-            if other.sent < self.beats + 1 {
-                actions.push(Action::Beat(node));
+            if other.sent < self.heartbeats + 1 {
+                actions.push(Action::SendHeartbeat(node));
             }
-            actions.push(Action::News(node));
+            actions.push(Action::Watch(node));
             if state.restarts < self.restarts {
                 actions.push(Action::Restart(node));
             }
         }
-        for place in 0..state.beats.len() {
-            for lead in 0..state.leads.len() {
-                actions.push(Action::Come(place, lead, false));
-                if state.repeats < self.repeats {
-                    actions.push(Action::Come(place, lead, true));
+        for index in 0..state.heartbeats.len() {
+            for leader in 0..state.leaders.len() {
+                actions.push(Action::DeliverHeartbeat(index, leader, false));
+                if state.duplicates < self.duplicates {
+                    actions.push(Action::DeliverHeartbeat(index, leader, true));
                 }
             }
         }
-        actions.extend((0..state.answers.len()).map(Action::Answer));
-        let write = state.leads[current].writes.first();
+        actions.extend((0..state.replies.len()).map(Action::DeliverReply));
+        let write = state.leaders[current].writes.first();
         if write.is_some() {
             actions.push(Action::Write);
-            if state.unknown < self.unknown {
-                actions.push(Action::Unknown);
+            if state.unknown_count < self.unknown_writes {
+                actions.push(Action::LoseOutcome);
             }
         }
-        if !state.maybe.is_empty() {
-            actions.push(Action::Late);
+        if !state.unknown_writes.is_empty() {
+            actions.push(Action::ApplyUnknown);
         }
-        if state.leads[current].term <= self.depositions {
+        if state.leaders[current].term <= self.depositions {
             actions.push(Action::Depose(false));
             if write.is_some() {
                 actions.push(Action::Depose(true));
@@ -472,55 +478,55 @@
         }
     }
 
-    /// All nodes have joined under the first leader, and a change is proposed.
-    fn start(&self) -> State {
+    /// Returns the initial state: all nodes have joined under the first leader, and a change is proposed.
+    fn initial_state(&self) -> State {
         let log = FleetState::new();
         let mut state = State {
             tick: 0,
-            leads: vec![self.leader(0, 1, &log)],
+            leaders: vec![self.new_leader(0, 1, &log)],
             log,
             nodes: Vec::new(),
-            beats: Vec::new(),
-            answers: Vec::new(),
-            maybe: Vec::new(),
+            heartbeats: Vec::new(),
+            replies: Vec::new(),
+            unknown_writes: Vec::new(),
             restarts: 0,
-            repeats: 0,
-            unknown: 0,
-            committed: None,
-            bad: None,
+            duplicates: 0,
+            unknown_count: 0,
+            committed_at: None,
+            violation: None,
         };
         for node in 0..self.nodes {
-            let member = self.process(node, 1);
-            state.nodes.push(Node { member, boot: 1, out: None, sent: 0, top: 0 });
-            self.act(&mut state, Action::Beat(node));
-            self.act(&mut state, Action::Come(0, 0, false));
+            let member = self.new_member(node, 1);
+            state.nodes.push(Node { member, boot: 1, pending: None, sent: 0, highest_epoch: 0 });
+            self.act(&mut state, Action::SendHeartbeat(node));
+            self.act(&mut state, Action::DeliverHeartbeat(0, 0, false));
             self.act(&mut state, Action::Write);
-            self.act(&mut state, Action::Answer(0));
+            self.act(&mut state, Action::DeliverReply(0));
         }
         let propose = PolicyCommand::Propose { base_epoch: 0, policy: Policy::default() };
         self.commit(&mut state, &Command::Policy(propose));
-        self.lead(&mut state, 0, Input::Applied);
+        self.handle(&mut state, 0, Input::Applied);
         state
     }
 }
 
-impl Model for Small {
+impl Model for SmallWorld {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.start()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        // When all is known everywhere, nothing more can come of it.
+        // Once every node knows the outcome, nothing more can happen.
         let agreed = state.log.policy_state();
-        let settled = agreed.pending_change().is_none()
+        let is_settled = agreed.pending_change().is_none()
             && state.nodes.iter().all(|node| {
                 node.member.active_epoch() == Some(agreed.epoch()) && node.member.pending_change().is_none()
             });
-        if state.bad.is_none() && !settled {
-            self.possible(state, actions);
+        if state.violation.is_none() && !is_settled {
+            self.possible_actions(state, actions);
         }
     }
 
@@ -532,8 +538,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the rules hold", |_, state: &State| state.bad.is_none()),
-            Property::sometimes("a change takes hold everywhere", |model: &Small, state: &State| {
+            Property::always("the rules hold", |_, state: &State| state.violation.is_none()),
+            Property::sometimes("a change takes hold everywhere", |model: &SmallWorld, state: &State| {
                 (0..state.nodes.len()).all(|node| model.admit(state, node) == Ok(1))
             }),
             Property::sometimes("a change is aborted", |_, state: &State| {
@@ -543,134 +549,161 @@
     }
 }
 
-fn small(unreachable: UnreachableAction) -> Small {
-    Small {
-        unreachable,
+fn small_world(unreachable_action: UnreachableAction) -> SmallWorld {
+    SmallWorld {
+        unreachable_action,
         nodes: 1,
-        beats: 3,
-        late: 2,
+        heartbeats: 3,
+        max_in_flight: 2,
         ticks: 4,
         depositions: 0,
-        ghosts: false,
+        deposed_leaders_go_on: false,
         restarts: 0,
-        repeats: 0,
-        unknown: 0,
-        leader_rate: SLOW,
-        node_rate: FAST,
+        duplicates: 0,
+        unknown_writes: 0,
+        leader_tick: SLOW,
+        node_tick: FAST,
         mutant: Mutant::None,
     }
 }
 
-/// Explores all of a world. What was found wrong, with the way there.
-fn explore(model: Small) -> Option<String> {
-    let (began, title, right) = (Instant::now(), format!("{model:?}"), model.mutant == Mutant::None);
-    let checker = model.checker().threads(THREADS).target_state_count(MOST).spawn_dfs().join();
+/// Explores a world completely. Returns a violation, with the actions that lead to it.
+fn explore(model: SmallWorld) -> Option<String> {
+    let (started, title, is_correct) = (Instant::now(), format!("{model:?}"), model.mutant == Mutant::None);
+    let checker = model.checker().threads(THREADS).target_state_count(MAX_STATES).spawn_dfs().join();
     let states = checker.unique_state_count();
-    println!("{states} states, {:.1} s: {title}", began.elapsed().as_secs_f64());
-    let wrong = checker.discovery("the rules hold").map(|path| {
-        let bad = path.last_state().bad.expect("it is the counterexample");
-        format!("{bad}: {:?}", path.into_actions())
+    println!("{states} states, {:.1} s: {title}", started.elapsed().as_secs_f64());
+    let violation = checker.discovery("the rules hold").map(|path| {
+        let violation = path.last_state().violation.expect("the path is a counterexample");
+        format!("{violation}: {:?}", path.into_actions())
     });
-    if right && wrong.is_none() {
-        assert!(states < MOST, "not all of it was explored");
+    if is_correct && violation.is_none() {
+        assert!(states < MAX_STATES, "the world was not explored completely");
         for outcome in ["a change takes hold everywhere", "a change is aborted"] {
-            assert!(checker.discovery(outcome).is_some(), "never in this world: {outcome}");
+            assert!(checker.discovery(outcome).is_some(), "never reached in this world: {outcome}");
         }
     }
-    wrong
+    violation
 }
 
-/// Each mode, with the clocks' rates either way.
-fn modes() -> Vec<Small> {
+/// Returns a world for each action on unreachable members, with the leaders' clocks slower and faster than the nodes'.
+fn modes() -> Vec<SmallWorld> {
     let mut modes = Vec::new();
-    for unreachable in [UnreachableAction::Abort, UnreachableAction::Fence] {
-        for (leader_rate, node_rate) in [(SLOW, FAST), (FAST, SLOW)] {
-            modes.push(Small { leader_rate, node_rate, ..small(unreachable) });
+    for unreachable_action in [UnreachableAction::Abort, UnreachableAction::Fence] {
+        for (leader_tick, node_tick) in [(SLOW, FAST), (FAST, SLOW)] {
+            modes.push(SmallWorld { leader_tick, node_tick, ..small_world(unreachable_action) });
         }
     }
     modes
 }
 
-fn hold(worlds: impl IntoIterator<Item = Small>) {
+fn assert_no_violation(worlds: impl IntoIterator<Item = SmallWorld>) {
     for world in worlds {
         assert_eq!(explore(world), None);
     }
 }
 
 #[test]
-fn the_rules_hold_in_small_worlds() {
-    hold(modes().into_iter().map(|mode| Small { late: 1, ..mode }));
+fn no_rule_is_violated_in_small_worlds() {
+    assert_no_violation(modes().into_iter().map(|mode| SmallWorld { max_in_flight: 1, ..mode }));
     for mode in [UnreachableAction::Abort, UnreachableAction::Fence] {
-        hold([Small { beats: 2, late: 1, depositions: 1, ghosts: true, ..small(mode) }]);
+        assert_no_violation([SmallWorld {
+            heartbeats: 2,
+            max_in_flight: 1,
+            depositions: 1,
+            deposed_leaders_go_on: true,
+            ..small_world(mode)
+        }]);
     }
 }
 
 /// `cargo test --release -p control --test model -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes and an optimised build"]
-fn the_rules_hold_in_larger_worlds() {
-    hold(modes().into_iter().map(|mode| Small { depositions: 1, ..mode }));
-    hold(modes().into_iter().map(|mode| Small { beats: 2, depositions: 1, restarts: 1, ..mode }));
-    hold(modes().into_iter().map(|mode| Small { beats: 2, unknown: 1, repeats: 1, restarts: 1, ..mode }));
+fn no_rule_is_violated_in_larger_worlds() {
+    assert_no_violation(modes().into_iter().map(|mode| SmallWorld { depositions: 1, ..mode }));
+    assert_no_violation(modes().into_iter().map(|mode| SmallWorld {
+        heartbeats: 2,
+        depositions: 1,
+        restarts: 1,
+        ..mode
+    }));
+    assert_no_violation(modes().into_iter().map(|mode| SmallWorld {
+        heartbeats: 2,
+        unknown_writes: 1,
+        duplicates: 1,
+        restarts: 1,
+        ..mode
+    }));
 }
 
-/// As above.
+/// Run it like `no_rule_is_violated_in_larger_worlds`.
 #[test]
 #[ignore = "takes minutes and an optimised build"]
-fn the_rules_hold_for_two_nodes() {
-    hold(modes().into_iter().map(|mode| Small { nodes: 2, beats: 2, late: 1, ticks: 3, ..mode }));
+fn no_rule_is_violated_with_two_nodes() {
+    assert_no_violation(modes().into_iter().map(|mode| SmallWorld {
+        nodes: 2,
+        heartbeats: 2,
+        max_in_flight: 1,
+        ticks: 3,
+        ..mode
+    }));
 }
 
 #[test]
-fn wrong_programs_are_found() {
+fn deliberate_defects_are_found() {
     use Mutant::*;
     use UnreachableAction::*;
-    for (unreachable, mutant) in [
-        (Abort, NoDoubt),
-        (Abort, LateCommit),
-        (Abort, FromComing),
-        (Abort, FromAnswer),
-        (Abort, NoConfirm),
+    for (unreachable_action, mutant) in [
+        (Abort, AdmitsInDoubt),
+        (Abort, CommitAfterPromise),
+        (Abort, PromiseFromArrival),
+        (Abort, GrantFromReply),
+        (Abort, NoConfirmation),
         (Abort, NoDrift),
-        (Abort, OldNews),
-        (Fence, FromAnswer),
-        (Fence, NoConfirm),
+        (Abort, StaleProof),
+        (Fence, GrantFromReply),
+        (Fence, NoConfirmation),
         (Fence, NoDrift),
-        (Fence, NoFreeze),
-        (Fence, OldNews),
+        (Fence, LeaseDuringCommit),
+        (Fence, StaleProof),
     ] {
-        let others = u8::from(mutant == NoConfirm);
-        let mut world =
-            Small { mutant, depositions: others, ghosts: mutant == NoConfirm, ..small(unreachable) };
-        if (unreachable, mutant) == (Fence, NoDrift) {
-            (world.leader_rate, world.node_rate) = (FAST, SLOW);
+        let depositions = u8::from(mutant == NoConfirmation);
+        let mut world = SmallWorld {
+            mutant,
+            depositions,
+            deposed_leaders_go_on: mutant == NoConfirmation,
+            ..small_world(unreachable_action)
+        };
+        if (unreachable_action, mutant) == (Fence, NoDrift) {
+            (world.leader_tick, world.node_tick) = (FAST, SLOW);
         }
         let found = explore(world);
-        println!("{unreachable:?}, {mutant:?}: {found:?}");
-        assert!(found.is_some(), "{unreachable:?}, {mutant:?}");
+        println!("{unreachable_action:?}, {mutant:?}: {found:?}");
+        assert!(found.is_some(), "{unreachable_action:?}, {mutant:?}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
-    /// Worlds too large to go through all of them: one way through each.
+    /// One random path through each world, because these are too large to explore completely.
     #[test]
-    fn the_rules_hold_on_some_ways_through_large_worlds(
+    fn no_rule_is_violated_on_random_paths_through_large_worlds(
         fence in any::<bool>(),
         fast_leader in any::<bool>(),
         choices in proptest::collection::vec(any::<prop::sample::Index>(), 150),
     ) {
-        let (leader_rate, node_rate) = if fast_leader { (FAST, SLOW) } else { (SLOW, FAST) };
-        let unreachable = if fence { UnreachableAction::Fence } else { UnreachableAction::Abort };
-        let (nodes, beats, late, ticks, ghosts) = (3, 12, 3, 9, true);
-        let (depositions, restarts, repeats, unknown) = (2, 2, 4, 2);
-        let world = Small {
-            unreachable, nodes, beats, late, ticks, depositions, ghosts, restarts, repeats, unknown,
-            leader_rate, node_rate, mutant: Mutant::None,
+        let (leader_tick, node_tick) = if fast_leader { (FAST, SLOW) } else { (SLOW, FAST) };
+        let unreachable_action = if fence { UnreachableAction::Fence } else { UnreachableAction::Abort };
+        let (nodes, heartbeats, max_in_flight, ticks, deposed_leaders_go_on) = (3, 12, 3, 9, true);
+        let (depositions, restarts, duplicates, unknown_writes) = (2, 2, 4, 2);
+        let world = SmallWorld {
+            unreachable_action, nodes, heartbeats, max_in_flight, ticks, depositions, deposed_leaders_go_on, restarts,
+            duplicates, unknown_writes, leader_tick, node_tick, mutant: Mutant::None,
         };
-        let mut state = world.start();
-        let mut way = Vec::new();
+        let mut state = world.initial_state();
+        let mut path = Vec::new();
         for choice in choices {
             let mut actions = Vec::new();
             world.actions(&state, &mut actions);
@@ -678,9 +711,9 @@
                 break;
             }
             let action = actions[choice.index(actions.len())];
-            way.push(action);
+            path.push(action);
             world.act(&mut state, action);
-            prop_assert_eq!(state.bad, None, "{:?}", way);
+            prop_assert_eq!(state.violation, None, "{:?}", path);
         }
     }
 }
--- a/crates/control/tests/steps.rs
+++ b/crates/control/tests/steps.rs
@@ -1,9 +1,9 @@
-//! The leader killed after each message that leaves it in a change of policy, one after the other, none left out.
+//! Kills the leader after each message that it sends during a policy change, for every message in turn.
 //!
-//! Each replica has a runtime of its own, which is ended in the middle of whatever it does, and a relay before it that
-//! sees all that goes there. Counted is what leaves the leader once the proposal is on its way: messages to replicas,
-//! answers to nodes and to the operator. After the `k`-th nothing more passes, and the leader is killed; `k` grows
-//! until the change was over, and known to all nodes, before.
+//! Each replica has a runtime of its own, which can be shut down at any point, and a relay in front of it that sees all
+//! its traffic. From the proposal on, the messages that leave the leader are counted: messages to replicas, and responses
+//! to nodes and the operator. After the `k`-th message nothing more passes, and the leader is killed; `k` grows until the
+//! change ends, and all nodes know its outcome, before that.
 
 mod support;
 
@@ -19,7 +19,7 @@
 use hyper::StatusCode;
 use member::{AdmissionError, Epoch, MAX_CLOCK_DRIFT};
 use serde_json::Value;
-use support::{free, try_call, Node, Said, Told, PATIENCE};
+use support::{free_address, try_call, Admission, Node, Reply, TEST_TIMEOUT};
 use tempfile::TempDir;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -27,73 +27,79 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// As short as the terms may be.
+/// The shortest promise that the configuration allows.
 const PROMISE_MS: f64 = 2180.0;
-const TERMS: &str = "[terms]\nbeat_ms = 50\nstage_ms = 4000\npromise_ms = 2180\nreserve_ms = 50\n\
+const SETTINGS: &str = "[terms]\nbeat_ms = 50\nstage_ms = 4000\npromise_ms = 2180\nreserve_ms = 50\n\
                      [election]\nafter_ms = [860, 900]";
-/// What a node may be off by that is asked on busy cores: its time is read before or after it answers.
-const SLACK_MS: f64 = 5.0;
-/// Groups that share the steps between them.
+/// The tolerance of time measurements: the time is read before or after a node answers, on a busy machine.
+const TOLERANCE_MS: f64 = 5.0;
+/// The number of groups that run in parallel and share the steps.
 const LANES: usize = 6;
-/// More steps than a change has; those of heartbeats and beats are among them, more where cores are busy.
-const STEPS_MOST: usize = 400;
-/// Between two questions to a node.
-const PAUSE: Duration = Duration::from_millis(4);
+/// An upper limit, above the number of messages during a change, including heartbeats, on a busy machine.
+const MAX_STEPS: usize = 400;
+/// The interval of requesting admission from the nodes.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// What becomes of what the leader sends.
+/// Which messages of the leader pass the relays.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Cut {
     Off,
-    /// So many pieces may leave this replica.
+    /// This many more messages of this replica.
     After(usize, u64),
-    /// They have, and no more leaves it.
+    /// No more messages of this replica.
     Done(u64),
 }
 
-/// Passes pieces on to a replica and back.
+/// A relay between callers and a replica.
 #[derive(Clone)]
-struct Link {
+struct Relay {
     id: u64,
     target: SocketAddr,
     cut: watch::Sender<Cut>,
 }
 
-impl Link {
+impl Relay {
     async fn run(self, listener: TcpListener) {
         let mut open = JoinSet::new();
         loop {
-            let (client, _) = listener.accept().await.expect("it listens");
-            let link = self.clone();
+            let (client, _) = listener.accept().await.expect("a connection");
+            let relay = self.clone();
             open.spawn(async move {
-                let Ok(server) = TcpStream::connect(link.target).await else { return };
+                let Ok(server) = TcpStream::connect(relay.target).await else { return };
                 let _ = (client.set_nodelay(true), server.set_nodelay(true));
                 let (from_client, to_client) = client.into_split();
                 let (from_server, to_server) = server.into_split();
                 tokio::select! {
-                    () = link.pass(from_client, to_server, true) => {}
-                    () = link.pass(from_server, to_client, false) => {}
+                    () = relay.pass(from_client, to_server, true) => {}
+                    () = relay.pass(from_server, to_client, false) => {}
                 }
             });
             while open.try_join_next().is_some() {}
         }
     }
 
-    async fn pass(&self, mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, there: bool) {
+    async fn pass(
+        &self,
+        mut from: impl AsyncRead + Unpin,
+        mut to: impl AsyncWrite + Unpin,
+        to_replica: bool,
+    ) {
         let mut bytes = vec![0; 64 << 10];
-        let mut letters = None;
+        let mut from_replica = None;
         while let Ok(count @ 1..) = from.read(&mut bytes).await {
-            let letters = *letters.get_or_insert(bytes.starts_with(b"POST /raft/"));
-            // Only who leads writes to replicas as long as it does.
-            let leads = |leader| if there { letters && leader != self.id } else { leader == self.id };
-            let (mut passes, mut last) = (true, None);
+            let from_replica = *from_replica.get_or_insert(bytes.starts_with(b"POST /raft/"));
+            // As long as there is a leader, only it sends messages to replicas.
+            let from_leader =
+                |leader| if to_replica { from_replica && leader != self.id } else { leader == self.id };
+            let (mut passes, mut last_of) = (true, None);
             self.cut.send_if_modified(|cut| match *cut {
-                Cut::After(left, leader) if leads(leader) => {
-                    passes = left > 0;
-                    last = (left == 1).then_some(leader);
-                    *cut = Cut::After(left.saturating_sub(1), leader);
+                Cut::After(remaining, leader) if from_leader(leader) => {
+                    passes = remaining > 0;
+                    last_of = (remaining == 1).then_some(leader);
+                    *cut = Cut::After(remaining.saturating_sub(1), leader);
                     passes
                 }
-                Cut::Done(leader) if leads(leader) => {
+                Cut::Done(leader) if from_leader(leader) => {
                     passes = false;
                     false
                 }
@@ -102,34 +108,34 @@
             if !passes || to.write_all(&bytes[..count]).await.is_err() {
                 return;
             }
-            if let Some(leader) = last {
+            if let Some(leader) = last_of {
                 self.cut.send_replace(Cut::Done(leader));
             }
         }
     }
 }
 
-/// Three replicas, each behind its link.
+/// Three replicas, each behind its relay.
 struct Group {
-    /// Where each is reached, and where it listens.
-    places: BTreeMap<u64, (SocketAddr, SocketAddr)>,
+    /// The addresses of each replica's relay and listener.
+    addresses: BTreeMap<u64, (SocketAddr, SocketAddr)>,
     running: BTreeMap<u64, (oneshot::Sender<()>, JoinHandle<()>)>,
-    links: Vec<AbortHandle>,
+    relays: Vec<AbortHandle>,
     cut: watch::Sender<Cut>,
-    folder: TempDir,
+    state_dir: TempDir,
 }
 
 impl Group {
     async fn start() -> Self {
-        let places: BTreeMap<_, _> = (1..=3).map(|id| (id, (free(), free()))).collect();
+        let addresses: BTreeMap<_, _> = (1..=3).map(|id| (id, (free_address(), free_address()))).collect();
         let cut = watch::Sender::new(Cut::Off);
-        let mut links = Vec::new();
-        for (&id, &(reached, target)) in &places {
-            let listener = TcpListener::bind(reached).await.expect("it is free");
-            links.push(tokio::spawn(Link { id, target, cut: cut.clone() }.run(listener)).abort_handle());
+        let mut relays = Vec::new();
+        for (&id, &(address, target)) in &addresses {
+            let listener = TcpListener::bind(address).await.expect("an unused address");
+            relays.push(tokio::spawn(Relay { id, target, cut: cut.clone() }.run(listener)).abort_handle());
         }
-        let folder = tempfile::tempdir().expect("a folder");
-        let mut group = Self { places, running: BTreeMap::new(), links, cut, folder };
+        let state_dir = tempfile::tempdir().expect("a folder");
+        let mut group = Self { addresses, running: BTreeMap::new(), relays, cut, state_dir };
         for id in 1..=3 {
             group.run(id).await;
         }
@@ -137,60 +143,61 @@
     }
 
     async fn run(&mut self, id: u64) {
-        let peers: Vec<String> = self.places.iter().map(|(id, (at, _))| format!("{id} = \"{at}\"")).collect();
-        let (listen, dir) = (self.places[&id].1, self.folder.path().join(id.to_string()));
+        let peers: Vec<String> =
+            self.addresses.iter().map(|(id, (at, _))| format!("{id} = \"{at}\"")).collect();
+        let (listen, dir) = (self.addresses[&id].1, self.state_dir.path().join(id.to_string()));
         let text = format!(
-            "cluster = \"t\"\nid = {id}\nlisten = \"{listen}\"\ndir = {dir:?}\n[peers]\n{}\n{TERMS}",
+            "cluster = \"t\"\nid = {id}\nlisten = \"{listen}\"\ndir = {dir:?}\n[peers]\n{}\n{SETTINGS}",
             peers.join("\n")
         );
-        let config = Config::parse(Path::new("test"), &text).expect("a good configuration");
+        let config = Config::parse(Path::new("test"), &text).expect("a valid configuration");
         let (end, ended) = oneshot::channel();
         let (started, up) = oneshot::channel();
         let thread = std::thread::spawn(move || {
             let mut builder = tokio::runtime::Builder::new_current_thread();
             let runtime = builder.enable_all().build().expect("a runtime");
             runtime.block_on(async {
-                let _control = Control::start(config).await.expect("it starts");
+                let _control = Control::start(config).await.expect("the replica starts");
                 started.send(()).expect("the test waits");
                 let _ = ended.await;
             });
-            // What is at the disk goes on to its end, as the kernel's work does for a killed process.
-            runtime.shutdown_timeout(PATIENCE);
+            // Disk writes in progress complete, as the kernel's would for a killed process.
+            runtime.shutdown_timeout(TEST_TIMEOUT);
         });
-        up.await.expect("it starts");
+        up.await.expect("the replica starts");
         self.running.insert(id, (end, thread));
     }
 
     async fn kill(&mut self, id: u64) {
-        let (end, thread) = self.running.remove(&id).expect("it runs");
+        let (end, thread) = self.running.remove(&id).expect("a running replica");
         let _ = end.send(());
         tokio::task::spawn_blocking(|| thread.join().expect("no replica panics"))
             .await
-            .expect("it is joined");
+            .expect("the thread ends");
     }
 
-    /// Waits until all replicas that run follow one leader of them and have applied all that is in their logs, with no change under way;
-    /// who leads, and what they all say of policy.
+    /// Waits until all running replicas follow one leader and have applied their whole logs, with no change pending.
+    /// Returns the leader, and the policy state that all of them report.
     async fn settled(&self) -> (u64, Value) {
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let mut said = Vec::new();
-            for (at, _) in self.running.keys().map(|id| &self.places[id]) {
+            let mut reports = Vec::new();
+            for (at, _) in self.running.keys().map(|id| &self.addresses[id]) {
                 let status = try_call(*at, "GET", "/v1/status", "").await;
                 let policy = try_call(*at, "GET", "/v1/policy", "").await;
-                if let (Ok(Told { body: status, .. }), Ok(Told { body: policy, .. })) = (status, policy) {
-                    let whole = status["replica"]["applied"] == status["replica"]["last"]
+                if let (Ok(Reply { body: status, .. }), Ok(Reply { body: policy, .. })) = (status, policy) {
+                    let is_settled = status["replica"]["applied"] == status["replica"]["last"]
                         && status["in_touch"] == true
                         && policy["change"].is_null();
                     let leader = status["replica"]["leader"].as_u64();
                     let leader = leader.filter(|leader| self.running.contains_key(leader));
-                    said.extend(leader.filter(|_| whole).map(|leader| (leader, policy)));
+                    reports.extend(leader.filter(|_| is_settled).map(|leader| (leader, policy)));
                 }
             }
-            if said.len() == self.running.len() && said.iter().all(|one| *one == said[0]) {
-                return said.swap_remove(0);
+            if reports.len() == self.running.len() && reports.iter().all(|report| *report == reports[0]) {
+                return reports.swap_remove(0);
             }
-            assert!(Instant::now() < end, "the replicas don't agree: {said:?}");
+            assert!(Instant::now() < deadline, "the replicas do not agree: {reports:?}");
             sleep(Duration::from_millis(20)).await;
         }
     }
@@ -198,95 +205,107 @@
 
 impl Drop for Group {
     fn drop(&mut self) {
-        for link in &self.links {
-            link.abort();
+        for relay in &self.relays {
+            relay.abort();
         }
     }
 }
 
-/// Holds what nodes say when they are asked, again and again, against the rules.
+/// Checks the nodes' answers to requests for admission against the rules.
 #[derive(Default)]
 struct Referee {
-    /// Who refuses: one that has promised nothing is never in doubt.
-    refuses: Option<usize>,
-    /// When each epoch was first admitted under by any node, and last by each.
-    first: BTreeMap<Epoch, Instant>,
-    newest: BTreeMap<usize, Epoch>,
-    doubts: usize,
-    faults: Vec<String>,
+    /// The node that refuses changes: it makes no promise, so it is never in doubt.
+    refusing_node: Option<usize>,
+    /// When any node first admitted a request under each epoch.
+    first_admissions: BTreeMap<Epoch, Instant>,
+    /// The newest epoch of each node.
+    newest_epochs: BTreeMap<usize, Epoch>,
+    in_doubt_count: usize,
+    violations: Vec<String>,
 }
 
 impl Referee {
-    fn hear(&mut self, node: usize, asked: Instant, said: &Said) {
-        self.doubts += usize::from(said.admitted == Err(AdmissionError::InDoubt));
-        let Ok(epoch) = said.admitted else { return };
-        if said.in_change && said.heard_ms > PROMISE_MS && self.refuses != Some(node) {
-            self.faults.push(format!("node {node} takes requests in doubt: {said:?}"));
+    fn check(&mut self, node: usize, requested_at: Instant, admission: &Admission) {
+        self.in_doubt_count += usize::from(admission.admitted == Err(AdmissionError::InDoubt));
+        let Ok(epoch) = admission.admitted else { return };
+        if admission.has_pending_change
+            && admission.last_reply_ms > PROMISE_MS
+            && self.refusing_node != Some(node)
+        {
+            self.violations.push(format!("node {node} admits requests in doubt: {admission:?}"));
         }
-        let newest = self.newest.entry(node).or_default();
+        let newest = self.newest_epochs.entry(node).or_default();
         if epoch < *newest {
-            self.faults.push(format!("node {node} went from epoch {newest} back to {epoch}"));
+            self.violations.push(format!("node {node} went from epoch {newest} back to {epoch}"));
         }
         *newest = epoch;
-        self.first.entry(epoch).or_insert_with(Instant::now);
-        let newer = self.first.range(epoch + 1..).next();
-        if let Some((newer, late)) =
-            newer.map(|(newer, first)| (newer, asked.saturating_duration_since(*first)))
+        self.first_admissions.entry(epoch).or_insert_with(Instant::now);
+        let newer = self.first_admissions.range(epoch + 1..).next();
+        if let Some((newer, delay)) =
+            newer.map(|(newer, first)| (newer, requested_at.saturating_duration_since(*first)))
         {
-            if late.as_secs_f64() * 1000.0 > PROMISE_MS * (1.0 + 2.0 * MAX_CLOCK_DRIFT) + SLACK_MS {
-                self.faults.push(format!("node {node} at {epoch} {late:?} after {newer}"));
+            if delay.as_secs_f64() * 1000.0 > PROMISE_MS * (1.0 + 2.0 * MAX_CLOCK_DRIFT) + TOLERANCE_MS {
+                self.violations
+                    .push(format!("node {node} admits at epoch {epoch} {delay:?} after epoch {newer}"));
             }
         }
     }
 }
 
-/// What is proposed is staged by all, or refused by one.
+/// Whether all nodes stage the changes, or one refuses them.
 #[derive(Clone, Copy, Debug)]
-enum Story {
+enum Scenario {
     Staged,
     Refused,
 }
 
-/// Kills leaders after `first`, `first + stride` … messages; the first count at which the change was over before,
-/// and how often a node said that it is in doubt.
-async fn lane(story: Story, first: usize, stride: usize, most: usize) -> (Option<usize>, usize) {
+/// Kills leaders after `first`, `first + stride`, … messages. Returns the first count that a change did not reach, and how
+/// often a node was in doubt.
+async fn run_lane(
+    scenario: Scenario,
+    first: usize,
+    stride: usize,
+    max_steps: usize,
+) -> (Option<usize>, usize) {
     let mut group = Group::start().await;
     let (mut leader, mut policy) = group.settled().await;
-    let replicas: Arc<[SocketAddr]> = group.places.values().map(|(at, _)| *at).collect();
+    let replicas: Arc<[SocketAddr]> = group.addresses.values().map(|(at, _)| *at).collect();
     let mut nodes = Vec::new();
-    for (name, words) in [("a", None), ("b", None), ("c", Some("no class of that name"))] {
-        let words = words.filter(|_| matches!(story, Story::Refused));
-        nodes.push(Node::join(replicas.clone(), name, words).await);
+    for (name, refusal) in [("a", None), ("b", None), ("c", Some("no class of that name"))] {
+        let refusal = refusal.filter(|_| matches!(scenario, Scenario::Refused));
+        nodes.push(Node::join(replicas.clone(), name, refusal).await);
     }
     let nodes = Arc::new(nodes);
-    let refuses = matches!(story, Story::Refused).then_some(2);
-    let referee = Arc::new(Mutex::new(Referee { refuses, ..Referee::default() }));
-    let (asked, judge) = (nodes.clone(), referee.clone());
-    let asking = tokio::spawn(async move {
+    let refusing_node = matches!(scenario, Scenario::Refused).then_some(2);
+    let referee = Arc::new(Mutex::new(Referee { refusing_node, ..Referee::default() }));
+    let (polled_nodes, poll_referee) = (nodes.clone(), referee.clone());
+    let polling = tokio::spawn(async move {
         loop {
-            for (index, node) in asked.iter().enumerate() {
-                let at = Instant::now();
-                judge.lock().expect("no test panics with it").hear(index, at, &node.ask());
+            for (index, node) in polled_nodes.iter().enumerate() {
+                let requested_at = Instant::now();
+                let admission = node.request_admission();
+                poll_referee.lock().expect("no test panics with it").check(index, requested_at, &admission);
             }
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     });
     let mut committed = BTreeSet::from([0]);
-    let mut over = None;
-    for step in (first..=most).step_by(stride) {
-        let base = policy["epoch"].as_u64().expect("an epoch");
-        let before = policy["ended"].as_array().expect("a list").last().cloned();
+    let mut end_step = None;
+    for step in (first..=max_steps).step_by(stride) {
+        let base_epoch = policy["epoch"].as_u64().expect("an epoch");
+        let last_before = policy["ended"].as_array().expect("a list").last().cloned();
         group.cut.send_replace(Cut::After(step, leader));
-        let proposal = format!("{{\"base\":{base},\"policy\":{{\"Limits\":{{\"AttemptsCap\":{step}}}}}}}");
-        let at = group.places[&leader].0;
+        let proposal =
+            format!("{{\"base\":{base_epoch},\"policy\":{{\"Limits\":{{\"AttemptsCap\":{step}}}}}}}");
+        let at = group.addresses[&leader].0;
         let operator = tokio::spawn(async move { try_call(at, "PUT", "/v1/policy", &proposal).await.ok() });
         let mut cut = group.cut.subscribe();
         let killed = tokio::select! {
             _ = cut.wait_for(|cut| matches!(cut, Cut::Done(_))) => true,
             () = async {
-                // Over where the operator and all nodes know the end.
-                while !operator.is_finished() || nodes.iter().any(|node| node.ask().in_change) {
-                    sleep(PAUSE).await;
+                // The change has ended once the operator and all nodes know the outcome.
+                while !operator.is_finished() || nodes.iter().any(|node| node.request_admission().has_pending_change) {
+                    sleep(POLL_INTERVAL).await;
                 }
                 sleep(Duration::from_millis(250)).await;
             } => false,
@@ -295,76 +314,86 @@
             group.kill(leader).await;
         }
         group.cut.send_replace(Cut::Off);
-        let told = timeout(PATIENCE, operator).await.expect("in time").expect("it ends");
+        let reply = timeout(TEST_TIMEOUT, operator).await.expect("in time").expect("the call ends");
         if killed {
-            // Those who are left end the change without it.
-            let (_, left) = group.settled().await;
+            // The remaining replicas end the change without it.
+            let (_, remaining) = group.settled().await;
             group.run(leader).await;
             let (_, all) = group.settled().await;
-            assert_eq!(left["ended"], all["ended"], "{story:?}, step {step}");
+            assert_eq!(remaining["ended"], all["ended"], "{scenario:?}, step {step}");
         }
         (leader, policy) = group.settled().await;
-        let now = policy["epoch"].as_u64().expect("an epoch");
+        let epoch = policy["epoch"].as_u64().expect("an epoch");
         let last = policy["ended"].as_array().expect("a list").last().cloned();
-        let case = || format!("{story:?}, step {step}: told {told:?}, agreed {policy}");
-        let ended = last.filter(|last| Some(last) != before.as_ref());
-        let commits = ended.as_ref().is_some_and(|ended| ended["aborted"].is_null());
-        assert_eq!(now > base, commits, "{}", case());
-        match told.as_ref().map(|told| (told.status, told.body["outcome"].as_str())) {
+        let context = || format!("{scenario:?}, step {step}: reply {reply:?}, agreed {policy}");
+        let ended = last.filter(|last| Some(last) != last_before.as_ref());
+        let is_committed = ended.as_ref().is_some_and(|ended| ended["aborted"].is_null());
+        assert_eq!(epoch > base_epoch, is_committed, "{}", context());
+        match reply.as_ref().map(|reply| (reply.status, reply.body["outcome"].as_str())) {
             Some((StatusCode::OK, _)) => {
-                assert!(commits && told.as_ref().is_some_and(|told| told.body["epoch"] == now), "{}", case());
+                let replied_epoch = reply.as_ref().map(|reply| &reply.body["epoch"]);
+                assert!(
+                    is_committed && replied_epoch.is_some_and(|replied| *replied == epoch),
+                    "{}",
+                    context()
+                );
             }
-            Some((_, Some("aborted"))) => assert!(ended.is_some() && !commits, "{}", case()),
+            Some((_, Some("aborted"))) => assert!(ended.is_some() && !is_committed, "{}", context()),
             _ => {}
         }
-        committed.insert(now);
-        let end = Instant::now() + PATIENCE;
+        committed.insert(epoch);
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let (faults, admitted) = {
-                let judged = referee.lock().expect("no test panics with it");
-                (judged.faults.clone(), judged.first.keys().copied().collect::<BTreeSet<_>>())
+            let (violations, admitted) = {
+                let referee = referee.lock().expect("no test panics with it");
+                (
+                    referee.violations.clone(),
+                    referee.first_admissions.keys().copied().collect::<BTreeSet<_>>(),
+                )
             };
-            assert!(faults.is_empty(), "{}: {faults:?}", case());
-            assert!(admitted.is_subset(&committed), "{}: {admitted:?}, not {committed:?}", case());
-            let said: Vec<Said> = nodes.iter().map(Node::ask).collect();
-            if said.iter().all(|said| !said.in_change && said.admitted == Ok(now)) {
+            assert!(violations.is_empty(), "{}: {violations:?}", context());
+            assert!(admitted.is_subset(&committed), "{}: {admitted:?}, not {committed:?}", context());
+            let admissions: Vec<Admission> = nodes.iter().map(Node::request_admission).collect();
+            let is_settled =
+                |admission: &Admission| !admission.has_pending_change && admission.admitted == Ok(epoch);
+            if admissions.iter().all(is_settled) {
                 break;
             }
-            assert!(Instant::now() < end, "{}: {said:?}", case());
-            sleep(PAUSE).await;
+            assert!(Instant::now() < deadline, "{}: {admissions:?}", context());
+            sleep(POLL_INTERVAL).await;
         }
         if !killed && ended.is_some() {
-            over = Some(step);
+            end_step = Some(step);
             break;
         }
     }
-    asking.abort();
+    polling.abort();
     for id in 1..=3 {
         group.kill(id).await;
     }
-    let doubts = referee.lock().expect("no test panics with it").doubts;
-    (over, doubts)
+    let in_doubt_count = referee.lock().expect("no test panics with it").in_doubt_count;
+    (end_step, in_doubt_count)
 }
 
-/// All steps, each lane with a group of its own.
-async fn every_step(story: Story, lanes: usize, most: usize) {
+/// Runs all steps, each lane with a group of its own.
+async fn run_all_steps(scenario: Scenario, lanes: usize, max_steps: usize) {
     let mut running = JoinSet::new();
     for first in 1..=lanes {
-        running.spawn(lane(story, first, lanes, most));
+        running.spawn(run_lane(scenario, first, lanes, max_steps));
     }
     let ends = running.join_all().await;
-    let doubts: usize = ends.iter().map(|(_, doubts)| doubts).sum();
-    let steps: Vec<_> = ends.iter().map(|(over, _)| *over).collect();
-    println!("{story:?}: over before the kill at step {steps:?}; {doubts} times in doubt");
-    assert!(steps.iter().all(Option::is_some), "more than {most} steps");
+    let in_doubt_count: usize = ends.iter().map(|(_, count)| count).sum();
+    let steps: Vec<_> = ends.iter().map(|(end_step, _)| *end_step).collect();
+    println!("{scenario:?}: ended before the kill at step {steps:?}; {in_doubt_count} times in doubt");
+    assert!(steps.iter().all(Option::is_some), "more than {max_steps} steps");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_killed_after_each_message_of_a_change_that_all_stage_leaves_one_outcome() {
-    every_step(Story::Staged, LANES, STEPS_MOST).await;
+async fn killing_the_leader_at_any_message_of_a_staged_change_leaves_one_outcome() {
+    run_all_steps(Scenario::Staged, LANES, MAX_STEPS).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_killed_after_each_message_of_a_change_that_one_refuses_leaves_one_outcome() {
-    every_step(Story::Refused, LANES, STEPS_MOST).await;
+async fn killing_the_leader_at_any_message_of_a_refused_change_leaves_one_outcome() {
+    run_all_steps(Scenario::Refused, LANES, MAX_STEPS).await;
 }
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A control group on loopback sockets, nodes that are members by the real [`Member`], and a caller.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A control group on loopback sockets, nodes that run the real [`Member`], and an HTTP client.
+#![allow(dead_code, reason = "each test file uses only a part of it")]
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,42 +23,42 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The most time that anything in a test may take, on a busy machine too.
-pub const PATIENCE: Duration = Duration::from_secs(120);
+/// The timeout of each step of a test, with room for a busy machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The most time that a beat may take.
-const BEAT: Duration = Duration::from_secs(2);
+/// The timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Long enough for busy cores, short enough for a test.
-pub const TERMS: &str = "beat_ms = 50\nstage_ms = 8000\npromise_ms = 5000\nreserve_ms = 200";
-/// For changes that are to be aborted as somebody is silent.
-pub const HASTY: &str = "beat_ms = 50\nstage_ms = 3000\npromise_ms = 5000\nreserve_ms = 200";
+/// Leader settings with timeouts that are long enough for a busy machine.
+pub const SLOW_SETTINGS: &str = "beat_ms = 50\nstage_ms = 8000\npromise_ms = 5000\nreserve_ms = 200";
+/// Leader settings with a shorter stage timeout, for changes that are aborted because a node is silent.
+pub const SHORT_SETTINGS: &str = "beat_ms = 50\nstage_ms = 3000\npromise_ms = 5000\nreserve_ms = 200";
 
-/// An address that is free now, on a loopback address of its own for each call.
-pub fn free() -> SocketAddr {
+/// Returns an unused address, with a loopback IP of its own for each call.
+pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let (pid, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let host = Ipv4Addr::new(127, (1 + pid % 250) as u8, (pid / 250 % 250) as u8, (1 + next % 250) as u8);
     let listener = std::net::TcpListener::bind((host, 0)).expect("a free port on loopback");
-    listener.local_addr().expect("it is bound")
+    listener.local_addr().expect("a bound socket")
 }
 
-/// A control group.
+/// A control group of three replicas.
 pub struct Group {
     pub addresses: BTreeMap<u64, SocketAddr>,
     running: BTreeMap<u64, Control>,
-    folder: TempDir,
-    more: String,
+    state_dir: TempDir,
+    config: String,
 }
 
 impl Group {
-    /// Three replicas; `terms` and `more` are parts of their files.
-    pub async fn start(terms: &str, more: &str) -> Self {
+    /// Starts three replicas; `leader_settings` and `more` are parts of their configuration files.
+    pub async fn start(leader_settings: &str, more: &str) -> Self {
         let mut group = Self {
-            addresses: (1..=3).map(|id| (id, free())).collect(),
+            addresses: (1..=3).map(|id| (id, free_address())).collect(),
             running: BTreeMap::new(),
-            folder: tempfile::tempdir().expect("a folder"),
-            more: format!("[terms]\n{terms}\n[election]\nafter_ms = [1000, 2000]\n{more}"),
+            state_dir: tempfile::tempdir().expect("a folder"),
+            config: format!("[terms]\n{leader_settings}\n[election]\nafter_ms = [1000, 2000]\n{more}"),
         };
         for id in 1..=3 {
             group.run(id).await;
@@ -67,25 +67,26 @@
         group
     }
 
-    /// Starts a replica, one of the first or one that joins.
+    /// Starts a replica: one of the first three, or a new one that joins the group.
     pub async fn run(&mut self, id: u64) {
-        let at = *self.addresses.entry(id).or_insert_with(free);
+        let at = *self.addresses.entry(id).or_insert_with(free_address);
         let peers: Vec<String> = (1..=3).map(|id| format!("{id} = \"{}\"", self.addresses[&id])).collect();
         let peers = if id > 3 { "joins = true".to_owned() } else { format!("[peers]\n{}", peers.join("\n")) };
-        let dir = self.folder.path().join(id.to_string());
+        let dir = self.state_dir.path().join(id.to_string());
         let text =
-            format!("cluster = \"t\"\nid = {id}\nlisten = \"{at}\"\ndir = {dir:?}\n{peers}\n{}", self.more);
-        let config = Config::parse(Path::new("test"), &text).expect("a good configuration");
-        self.running.insert(id, Control::start(config).await.expect("it starts"));
+            format!("cluster = \"t\"\nid = {id}\nlisten = \"{at}\"\ndir = {dir:?}\n{peers}\n{}", self.config);
+        let config = Config::parse(Path::new("test"), &text).expect("a valid configuration");
+        self.running.insert(id, Control::start(config).await.expect("the replica starts"));
     }
 
     pub async fn stop(&mut self, id: u64) {
-        self.running.remove(&id).expect("it runs").stop().await;
+        self.running.remove(&id).expect("a running replica").stop().await;
     }
 
-    /// Waits for a leader that all who run know, but for those who have not been added yet; where it is.
+    /// Waits for a leader that all running replicas know, except for those that have not been added yet. Returns its
+    /// address.
     pub async fn leader(&self) -> SocketAddr {
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             let mut known = Vec::new();
             for id in self.running.keys() {
@@ -103,43 +104,43 @@
                 {
                     return self.addresses[leader];
                 }
-                _ => assert!(Instant::now() < end, "no leader: {known:?}"),
+                _ => assert!(Instant::now() < deadline, "no leader: {known:?}"),
             }
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Who is there.
+    /// Returns the ID of the replica with this address.
     pub fn id_of(&self, address: SocketAddr) -> u64 {
-        *self.addresses.iter().find(|(_, at)| **at == address).expect("one of them").0
+        *self.addresses.iter().find(|(_, at)| **at == address).expect("a replica").0
     }
 
-    /// Calls the leader, whoever that has become meanwhile.
-    pub async fn call(&self, method: &str, path: &str, body: &str) -> Told {
-        let end = Instant::now() + PATIENCE;
+    /// Calls the leader, and retries if leadership has moved meanwhile.
+    pub async fn call(&self, method: &str, path: &str, body: &str) -> Reply {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let told = call(self.leader().await, method, path, body).await;
-            if told.body["error"] != "this replica does not lead" || Instant::now() >= end {
-                return told;
+            let reply = call(self.leader().await, method, path, body).await;
+            if reply.body["error"] != "this replica does not lead" || Instant::now() >= deadline {
+                return reply;
             }
         }
     }
 
-    /// Proposes at the leader.
-    pub async fn propose(&self, base: Epoch, policy: &str) -> Told {
-        self.call("PUT", "/v1/policy", &format!("{{\"base\":{base},\"policy\":{policy}}}")).await
+    /// Proposes a policy to the leader.
+    pub async fn propose(&self, base_epoch: Epoch, policy: &str) -> Reply {
+        self.call("PUT", "/v1/policy", &format!("{{\"base\":{base_epoch},\"policy\":{policy}}}")).await
     }
 }
 
-/// What was answered.
+/// A response.
 #[derive(Debug)]
-pub struct Told {
+pub struct Reply {
     pub status: StatusCode,
-    pub head: hyper::HeaderMap,
+    pub headers: hyper::HeaderMap,
     pub body: Value,
 }
 
-/// Opens a call on a connection of its own.
+/// Makes a call on a new connection, and returns the response before its body.
 pub async fn open(
     at: SocketAddr,
     method: &str,
@@ -153,70 +154,71 @@
     Ok(sender.send_request(request.body(Full::new(Bytes::from(body.to_owned())))?).await?)
 }
 
-/// Calls; a body that is no JSON is null.
-pub async fn call(at: SocketAddr, method: &str, path: &str, body: &str) -> Told {
-    try_call(at, method, path, body).await.expect("it answers")
+/// Makes a call; a body that is not JSON is null.
+pub async fn call(at: SocketAddr, method: &str, path: &str, body: &str) -> Reply {
+    try_call(at, method, path, body).await.expect("a response")
 }
 
-/// The same, where the callee may be gone.
+/// Makes a call to a replica that may be gone.
 pub async fn try_call(
     at: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
-) -> Result<Told, Box<dyn std::error::Error + Send + Sync>> {
-    let answered = async {
+) -> Result<Reply, Box<dyn std::error::Error + Send + Sync>> {
+    let call = async {
         let (head, body) = open(at, method, path, body).await?.into_parts();
         let bytes = body.collect().await?.to_bytes();
         let body = serde_json::from_slice(&bytes).unwrap_or_default();
-        Ok(Told { status: head.status, head: head.headers, body })
+        Ok(Reply { status: head.status, headers: head.headers, body })
     };
-    timeout(PATIENCE, answered).await?
+    timeout(TEST_TIMEOUT, call).await?
 }
 
-/// What a node of a test is told to do.
-enum Order {
-    /// Beats no more, and lives on.
-    Silent,
-    /// Closes its session.
-    Bye,
+/// A command to a node of a test.
+enum NodeCommand {
+    /// Send no more heartbeats, but stay alive.
+    FallSilent,
+    /// Close the session.
+    Leave,
 }
 
-/// A node: a member that beats, and lives at an address of its own.
+/// A node that sends heartbeats, and listens on a liveness address of its own.
 pub struct Node {
     pub name: String,
-    active: watch::Receiver<Option<Epoch>>,
-    orders: mpsc::UnboundedSender<Order>,
-    seat: Arc<Seat>,
+    admitted: watch::Receiver<Option<Epoch>>,
+    commands: mpsc::UnboundedSender<NodeCommand>,
+    shared: Arc<SharedMember>,
     task: JoinHandle<()>,
 }
 
-/// A member, its clock, and when it took its last answer.
-struct Seat {
-    start: Instant,
+/// A member with its clock, and when it received its last reply.
+struct SharedMember {
+    started_at: Instant,
     member: Mutex<(Member, f64)>,
 }
 
-impl Seat {
+impl SharedMember {
     fn with<R>(&self, f: impl FnOnce(&mut Member, f64) -> R) -> R {
         let mut guard = self.member.lock().expect("no test panics with it");
-        f(&mut guard.0, self.start.elapsed().as_secs_f64() * 1000.0)
+        f(&mut guard.0, self.started_at.elapsed().as_secs_f64() * 1000.0)
     }
 
-    /// Takes an answer, and looks at a change that it brings; what is admitted then, and whether it is all over.
-    fn take(
+    /// Handles a reply, and checks the change that it may contain. Returns the epoch that is admitted afterwards, and
+    /// whether the session has ended.
+    fn on_reply(
         &self,
-        sent: f64,
-        answer: HeartbeatReply,
-        refuses: Option<&'static str>,
+        sent_at: f64,
+        reply: HeartbeatReply,
+        refusal: Option<&'static str>,
     ) -> (Option<Epoch>, bool) {
         let mut guard = self.member.lock().expect("no test panics with it");
-        let now = self.start.elapsed().as_secs_f64() * 1000.0;
-        let (member, heard) = &mut *guard;
-        *heard = now;
-        for effect in member.on_reply(sent, answer, now) {
+        let now = self.started_at.elapsed().as_secs_f64() * 1000.0;
+        let (member, last_reply_at) = &mut *guard;
+        *last_reply_at = now;
+        for effect in member.on_reply(sent_at, reply, now) {
             if let Effect::Check(change) = effect {
-                let result = refuses.map_or(Ok(()), |words| Err(words.to_owned()));
+                let result = refusal.map_or(Ok(()), |reason| Err(reason.to_owned()));
                 member.on_check_result(change.id, result, now);
             }
         }
@@ -224,27 +226,27 @@
     }
 }
 
-/// What a node says when it is asked for admission.
+/// A node's answer to a request for admission.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct Admission {
     pub admitted: Result<Epoch, AdmissionError>,
-    /// A change that it has staged or looks at.
-    pub in_change: bool,
-    /// How long before it took its last answer, in milliseconds.
-    pub heard_ms: f64,
+    /// It has staged a change, or is checking one.
+    pub has_pending_change: bool,
+    /// The time since its last reply, in milliseconds.
+    pub last_reply_ms: f64,
 }
 
 impl Node {
-    /// Starts a node and waits until it is a member; `refuses` are its words against any change.
-    pub async fn start(group: &Group, name: &str, refuses: Option<&'static str>) -> Self {
-        Self::join(group.addresses.values().copied().collect(), name, refuses).await
+    /// Starts a node and waits until it is a member. With a `refusal` it refuses every change for that reason.
+    pub async fn start(group: &Group, name: &str, refusal: Option<&'static str>) -> Self {
+        Self::join(group.addresses.values().copied().collect(), name, refusal).await
     }
 
-    /// The same, by the replicas' addresses.
-    pub async fn join(replicas: Arc<[SocketAddr]>, name: &str, refuses: Option<&'static str>) -> Self {
+    /// Starts a node like [`Node::start`], with the replicas' addresses.
+    pub async fn join(replicas: Arc<[SocketAddr]>, name: &str, refusal: Option<&'static str>) -> Self {
         static BOOT: AtomicU64 = AtomicU64::new(1);
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a free port");
-        let liveness_addr = listener.local_addr().expect("it is bound");
+        let liveness_addr = listener.local_addr().expect("a bound socket");
         let process = Process { name: name.to_owned(), boot: BOOT.fetch_add(1, Ordering::Relaxed) };
         let config = MemberConfig {
             process,
@@ -252,96 +254,98 @@
             coexists_with_previous: false,
             start_mode: StartMode::Wait,
         };
-        let (known, active) = watch::channel(None);
-        let (orders, ordered) = mpsc::unbounded_channel();
+        let (admitted_sender, admitted) = watch::channel(None);
+        let (commands, receiver) = mpsc::unbounded_channel();
         let member = Mutex::new((Member::new(config, None, 0.0), 0.0));
-        let seat = Arc::new(Seat { start: Instant::now(), member });
-        let task = tokio::spawn(live(listener, seat.clone(), replicas, refuses, known, ordered));
-        let mut node = Self { name: name.to_owned(), active, orders, seat, task };
-        node.until(|_| true).await;
+        let shared = Arc::new(SharedMember { started_at: Instant::now(), member });
+        let task = tokio::spawn(run(listener, shared.clone(), replicas, refusal, admitted_sender, receiver));
+        let mut node = Self { name: name.to_owned(), admitted, commands, shared, task };
+        node.wait_for_epoch(|_| true).await;
         node
     }
 
-    /// Asks it for admission at this moment.
-    pub fn ask(&self) -> Said {
-        let guard = self.seat.member.lock().expect("no test panics with it");
-        let now = self.seat.start.elapsed().as_secs_f64() * 1000.0;
-        let (member, heard) = &*guard;
-        Said {
+    /// Requests admission at this moment.
+    pub fn request_admission(&self) -> Admission {
+        let guard = self.shared.member.lock().expect("no test panics with it");
+        let now = self.shared.started_at.elapsed().as_secs_f64() * 1000.0;
+        let (member, last_reply_at) = &*guard;
+        Admission {
             admitted: member.admit(now),
-            in_change: member.pending_change().is_some(),
-            heard_ms: now - heard,
+            has_pending_change: member.pending_change().is_some(),
+            last_reply_ms: now - last_reply_at,
         }
     }
 
-    /// Waits until it takes requests under such an epoch.
-    pub async fn until(&mut self, fits: impl Fn(Epoch) -> bool) {
-        let reached = self.active.wait_for(|epoch| epoch.is_some_and(&fits));
-        let reached = timeout(PATIENCE, reached).await.map(|reached| reached.map(drop));
-        reached.unwrap_or_else(|_| panic!("{}: {:?}", self.name, self.ask())).expect("the node lives");
+    /// Waits until it admits requests under an epoch that matches.
+    pub async fn wait_for_epoch(&mut self, matches: impl Fn(Epoch) -> bool) {
+        let reached = self.admitted.wait_for(|epoch| epoch.is_some_and(&matches));
+        let reached = timeout(TEST_TIMEOUT, reached).await.map(|reached| reached.map(drop));
+        reached
+            .unwrap_or_else(|_| panic!("{}: {:?}", self.name, self.request_admission()))
+            .expect("a running node");
     }
 
-    /// Takes requests under this epoch now.
-    pub fn active(&self) -> Option<Epoch> {
-        *self.active.borrow()
+    /// Returns the epoch under which it admitted requests after its last reply.
+    pub fn admitted_epoch(&self) -> Option<Epoch> {
+        *self.admitted.borrow()
     }
 
-    /// Beats no more, and lives on.
-    pub fn silence(&self) {
-        self.orders.send(Order::Silent).expect("the node lives");
+    /// Stops sending heartbeats, but stays alive.
+    pub fn fall_silent(&self) {
+        self.commands.send(NodeCommand::FallSilent).expect("a running node");
     }
 
-    /// Closes its session, and waits until the leader has taken it.
-    pub async fn bye(self) {
-        self.orders.send(Order::Bye).expect("the node lives");
-        timeout(PATIENCE, self.task).await.expect("in time").expect("it ends");
+    /// Closes its session, and waits until the leader has confirmed it.
+    pub async fn leave(self) {
+        self.commands.send(NodeCommand::Leave).expect("a running node");
+        timeout(TEST_TIMEOUT, self.task).await.expect("in time").expect("the node ends");
     }
 
-    /// Ends at once, as a killed process does.
+    /// Ends immediately, like a killed process.
     pub async fn kill(self) {
         self.task.abort();
         // The listener is closed once the task is gone.
-        assert!(self.task.await.expect_err("was ended").is_cancelled());
+        assert!(self.task.await.expect_err("an aborted task").is_cancelled());
     }
 }
 
-async fn live(
-    _life: TcpListener,
-    seat: Arc<Seat>,
+async fn run(
+    _liveness_listener: TcpListener,
+    shared: Arc<SharedMember>,
     replicas: Arc<[SocketAddr]>,
-    refuses: Option<&'static str>,
-    known: watch::Sender<Option<Epoch>>,
-    mut orders: mpsc::UnboundedReceiver<Order>,
+    refusal: Option<&'static str>,
+    admitted: watch::Sender<Option<Epoch>>,
+    mut commands: mpsc::UnboundedReceiver<NodeCommand>,
 ) {
-    let mut at = 0;
+    let mut replica = 0;
     loop {
-        let wait = seat.with(|member, now| (member.next_heartbeat_at() - now).clamp(0.0, 1000.0) / 1000.0);
+        let delay = shared.with(|member, now| (member.next_heartbeat_at() - now).clamp(0.0, 1000.0) / 1000.0);
         tokio::select! {
-            () = sleep(Duration::from_secs_f64(wait)) => {}
-            order = orders.recv() => match order {
-                Some(Order::Bye) => drop(seat.with(Member::leave)),
-                Some(Order::Silent) => return std::future::pending().await,
+            () = sleep(Duration::from_secs_f64(delay)) => {}
+            command = commands.recv() => match command {
+                Some(NodeCommand::Leave) => drop(shared.with(Member::leave)),
+                Some(NodeCommand::FallSilent) => return std::future::pending().await,
                 None => return,
             }
         }
-        let (sent, beat) = seat.with(|member, now| (now, member.heartbeat(now)));
-        let beat = serde_json::to_string(&beat).expect("a beat has a form");
-        let answered = timeout(BEAT, try_call(replicas[at], "POST", "/v1/session", &beat)).await;
-        match answered.unwrap_or_else(|late| Err(late.into())) {
-            Ok(Told { status: StatusCode::OK, body, .. }) => {
-                let answer: HeartbeatReply = serde_json::from_value(body).expect("an answer");
-                let (admitted, superseded) = seat.take(sent, answer, refuses);
-                known.send_replace(admitted);
+        let (sent_at, heartbeat) = shared.with(|member, now| (now, member.heartbeat(now)));
+        let heartbeat = serde_json::to_string(&heartbeat).expect("a heartbeat serializes");
+        let call = try_call(replicas[replica], "POST", "/v1/session", &heartbeat);
+        match timeout(HEARTBEAT_TIMEOUT, call).await.unwrap_or_else(|late| Err(late.into())) {
+            Ok(Reply { status: StatusCode::OK, body, .. }) => {
+                let reply: HeartbeatReply = serde_json::from_value(body).expect("a reply");
+                let (epoch, superseded) = shared.on_reply(sent_at, reply, refusal);
+                admitted.send_replace(epoch);
                 if superseded {
                     return;
                 }
             }
-            Ok(Told { body, .. }) => {
+            Ok(Reply { body, .. }) => {
                 let leader = body["leader"].as_str().and_then(|leader| leader.parse::<SocketAddr>().ok());
-                let named = replicas.iter().position(|replica| Some(*replica) == leader);
-                at = named.unwrap_or((at + 1) % replicas.len());
+                let named = replicas.iter().position(|address| Some(*address) == leader);
+                replica = named.unwrap_or((replica + 1) % replicas.len());
             }
-            Err(_) => at = (at + 1) % replicas.len(),
+            Err(_) => replica = (replica + 1) % replicas.len(),
         }
     }
 }
--- a/crates/control/tests/votes_model.rs
+++ b/crates/control/tests/votes_model.rs
@@ -1,9 +1,10 @@
-//! Model checking of votes on servers: the real [`Tally`] and [`FleetState`] in a small world, in every order of its events.
+//! Model checking of votes on servers: the real [`Tally`] and [`FleetState`] in a small world, with every order of its
+//! events.
 //!
-//! The world: nodes send their ballots; beats are lost, late, out of order or repeated, answers are lost; servers begin to
-//! fail and start anew; writes are of unknown fate and may be applied late; the leader is deposed, its last write carried
-//! over or not. Liars say that a good server has failed a thousand times, that nothing is wrong with the others, and that
-//! a thousand servers are up. All that happens within a tick happens before the tally judges.
+//! The world: nodes send their ballots; heartbeats are lost, delayed, reordered or duplicated, and replies are lost;
+//! servers start to fail and restart; the outcome of a write may stay unknown and the write be applied late; the leader
+//! is deposed, and its last write is committed or not. Faulty voters report a thousand failures of a good server, no
+//! failures of the others, and a thousand servers that are up. All events of a tick happen before the tally evaluates.
 
 use std::fmt::{self, Write as _};
 use std::hash::{Hash, Hasher};
@@ -20,74 +21,77 @@
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 
-const TICK: Millis = 100.0;
-/// A beat echoes an answer of the tick before at best, and is judged a tick later.
-const BALLOT: Millis = 250.0;
-const WINDOW: Millis = 100.0;
-const TERM: Millis = 200.0;
-const UP: u32 = 3;
-/// The good one, and those that may fail.
+/// The duration of a tick, in milliseconds.
+const TICK_MS: Millis = 100.0;
+/// The lifetime of a ballot: a heartbeat echoes a reply of the previous tick at best, and is evaluated a tick later.
+const BALLOT_TTL_MS: Millis = 250.0;
+const EVIDENCE_WINDOW_MS: Millis = 100.0;
+const VERDICT_TERM_MS: Millis = 200.0;
+/// The number of servers that are up.
+const UP_SERVERS: u32 = 3;
+/// A server that never fails, and two that may.
 const SERVERS: [&str; 3] = ["good", "bad", "worse"];
 const THREADS: usize = 8;
-/// More states than any of these worlds has.
-const MOST: usize = 30_000_000;
+/// An upper limit, above the number of states of any of these worlds.
+const MAX_STATES: usize = 30_000_000;
 
-/// What is wrong with the program on purpose, to see that the model finds it.
+/// Deliberate defects, to show that the model finds them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Mutant {
     None,
-    /// The log does not hold the cap.
+    /// The log does not enforce the cap.
     NoCap,
-    /// Ballots count from their coming: late ones stand, and who has not been asked seems to have answered.
-    FromComing,
-    /// Terms are longer than agreed.
+    /// Ballots are valid from their arrival: late ones count, and nodes that were not queried seem to have answered.
+    BallotFromArrival,
+    /// Verdict terms are longer than the policy says.
     LongTerm,
-    /// Answers don't ask.
-    Unasked,
+    /// Replies contain no queries.
+    NoQueries,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Small {
+struct SmallWorld {
     nodes: usize,
-    /// The last ones of them.
-    liars: usize,
-    /// Votes that a removal needs.
-    voters: u32,
-    /// Nodes are of two zones, in turn.
+    /// The number of faulty voters, the last ones of the nodes.
+    faulty_voters: usize,
+    /// The number of votes that a removal needs.
+    min_voters: u32,
+    /// Nodes alternate between two zones.
     zones: bool,
     ticks: u8,
-    /// How many beats of a node may be on their way; more, and the oldest is lost. Each sends one a tick at the most.
-    late: usize,
-    repeats: u8,
-    /// Answers that don't come.
-    lost: u8,
+    /// The number of heartbeats of a node that may be in flight; beyond it the oldest is lost. Each node sends at most
+    /// one per tick.
+    max_in_flight: usize,
+    duplicates: u8,
+    /// The number of replies that are lost.
+    lost_replies: u8,
     depositions: u8,
-    unknown: u8,
-    /// Servers that may fail, and may start anew, good.
-    fails: usize,
+    unknown_writes: u8,
+    /// The number of servers that may fail, and then may restart and work again.
+    failing_servers: usize,
     restarts: u8,
     mutant: Mutant,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Node {
-    /// When it sent last.
-    sent: Option<u8>,
-    /// Of the newest answer: term, time, and what it asked about.
-    echo: Option<(u64, Millis)>,
-    asked: Vec<String>,
-    /// When it last said that it is for a server's removal, by server.
-    said: [Option<u8>; 3],
-    /// The echo of the newest beat that came to this leader.
-    stands: Option<Millis>,
+    /// When it last sent a heartbeat.
+    sent_at: Option<u8>,
+    /// The newest reply's stamp (term and time) and queries.
+    stamp: Option<(u64, Millis)>,
+    queried: Vec<String>,
+    /// When it last voted for a server's removal, by server.
+    voted_at: [Option<u8>; 3],
+    /// The time that the newest heartbeat received by this leader echoes.
+    echoed_time: Option<Millis>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Flight {
+struct InFlight {
     node: usize,
-    sent: u8,
-    echo: Option<(u64, Millis)>,
-    votes: VoteReport,
+    sent_at: u8,
+    stamp: Option<(u64, Millis)>,
+    report: VoteReport,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -95,28 +99,30 @@
     tick: u8,
     log: FleetState,
     term: u64,
-    began: Millis,
+    term_started_at: Millis,
     tally: Tally,
     writes: Vec<VerdictCommand>,
-    /// Writes of unknown fate.
-    maybe: Vec<VerdictCommand>,
+    /// Writes with an unknown outcome.
+    unknown_writes: Vec<VerdictCommand>,
     nodes: Vec<Node>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     failing: [bool; 3],
-    born: [u8; 3],
-    /// When each verdict last changed (or this leader began, if later), and at which version.
+    /// The number of restarts of each server.
+    incarnations: [u8; 3],
+    /// The version at which each verdict last changed, and when (or the start of this leader, if that is later).
     changed: [Option<(u64, Millis)>; 3],
-    repeats: u8,
-    lost: u8,
-    unknown: u8,
+    duplicates: u8,
+    lost_replies: u8,
+    unknown_count: u8,
     restarts: u8,
-    /// When a write failed last.
-    failed: Millis,
-    returned: bool,
-    bad: Option<&'static str>,
+    /// When a write last failed.
+    write_failed_at: Millis,
+    has_returned: bool,
+    violation: Option<&'static str>,
 }
 
-/// The state's debug text is its identity: it tells all, and floats have no hash. Of the log only verdicts change.
+/// Hashes the debug text, because floats implement no hash; the text contains the whole state except for the constant
+/// parts of the log.
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
         struct Text<'a, H>(&'a mut H);
@@ -126,12 +132,44 @@
                 Ok(())
             }
         }
-        let Self { tick, log, term, tally, writes, maybe, nodes, flights, failing, born, changed, .. } = self;
-        let counts =
-            (self.repeats, self.lost, self.unknown, self.restarts, self.failed, self.returned, self.bad);
+        let Self {
+            tick,
+            log,
+            term,
+            tally,
+            writes,
+            unknown_writes,
+            nodes,
+            in_flight,
+            failing,
+            incarnations,
+            changed,
+            ..
+        } = self;
+        let counts = (
+            self.duplicates,
+            self.lost_replies,
+            self.unknown_count,
+            self.restarts,
+            self.write_failed_at,
+            self.has_returned,
+            self.violation,
+        );
         let verdicts = log.verdicts();
-        let all =
-            (tick, verdicts, term, tally, writes, maybe, nodes, flights, failing, born, changed, counts);
+        let all = (
+            tick,
+            verdicts,
+            term,
+            tally,
+            writes,
+            unknown_writes,
+            nodes,
+            in_flight,
+            failing,
+            incarnations,
+            changed,
+            counts,
+        );
         write!(Text(state), "{all:?}").expect("hashing never fails");
     }
 }
@@ -139,50 +177,51 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Action {
     Tick,
-    /// A node sends its ballots, and they come and are answered at once.
-    Beat(usize),
-    /// They are on their way.
+    /// A node sends a heartbeat, which arrives and is answered immediately.
+    SendAndDeliver(usize),
+    /// A node sends a heartbeat, which stays in flight.
     Send(usize),
-    /// A beat (by its place) comes; is answered or its answer is lost; stays, to come again.
-    Come(usize, bool, bool),
-    /// A server fails from now on; or starts anew.
-    Fails(usize),
+    /// A heartbeat (by index) arrives; its reply arrives or is lost; it stays in flight if it is duplicated.
+    Deliver(usize, bool, bool),
+    /// A server starts to fail.
+    StartFailing(usize),
+    /// A failing server restarts, and works again.
     Restart(usize),
-    /// The first write is applied, and the leader hears of it; or it does not hear.
+    /// The first write is applied, and the leader gets the outcome.
     Write,
-    Unknown,
-    /// A write of unknown fate is applied after all.
-    Late,
-    /// Another replica leads; the first write of the old one was carried over, or not.
+    /// The outcome of the first write is unknown.
+    LoseOutcome,
+    /// A write with an unknown outcome is applied.
+    ApplyUnknown,
+    /// Another replica becomes leader; the first write of the old one was committed, or not.
     Depose(bool),
 }
 
-fn figures(voters: u32) -> VoteSettings {
-    let (window, ballot, term) = (WINDOW, BALLOT, TERM);
+fn vote_settings(min_voters: u32) -> VoteSettings {
     VoteSettings {
-        evidence_window: window,
-        ballot_ttl: ballot,
-        verdict_term: term,
-        min_voters: voters,
+        evidence_window: EVIDENCE_WINDOW_MS,
+        ballot_ttl: BALLOT_TTL_MS,
+        verdict_term: VERDICT_TERM_MS,
+        min_voters,
         min_failures: 3,
         prober_count: 2,
         ..VoteSettings::default()
     }
 }
 
-fn agreement(nodes: usize, voters: u32) -> FleetState {
+fn fleet_state(nodes: usize, min_voters: u32) -> FleetState {
     let mut log = FleetState::new();
-    let votes = serde_json::to_value(figures(voters)).expect("figures serialize");
+    let votes = serde_json::to_value(vote_settings(min_voters)).expect("settings serialize");
     let policy = Policy([("Votes".to_owned(), votes)].into_iter().collect());
     let commit =
         PolicyCommand::Commit { change: ChangeId(1), staged_members: vec![], fenced_members: vec![] };
     log.apply(1, &Command::Policy(PolicyCommand::Propose { base_epoch: 0, policy }));
     assert_eq!(log.apply(2, &Command::Policy(commit)), Outcome::Done);
     for node in 0..nodes {
-        let (life, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
+        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
         let join = RosterCommand::Join {
             process,
-            liveness_addr: life,
+            liveness_addr,
             coexists_with_previous: false,
             fenced: false,
             active_epoch: None,
@@ -196,127 +235,135 @@
     Process { name: format!("n{node}"), boot: 1 }
 }
 
-impl Small {
+impl SmallWorld {
     fn now(state: &State) -> Millis {
-        TICK * Millis::from(state.tick) + 10_000.0 * state.term as Millis
+        TICK_MS * Millis::from(state.tick) + 10_000.0 * state.term as Millis
     }
 
-    fn liar(&self, node: usize) -> bool {
-        node >= self.nodes - self.liars
+    fn is_faulty(&self, node: usize) -> bool {
+        node >= self.nodes - self.faulty_voters
     }
 
-    /// What a node says now.
-    fn votes(&self, state: &State, node: usize) -> VoteReport {
-        let told = state.log.verdicts().in_force();
+    /// Returns a node's current report.
+    fn report(&self, state: &State, node: usize) -> VoteReport {
+        let known = state.log.verdicts().in_force();
         let mut ballots = Vec::new();
         for (server, name) in SERVERS.iter().enumerate() {
-            let born_ms = f64::from(state.born[server]);
+            let born_ms = f64::from(state.incarnations[server]);
             let verdict =
-                told.verdicts.iter().find(|verdict| verdict.server == *name && verdict.born_ms == born_ms);
+                known.verdicts.iter().find(|verdict| verdict.server == *name && verdict.born_ms == born_ms);
             let sends = verdict.is_none_or(|verdict| verdict.probers.contains(&format!("n{node}")));
-            let lies = self.liar(node);
-            let attempts = if lies { 1000 } else { 3 };
-            let fails = if lies { server == 0 } else { state.failing[server] };
-            let stand = if fails { Vote::For } else { Vote::Against };
-            let asked = state.nodes[node].asked.iter().any(|asked| asked == name);
-            if (lies || sends) && (stand == Vote::For || asked) {
+            let is_faulty = self.is_faulty(node);
+            let attempts = if is_faulty { 1000 } else { 3 };
+            let fails = if is_faulty { server == 0 } else { state.failing[server] };
+            let vote = if fails { Vote::For } else { Vote::Against };
+            let is_queried = state.nodes[node].queried.iter().any(|queried| queried == name);
+            if (is_faulty || sends) && (vote == Vote::For || is_queried) {
                 let errors = if fails { attempts } else { 0 };
                 let evidence = Evidence { attempts, errors, ..Evidence::default() };
                 ballots.push(Ballot {
                     server: (*name).to_owned(),
                     born_ms,
                     zone: "z".to_owned(),
-                    vote: stand,
+                    vote,
                     evidence,
                 });
             }
         }
         let zone = self.zones.then(|| ["x", "y"][node % 2].to_owned());
-        let up = vec![("z".to_owned(), if self.liar(node) { 1000 } else { UP })];
-        VoteReport { zone, up_servers: up, abstains: false, ballots }
+        let up_servers = vec![("z".to_owned(), if self.is_faulty(node) { 1000 } else { UP_SERVERS })];
+        VoteReport { zone, up_servers, abstains: false, ballots }
     }
 
-    fn feed(&self, state: &mut State, inputs: Vec<Input>) {
+    /// Lets the tally handle inputs, and queues its commands.
+    fn handle(&self, state: &mut State, inputs: Vec<Input>) {
         let now = Self::now(state);
-        let seen;
-        let view = match self.mutant {
+        let modified;
+        let visible_log = match self.mutant {
             Mutant::LongTerm => {
                 let log = String::from_utf8(state.log.snapshot()).expect("JSON");
                 let log = log.replace("\"Term\":200.0", "\"Term\":1000.0");
-                seen = FleetState::restore(log.as_bytes()).expect("a snapshot");
-                &seen
+                modified = FleetState::restore(log.as_bytes()).expect("a snapshot");
+                &modified
             }
             _ => &state.log,
         };
-        for command in state.tally.handle_all(now, inputs, view) {
-            self.decided(state, &command);
+        for command in state.tally.handle_all(now, inputs, visible_log) {
+            self.check_decision(state, &command);
             state.writes.push(command);
         }
     }
 
-    /// A command was decided on: it must follow from what is true and stands.
-    fn decided(&self, state: &mut State, command: &VerdictCommand) {
+    /// Checks a decision: it must be justified by the servers' real state and by valid ballots.
+    fn check_decision(&self, state: &mut State, command: &VerdictCommand) {
         let now = Self::now(state);
-        let VerdictCommand::Remove { server, vote_result: case, .. } = command else { return };
-        let place = SERVERS.iter().position(|name| name == server).expect("one of them");
-        let honest = 0..self.nodes - self.liars;
-        if place == 0 {
-            // Whoever stands has evidence that it is good, and so may whoever this leader does not know yet.
-            let stands = |node: &usize| {
-                now < state.began + BALLOT
-                    || state.nodes[*node].stands.is_some_and(|echo| now < echo + BALLOT)
+        let VerdictCommand::Remove { server, vote_result, .. } = command else { return };
+        let index = SERVERS.iter().position(|name| name == server).expect("a known server");
+        let honest = 0..self.nodes - self.faulty_voters;
+        if index == 0 {
+            // Every valid voter has evidence that it is good, and so may those that this leader does not know yet.
+            let is_valid = |node: &usize| {
+                now < state.term_started_at + BALLOT_TTL_MS
+                    || state.nodes[*node].echoed_time.is_some_and(|time| now < time + BALLOT_TTL_MS)
             };
-            let against = honest.clone().filter(stands).count();
-            let part = self.liars as f64 / (self.liars + against) as f64;
-            if self.liars < self.voters as usize || part < VoteSettings::default().majority {
-                state.bad = Some("a good server is removed");
+            let against = honest.clone().filter(is_valid).count();
+            let faulty_share = self.faulty_voters as f64 / (self.faulty_voters + against) as f64;
+            if self.faulty_voters < self.min_voters as usize
+                || faulty_share < VoteSettings::default().majority
+            {
+                state.violation = Some("a good server is removed");
             }
         }
-        let late = |node: &usize| {
-            let of = |said: u8| TICK * Millis::from(state.tick - said) < BALLOT;
-            case.in_favor.voter_names.contains(&format!("n{node}"))
-                && !state.nodes[*node].said[place].is_some_and(of)
+        let has_expired = |node: &usize| {
+            let is_valid = |voted_at: u8| TICK_MS * Millis::from(state.tick - voted_at) < BALLOT_TTL_MS;
+            vote_result.in_favor.voter_names.contains(&format!("n{node}"))
+                && !state.nodes[*node].voted_at[index].is_some_and(is_valid)
         };
-        if honest.clone().any(|node| late(&node)) {
-            state.bad = Some("a removal counts a ballot that has lapsed");
+        if honest.clone().any(|node| has_expired(&node)) {
+            state.violation = Some("a removal counts an expired ballot");
         }
     }
 
-    /// A command is committed.
+    /// Commits a command.
     fn commit(&self, state: &mut State, mut command: VerdictCommand) -> Outcome {
-        if let (VerdictCommand::Remove { up_servers: up, .. }, Mutant::NoCap) = (&mut command, self.mutant) {
-            *up = 1000;
+        if let (VerdictCommand::Remove { up_servers, .. }, Mutant::NoCap) = (&mut command, self.mutant) {
+            *up_servers = 1000;
         }
         let outcome = state.log.apply(state.log.version() + 1, &Command::Verdict(command.clone()));
-        if state.log.verdicts().removed_count("z") > max_removed(VoteSettings::default().removal_cap, UP) {
-            state.bad = Some("more servers are removed than the cap allows");
+        if state.log.verdicts().removed_count("z")
+            > max_removed(VoteSettings::default().removal_cap, UP_SERVERS)
+        {
+            state.violation = Some("more servers are removed than the cap allows");
         }
-        state.returned |= matches!(command, VerdictCommand::Return { .. }) && outcome == Outcome::Done;
+        state.has_returned |= matches!(command, VerdictCommand::Return { .. }) && outcome == Outcome::Done;
         let now = Self::now(state);
         for (server, changed) in state.changed.iter_mut().enumerate() {
-            let at = state.log.verdicts().get(SERVERS[server]).map(|entry| entry.changed_at);
-            if at != changed.map(|(at, _)| at) {
-                *changed = at.map(|at| (at, now));
+            let version = state.log.verdicts().get(SERVERS[server]).map(|entry| entry.changed_at);
+            if version != changed.map(|(version, _)| version) {
+                *changed = version.map(|version| (version, now));
             }
         }
         outcome
     }
 
-    /// No verdict has lasted beyond its term, or beyond its probing, without a vote or a write on its way.
-    fn terms(&self, state: &mut State) {
+    /// Checks that no verdict outlasts its term or its probing without a vote or a write in flight.
+    fn check_terms(&self, state: &mut State) {
         let now = Self::now(state);
         for (server, changed) in state.changed.iter().enumerate() {
             let Some((_, since)) = changed else { continue };
             let entry = state.log.verdicts().get(SERVERS[server]).expect("it has changed");
-            let span = match entry.probers.is_empty() {
-                true => TERM * Millis::from(1 << entry.term_index.min(3)),
-                false => WINDOW + BALLOT,
+            let duration = match entry.probers.is_empty() {
+                true => VERDICT_TERM_MS * Millis::from(1 << entry.term_index.min(3)),
+                false => EVIDENCE_WINDOW_MS + BALLOT_TTL_MS,
             };
-            // A leader may take the time of a ballot to know its voters; a failed write is tried again later.
-            let due = (since + span).max(state.began + BALLOT).max(state.failed + BALLOT) + 2.0 * TICK;
-            let on_its_way = state.writes.iter().any(|command| command.server() == SERVERS[server]);
-            if now > due && !on_its_way {
-                state.bad = Some("a verdict has outlived its term without a vote");
+            // A new leader learns its voters within a ballot's lifetime; a failed write is retried later.
+            let due = (since + duration)
+                .max(state.term_started_at + BALLOT_TTL_MS)
+                .max(state.write_failed_at + BALLOT_TTL_MS)
+                + 2.0 * TICK_MS;
+            let is_in_flight = state.writes.iter().any(|command| command.server() == SERVERS[server]);
+            if now > due && !is_in_flight {
+                state.violation = Some("a verdict has outlasted its term without a vote");
             }
         }
     }
@@ -325,124 +372,128 @@
         match action {
             Action::Tick => {
                 state.tick += 1;
-                self.feed(state, vec![Input::Tick]);
-                self.terms(state);
+                self.handle(state, vec![Input::Tick]);
+                self.check_terms(state);
             }
-            Action::Beat(node) => {
+            Action::SendAndDeliver(node) => {
                 self.act(state, Action::Send(node));
-                let newest = state.flights.iter().rposition(|flight| flight.node == node);
-                return self.act(state, Action::Come(newest.expect("it was just sent"), true, false));
+                let newest = state.in_flight.iter().rposition(|message| message.node == node);
+                return self.act(state, Action::Deliver(newest.expect("it was just sent"), true, false));
             }
             Action::Send(node) => {
-                let votes = self.votes(state, node);
+                let report = self.report(state, node);
                 let other = &mut state.nodes[node];
-                other.sent = Some(state.tick);
-                for ballot in votes.ballots.iter().filter(|ballot| ballot.vote == Vote::For) {
-                    let place = SERVERS.iter().position(|name| *name == ballot.server).expect("one of them");
-                    other.said[place] = Some(state.tick);
+                other.sent_at = Some(state.tick);
+                for ballot in report.ballots.iter().filter(|ballot| ballot.vote == Vote::For) {
+                    let index =
+                        SERVERS.iter().position(|name| *name == ballot.server).expect("a known server");
+                    other.voted_at[index] = Some(state.tick);
                 }
-                let (sent, echo) = (state.tick, other.echo);
-                state.flights.push(Flight { node, sent, echo, votes });
-                if state.flights.iter().filter(|flight| flight.node == node).count() > self.late.max(1) {
-                    let oldest = state.flights.iter().position(|flight| flight.node == node);
-                    state.flights.remove(oldest.expect("there are some"));
+                let (sent_at, stamp) = (state.tick, other.stamp);
+                state.in_flight.push(InFlight { node, sent_at, stamp, report });
+                let is_own = |message: &InFlight| message.node == node;
+                if state.in_flight.iter().filter(|message| is_own(message)).count()
+                    > self.max_in_flight.max(1)
+                {
+                    let oldest = state.in_flight.iter().position(is_own);
+                    state.in_flight.remove(oldest.expect("one was just sent"));
                 }
             }
-            Action::Come(place, answered, again) => {
+            Action::Deliver(index, reply_arrives, duplicated) => {
                 let now = Self::now(state);
-                let flight = state.flights[place].clone();
-                if again {
-                    state.repeats += 1;
+                let message = state.in_flight[index].clone();
+                if duplicated {
+                    state.duplicates += 1;
                 } else {
-                    state.flights.remove(place);
+                    state.in_flight.remove(index);
                 }
-                let mut echo = flight.echo.map(|(term, at)| Stamp { term, time: at });
-                if self.mutant == Mutant::FromComing {
-                    echo = Some(Stamp { term: state.term, time: now });
+                let mut echoed_stamp = message.stamp.map(|(term, time)| Stamp { term, time });
+                if self.mutant == Mutant::BallotFromArrival {
+                    echoed_stamp = Some(Stamp { term: state.term, time: now });
                 }
-                let process = process(flight.node);
-                self.feed(
-                    state,
-                    vec![Input::Heartbeat { process, echoed_stamp: echo, report: Some(flight.votes) }],
-                );
-                let asked = match self.mutant {
-                    Mutant::Unasked => Vec::new(),
+                let process = process(message.node);
+                let report = Some(message.report);
+                self.handle(state, vec![Input::Heartbeat { process, echoed_stamp, report }]);
+                let queried = match self.mutant {
+                    Mutant::NoQueries => Vec::new(),
                     _ => state.tally.queried_servers().to_vec(),
                 };
-                let node = &mut state.nodes[flight.node];
-                let echo = flight.echo.filter(|(term, _)| *term == state.term).map(|(_, at)| at);
-                node.stands = if echo > node.stands { echo } else { node.stands };
-                if answered {
-                    (node.echo, node.asked) = (Some((state.term, now)), asked);
+                let node = &mut state.nodes[message.node];
+                let echoed_time = message.stamp.filter(|(term, _)| *term == state.term).map(|(_, time)| time);
+                node.echoed_time =
+                    if echoed_time > node.echoed_time { echoed_time } else { node.echoed_time };
+                if reply_arrives {
+                    (node.stamp, node.queried) = (Some((state.term, now)), queried);
                 } else {
-                    state.lost += 1;
+                    state.lost_replies += 1;
                 }
             }
-            Action::Fails(server) => state.failing[server] = true,
+            Action::StartFailing(server) => state.failing[server] = true,
             Action::Restart(server) => {
                 state.restarts += 1;
                 state.failing[server] = false;
-                state.born[server] += 1;
+                state.incarnations[server] += 1;
             }
             Action::Write => {
                 let command = state.writes.remove(0);
                 let outcome = Some(self.commit(state, command.clone()));
                 if outcome != Some(Outcome::Done) {
-                    state.failed = Self::now(state);
+                    state.write_failed_at = Self::now(state);
                 }
-                self.feed(state, vec![Input::WriteResult { command, outcome }]);
+                self.handle(state, vec![Input::WriteResult { command, outcome }]);
             }
-            Action::Unknown => {
-                state.unknown += 1;
-                state.failed = Self::now(state);
+            Action::LoseOutcome => {
+                state.unknown_count += 1;
+                state.write_failed_at = Self::now(state);
                 let command = state.writes.remove(0);
-                state.maybe.push(command.clone());
-                self.feed(state, vec![Input::WriteResult { command, outcome: None }]);
+                state.unknown_writes.push(command.clone());
+                self.handle(state, vec![Input::WriteResult { command, outcome: None }]);
             }
-            Action::Late => {
-                let command = state.maybe.remove(0);
+            Action::ApplyUnknown => {
+                let command = state.unknown_writes.remove(0);
                 self.commit(state, command);
-                self.feed(state, vec![Input::Applied]);
+                self.handle(state, vec![Input::Applied]);
             }
-            Action::Depose(carried) => {
-                if let Some(command) = state.writes.first().filter(|_| carried).cloned() {
+            Action::Depose(write_committed) => {
+                if let Some(command) = state.writes.first().filter(|_| write_committed).cloned() {
                     self.commit(state, command);
                 }
                 state.writes.clear();
-                state.maybe.clear();
+                state.unknown_writes.clear();
                 state.term += 1;
-                state.began = Self::now(state);
-                state.tally = Tally::new(state.term, state.began);
-                state.changed.iter_mut().flatten().for_each(|(_, since)| *since = state.began);
-                state.nodes.iter_mut().for_each(|node| node.stands = None);
-                self.feed(state, vec![Input::Applied]);
+                state.term_started_at = Self::now(state);
+                state.tally = Tally::new(state.term, state.term_started_at);
+                state.changed.iter_mut().flatten().for_each(|(_, since)| *since = state.term_started_at);
+                state.nodes.iter_mut().for_each(|node| node.echoed_time = None);
+                self.handle(state, vec![Input::Applied]);
             }
         }
-        state.flights.sort_by_key(|flight| (flight.node, flight.sent));
+        state.in_flight.sort_by_key(|message| (message.node, message.sent_at));
     }
 
-    fn possible(&self, state: &State, actions: &mut Vec<Action>) {
+    /// Collects the actions that are possible next.
+    fn possible_actions(&self, state: &State, actions: &mut Vec<Action>) {
         if state.tick < self.ticks {
             actions.push(Action::Tick);
         }
-        for node in (0..self.nodes).filter(|&node| state.nodes[node].sent != Some(state.tick)) {
-            actions.push(Action::Beat(node));
-            if self.late > 0 {
+        for node in (0..self.nodes).filter(|&node| state.nodes[node].sent_at != Some(state.tick)) {
+            actions.push(Action::SendAndDeliver(node));
+            if self.max_in_flight > 0 {
                 actions.push(Action::Send(node));
             }
         }
-        for place in 0..state.flights.len() {
-            actions.push(Action::Come(place, true, false));
-            if state.lost < self.lost {
-                actions.push(Action::Come(place, false, false));
+        for index in 0..state.in_flight.len() {
+            actions.push(Action::Deliver(index, true, false));
+            if state.lost_replies < self.lost_replies {
+                actions.push(Action::Deliver(index, false, false));
             }
-            if state.repeats < self.repeats {
-                actions.push(Action::Come(place, true, true));
+            if state.duplicates < self.duplicates {
+                actions.push(Action::Deliver(index, true, true));
             }
         }
-        for server in 1..=self.fails {
-            if !state.failing[server] && state.born[server] == 0 {
-                actions.push(Action::Fails(server));
+        for server in 1..=self.failing_servers {
+            if !state.failing[server] && state.incarnations[server] == 0 {
+                actions.push(Action::StartFailing(server));
             }
             if state.failing[server] && state.restarts < self.restarts {
                 actions.push(Action::Restart(server));
@@ -450,12 +501,12 @@
         }
         if !state.writes.is_empty() {
             actions.push(Action::Write);
-            if state.unknown < self.unknown {
-                actions.push(Action::Unknown);
+            if state.unknown_count < self.unknown_writes {
+                actions.push(Action::LoseOutcome);
             }
         }
-        if !state.maybe.is_empty() {
-            actions.push(Action::Late);
+        if !state.unknown_writes.is_empty() {
+            actions.push(Action::ApplyUnknown);
         }
         if state.term <= u64::from(self.depositions) {
             actions.push(Action::Depose(false));
@@ -465,45 +516,45 @@
         }
     }
 
-    /// The first leader has just heard of all nodes.
-    fn start(&self) -> State {
+    /// Returns the initial state: the first leader has just received a heartbeat from every node.
+    fn initial_state(&self) -> State {
         let mut state = State {
             tick: 0,
-            log: agreement(self.nodes, self.voters),
+            log: fleet_state(self.nodes, self.min_voters),
             term: 1,
-            began: 10_000.0,
+            term_started_at: 10_000.0,
             tally: Tally::new(1, 10_000.0),
             writes: Vec::new(),
-            maybe: Vec::new(),
+            unknown_writes: Vec::new(),
             nodes: vec![Node::default(); self.nodes],
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             failing: [false; 3],
-            born: [0; 3],
+            incarnations: [0; 3],
             changed: [None; 3],
-            repeats: 0,
-            lost: 0,
-            unknown: 0,
+            duplicates: 0,
+            lost_replies: 0,
+            unknown_count: 0,
             restarts: 0,
-            failed: 0.0,
-            returned: false,
-            bad: None,
+            write_failed_at: 0.0,
+            has_returned: false,
+            violation: None,
         };
-        (0..self.nodes).for_each(|node| self.act(&mut state, Action::Beat(node)));
+        (0..self.nodes).for_each(|node| self.act(&mut state, Action::SendAndDeliver(node)));
         state
     }
 }
 
-impl Model for Small {
+impl Model for SmallWorld {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.start()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.bad.is_none() {
-            self.possible(state, actions);
+        if state.violation.is_none() {
+            self.possible_actions(state, actions);
         }
     }
 
@@ -515,97 +566,124 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the rules hold", |_, state: &State| state.bad.is_none()),
+            Property::always("the rules hold", |_, state: &State| state.violation.is_none()),
             Property::sometimes("a bad server is removed", |_, state: &State| state.changed[1].is_some()),
             Property::sometimes("it is probed", |_, state: &State| {
                 state.log.verdicts().entries().any(|(_, entry)| !entry.probers.is_empty())
             }),
-            Property::sometimes("it is back", |_, state: &State| state.returned),
+            Property::sometimes("it is back", |_, state: &State| state.has_returned),
         ]
     }
 }
 
-fn small() -> Small {
-    Small {
+fn small_world() -> SmallWorld {
+    SmallWorld {
         nodes: 3,
-        liars: 0,
-        voters: 2,
+        faulty_voters: 0,
+        min_voters: 2,
         zones: false,
         ticks: 6,
-        late: 0,
-        repeats: 0,
-        lost: 0,
+        max_in_flight: 0,
+        duplicates: 0,
+        lost_replies: 0,
         depositions: 0,
-        unknown: 0,
-        fails: 1,
+        unknown_writes: 0,
+        failing_servers: 1,
         restarts: 0,
         mutant: Mutant::None,
     }
 }
 
-/// Explores all of a world. What was found wrong, with the way there.
-fn explore(model: Small, outcomes: &[&'static str]) -> Option<String> {
-    let began = Instant::now();
-    let checker = model.checker().threads(THREADS).target_state_count(MOST).spawn_dfs().join();
+/// Explores a world completely. Returns a violation, with the actions that lead to it.
+fn explore(model: SmallWorld, outcomes: &[&'static str]) -> Option<String> {
+    let started = Instant::now();
+    let checker = model.checker().threads(THREADS).target_state_count(MAX_STATES).spawn_dfs().join();
     let states = checker.unique_state_count();
-    println!("{states} states, {:.1} s: {model:?}", began.elapsed().as_secs_f64());
-    let wrong = checker.discovery("the rules hold").map(|path| {
-        let bad = path.last_state().bad.expect("it is the counterexample");
-        format!("{bad}: {:?}", path.into_actions())
+    println!("{states} states, {:.1} s: {model:?}", started.elapsed().as_secs_f64());
+    let violation = checker.discovery("the rules hold").map(|path| {
+        let violation = path.last_state().violation.expect("the path is a counterexample");
+        format!("{violation}: {:?}", path.into_actions())
     });
-    if wrong.is_none() && model.mutant == Mutant::None {
-        assert!(states < MOST, "not all of it was explored");
+    if violation.is_none() && model.mutant == Mutant::None {
+        assert!(states < MAX_STATES, "the world was not explored completely");
         for outcome in outcomes {
-            assert!(checker.discovery(outcome).is_some(), "never in this world: {outcome}");
+            assert!(checker.discovery(outcome).is_some(), "never reached in this world: {outcome}");
         }
     }
-    wrong
+    violation
 }
 
 const REMOVED: &str = "a bad server is removed";
 const ALL: [&str; 3] = [REMOVED, "it is probed", "it is back"];
 
-/// One node, whose vote is enough.
-fn lone() -> Small {
-    Small { nodes: 1, voters: 1, ..small() }
+/// A world with one node, whose vote suffices.
+fn single_voter() -> SmallWorld {
+    SmallWorld { nodes: 1, min_voters: 1, ..small_world() }
 }
 
-/// As many liars as a removal needs, but they weigh less than it needs.
-fn lied_to() -> Small {
-    Small { nodes: 2, liars: 1, voters: 1, fails: 0, ..small() }
+/// A world with as many faulty voters as a removal needs, whose weight does not suffice.
+fn faulty_voter() -> SmallWorld {
+    SmallWorld { nodes: 2, faulty_voters: 1, min_voters: 1, failing_servers: 0, ..small_world() }
 }
 
 #[test]
-fn the_rules_hold_in_small_worlds() {
-    assert_eq!(explore(Small { ticks: 8, depositions: 1, ..lone() }, &ALL), None);
-    assert_eq!(explore(Small { ticks: 5, fails: 2, unknown: 1, ..lone() }, &ALL), None);
-    assert_eq!(explore(Small { ticks: 5, late: 1, lost: 1, repeats: 1, ..lone() }, &[REMOVED]), None);
-    assert_eq!(explore(Small { nodes: 2, ticks: 4, ..small() }, &[REMOVED]), None);
-    assert_eq!(explore(lied_to(), &[]), None);
-    assert_eq!(explore(Small { liars: 1, ticks: 3, zones: true, ..small() }, &[REMOVED]), None);
+fn no_rule_is_violated_in_small_worlds() {
+    assert_eq!(explore(SmallWorld { ticks: 8, depositions: 1, ..single_voter() }, &ALL), None);
+    assert_eq!(
+        explore(SmallWorld { ticks: 5, failing_servers: 2, unknown_writes: 1, ..single_voter() }, &ALL),
+        None
+    );
+    assert_eq!(
+        explore(
+            SmallWorld { ticks: 5, max_in_flight: 1, lost_replies: 1, duplicates: 1, ..single_voter() },
+            &[REMOVED]
+        ),
+        None
+    );
+    assert_eq!(explore(SmallWorld { nodes: 2, ticks: 4, ..small_world() }, &[REMOVED]), None);
+    assert_eq!(explore(faulty_voter(), &[]), None);
+    assert_eq!(
+        explore(SmallWorld { faulty_voters: 1, ticks: 3, zones: true, ..small_world() }, &[REMOVED]),
+        None
+    );
 }
 
 /// `cargo test --release -p control --test votes_model -- --ignored --nocapture`
 #[test]
 #[ignore = "takes minutes and an optimised build"]
-fn the_rules_hold_in_larger_worlds() {
-    assert_eq!(explore(Small { nodes: 2, ticks: 7, depositions: 1, ..small() }, &ALL), None);
-    assert_eq!(explore(Small { nodes: 2, ticks: 6, restarts: 1, ..small() }, &ALL), None);
-    assert_eq!(explore(Small { nodes: 2, ticks: 5, fails: 2, unknown: 1, ..small() }, &ALL), None);
-    assert_eq!(explore(Small { liars: 1, ticks: 3, late: 1, ..small() }, &[REMOVED]), None);
-    assert_eq!(explore(Small { nodes: 4, ticks: 3, zones: true, ..small() }, &[REMOVED]), None);
-    assert_eq!(explore(Small { nodes: 3, ..lied_to() }, &[]), None);
-    assert_eq!(explore(Small { depositions: 1, ..lied_to() }, &[]), None);
-    assert_eq!(explore(Small { late: 1, ticks: 5, ..lied_to() }, &[]), None);
+fn no_rule_is_violated_in_larger_worlds() {
+    assert_eq!(explore(SmallWorld { nodes: 2, ticks: 7, depositions: 1, ..small_world() }, &ALL), None);
+    assert_eq!(explore(SmallWorld { nodes: 2, ticks: 6, restarts: 1, ..small_world() }, &ALL), None);
+    assert_eq!(
+        explore(
+            SmallWorld { nodes: 2, ticks: 5, failing_servers: 2, unknown_writes: 1, ..small_world() },
+            &ALL
+        ),
+        None
+    );
+    assert_eq!(
+        explore(SmallWorld { faulty_voters: 1, ticks: 3, max_in_flight: 1, ..small_world() }, &[REMOVED]),
+        None
+    );
+    assert_eq!(explore(SmallWorld { nodes: 4, ticks: 3, zones: true, ..small_world() }, &[REMOVED]), None);
+    assert_eq!(explore(SmallWorld { nodes: 3, ..faulty_voter() }, &[]), None);
+    assert_eq!(explore(SmallWorld { depositions: 1, ..faulty_voter() }, &[]), None);
+    assert_eq!(explore(SmallWorld { max_in_flight: 1, ticks: 5, ..faulty_voter() }, &[]), None);
 }
 
 #[test]
-fn wrong_programs_are_found() {
+fn deliberate_defects_are_found() {
     for world in [
-        Small { mutant: Mutant::NoCap, ticks: 5, fails: 2, unknown: 1, ..lone() },
-        Small { mutant: Mutant::FromComing, ticks: 4, late: 1, ..lone() },
-        Small { mutant: Mutant::LongTerm, ticks: 7, ..lone() },
-        Small { mutant: Mutant::Unasked, ..lied_to() },
+        SmallWorld {
+            mutant: Mutant::NoCap,
+            ticks: 5,
+            failing_servers: 2,
+            unknown_writes: 1,
+            ..single_voter()
+        },
+        SmallWorld { mutant: Mutant::BallotFromArrival, ticks: 4, max_in_flight: 1, ..single_voter() },
+        SmallWorld { mutant: Mutant::LongTerm, ticks: 7, ..single_voter() },
+        SmallWorld { mutant: Mutant::NoQueries, ..faulty_voter() },
     ] {
         let found = explore(world, &[]);
         println!("{:?}: {found:?}", world.mutant);
@@ -616,35 +694,35 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
-    /// Worlds too large to go through all of them: one way through each.
+    /// One random path through each world, because these are too large to explore completely.
     #[test]
-    fn the_rules_hold_on_some_ways_through_large_worlds(
+    fn no_rule_is_violated_on_random_paths_through_large_worlds(
         zones in any::<bool>(),
-        liars in 0..2_usize,
+        faulty_voters in 0..2_usize,
         choices in proptest::collection::vec((any::<prop::sample::Index>(), any::<bool>()), 200),
     ) {
-        let (nodes, ticks, late, repeats, lost) = (6, 40, 2, 4, 8);
-        let (depositions, unknown, fails, restarts) = (2, 3, 2, 3);
-        let world = Small {
-            nodes, liars, voters: 2, zones, ticks, late, repeats, lost, depositions, unknown, fails, restarts,
-            mutant: Mutant::None,
+        let (nodes, ticks, max_in_flight, duplicates, lost_replies) = (6, 40, 2, 4, 8);
+        let (depositions, unknown_writes, failing_servers, restarts) = (2, 3, 2, 3);
+        let world = SmallWorld {
+            nodes, faulty_voters, min_voters: 2, zones, ticks, max_in_flight, duplicates, lost_replies, depositions,
+            unknown_writes, failing_servers, restarts, mutant: Mutant::None,
         };
-        let (mut state, mut way) = (world.start(), Vec::new());
-        for (choice, beats) in choices {
+        let (mut state, mut path) = (world.initial_state(), Vec::new());
+        for (choice, prefer_deliveries) in choices {
             let mut actions = Vec::new();
-            world.possible(&state, &mut actions);
-            // Most of what happens is a beat that comes.
-            let calm = |action: &Action| matches!(action, Action::Beat(_) | Action::Write | Action::Tick);
-            if beats && actions.iter().any(calm) {
-                actions.retain(calm);
+            world.possible_actions(&state, &mut actions);
+            // Most heartbeats arrive immediately.
+            let is_regular = |action: &Action| matches!(action, Action::SendAndDeliver(_) | Action::Write | Action::Tick);
+            if prefer_deliveries && actions.iter().any(is_regular) {
+                actions.retain(is_regular);
             }
             if actions.is_empty() {
                 break;
             }
             let action = actions[choice.index(actions.len())];
-            way.push(action);
+            path.push(action);
             world.act(&mut state, action);
-            prop_assert_eq!(state.bad, None, "{:?}", way);
+            prop_assert_eq!(state.violation, None, "{:?}", path);
         }
     }
 }
