--- a/crates/control/examples/fleet/sim.rs
+++ b/crates/control/examples/fleet/sim.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: the real cores, with links, disks and elections drawn from a seed.
+//! A simulated fleet in virtual time: the real state machines, with links, disks and elections drawn from a seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -14,81 +14,82 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-/// A beat that got no answer is given up after this.
-const GIVE_UP_MS: Millis = 500.0;
-/// From one proposal to the next.
-const APART_MS: Millis = 6000.0;
+/// The timeout of a heartbeat without a reply.
+const HEARTBEAT_TIMEOUT_MS: Millis = 500.0;
+/// The interval between proposals.
+const PROPOSAL_INTERVAL_MS: Millis = 6000.0;
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// How many nodes.
+    /// The number of nodes.
     pub nodes: usize,
-    /// How many changes are proposed, one after the other.
+    /// The number of changes, which are proposed one after the other.
     pub changes: usize,
-    /// How many classes each policy names, at some 32 bytes.
+    /// The number of classes in each policy, of some 32 bytes each.
     pub classes: usize,
     /// The leader dies shortly after each proposal.
-    pub losses: bool,
+    pub leader_dies: bool,
     pub seed: u64,
 }
 
-/// What came of it; times in milliseconds of the world.
+/// The results of a simulation; times in milliseconds of virtual time.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// From a proposal to its commit, and to being active at the last node; sorted.
-    pub commit: Vec<Millis>,
-    pub everywhere: Vec<Millis>,
-    /// From the first request that may be taken under a new epoch to the last one under the old; sorted.
-    pub mixed: Vec<Millis>,
-    /// Messages of all kinds and their bytes, from a proposal to the change being active everywhere; sum.
+    /// From a proposal to its commit, sorted.
+    pub commit_ms: Vec<Millis>,
+    /// From a proposal to its activation on the last node, sorted.
+    pub active_everywhere_ms: Vec<Millis>,
+    /// From the first possible admission under a new epoch to the last one under the old epoch, sorted.
+    pub mixed_ms: Vec<Millis>,
+    /// The total number of messages, and their bytes, from each proposal to its activation on the last node.
     pub messages: u64,
     pub bytes: u64,
-    /// The same, in the last second, at rest under the last policy.
+    /// The same in the last second, while no change is pending.
     pub idle_messages: f64,
     pub idle_bytes: f64,
-    pub aborted: usize,
+    pub aborted_count: usize,
 }
 
-/// The longest that two policies may be in service at once.
-pub fn bound() -> Millis {
+/// Returns the maximum time that two policies may be in service at once.
+pub fn max_mixed_ms() -> Millis {
     LeaderSettings::default().promise_ms * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
 }
 
-/// A quantile of sorted figures.
-pub fn quantile(sorted: &[Millis], part: f64) -> Millis {
+/// Returns a quantile of sorted values.
+pub fn quantile(sorted: &[Millis], fraction: f64) -> Millis {
     sorted
-        .get(((sorted.len() as f64 * part) as usize).min(sorted.len().saturating_sub(1)))
+        .get(((sorted.len() as f64 * fraction) as usize).min(sorted.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0.0)
 }
 
 enum Event {
-    Beat(usize),
-    BeatComes { node: usize, token: u64, beat: Heartbeat },
-    NoAnswer { node: usize, token: u64 },
-    AnswerComes { node: usize, token: u64, answer: Box<HeartbeatReply> },
-    NewsComes { node: usize, agreed: Box<AgreedState> },
+    SendHeartbeat(usize),
+    HeartbeatArrives { node: usize, token: u64, heartbeat: Heartbeat },
+    HeartbeatFails { node: usize, token: u64 },
+    ReplyArrives { node: usize, token: u64, reply: Box<HeartbeatReply> },
+    WatchEventArrives { node: usize, agreed: Box<AgreedState> },
     Checked { node: usize, change: ChangeId },
-    Confirmed { term: u64, asked: Millis },
+    Confirmed { term: u64, requested_at: Millis },
     Written { term: u64, command: Command },
     Tick { term: u64 },
     Propose,
-    Lost,
-    Elected,
+    LeaderDies,
+    LeaderElected,
 }
 
 struct Node {
     member: Member,
-    offset: Millis,
-    rate: f64,
-    /// The beat that is out, and its sending by the node's clock.
-    out: Option<(u64, Millis)>,
+    clock_offset: Millis,
+    clock_rate: f64,
+    /// The token of the heartbeat in flight, and when it was sent by the node's clock.
+    pending: Option<(u64, Millis)>,
 }
 
 impl Node {
     fn clock(&self, now: Millis) -> Millis {
-        self.offset + self.rate * now
+        self.clock_offset + self.clock_rate * now
     }
 
     fn admits(&self, now: Millis) -> bool {
@@ -96,41 +97,46 @@
     }
 }
 
-/// A change on its way.
-struct Watched {
-    proposed: Millis,
+/// The change that is being measured.
+struct MeasuredChange {
+    proposed_at: Millis,
     epoch: Epoch,
-    missing: usize,
-    first: Option<Millis>,
-    last_old: Millis,
+    /// The number of nodes on which it is not yet active.
+    missing_nodes: usize,
+    first_new_at: Option<Millis>,
+    last_old_at: Millis,
 }
 
 struct Fleet {
     plan: Plan,
-    draw: Pcg64Mcg,
+    rng: Pcg64Mcg,
     now: Millis,
-    order: u64,
+    last_event_id: u64,
+    /// The due times of events, in microseconds, and their IDs.
     due: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     nodes: Vec<Node>,
-    tokens: u64,
+    last_token: u64,
+    /// The senders of the heartbeats at the leader, by token.
     waiting: BTreeMap<u64, usize>,
     log: FleetState,
-    /// Elections so far; the leader of this term, unless it is lost.
+    /// The number of elections so far.
     term: u64,
+    /// The leader of this term, unless it has died.
     leader: Option<Leader>,
-    /// When the last write was on a majority's disks.
-    synced: Millis,
-    watched: Option<Watched>,
+    /// When the last write is on the disks of a majority.
+    synced_at: Millis,
+    measured: Option<MeasuredChange>,
+    /// Messages and bytes since the last proposal.
     traffic: (u64, u64),
     report: Report,
 }
 
-/// Runs a plan to its end.
+/// Runs a simulation.
 pub fn run(plan: Plan) -> Report {
-    let mut draw = Pcg64Mcg::seed_from_u64(plan.seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
     let nodes = (0..plan.nodes).map(|node| {
-        let process = Process { name: format!("node-{node}"), boot: draw.random() };
+        let process = Process { name: format!("node-{node}"), boot: rng.random() };
         let liveness_addr = "127.0.0.1:9".parse().expect("an address");
         let config = MemberConfig {
             process,
@@ -138,186 +144,193 @@
             coexists_with_previous: false,
             start_mode: StartMode::Wait,
         };
-        let (offset, rate) = (draw.random_range(0.0..1e6), draw.random_range(0.9955..1.0045));
-        Node { member: Member::new(config, None, offset), offset, rate, out: None }
+        let (clock_offset, clock_rate) = (rng.random_range(0.0..1e6), rng.random_range(0.9955..1.0045));
+        Node { member: Member::new(config, None, clock_offset), clock_offset, clock_rate, pending: None }
     });
     let nodes = nodes.collect();
     let mut fleet = Fleet {
         plan,
-        draw,
+        rng,
         now: 0.0,
-        order: 0,
+        last_event_id: 0,
         due: BinaryHeap::new(),
         events: BTreeMap::new(),
         nodes,
-        tokens: 0,
+        last_token: 0,
         waiting: BTreeMap::new(),
         log: FleetState::new(),
         term: 0,
         leader: None,
-        synced: 0.0,
-        watched: None,
+        synced_at: 0.0,
+        measured: None,
         traffic: (0, 0),
         report: Report::default(),
     };
-    fleet.after(0.0, Event::Elected);
+    fleet.after(0.0, Event::LeaderElected);
     for node in 0..plan.nodes {
-        let at = fleet.draw.random_range(0.0..1000.0);
-        fleet.after(at, Event::Beat(node));
+        let delay = fleet.rng.random_range(0.0..1000.0);
+        fleet.after(delay, Event::SendHeartbeat(node));
     }
     for change in 0..plan.changes {
-        fleet.after(10_000.0 + APART_MS * change as Millis, Event::Propose);
+        fleet.after(10_000.0 + PROPOSAL_INTERVAL_MS * change as Millis, Event::Propose);
     }
-    fleet.run(10_000.0 + APART_MS * plan.changes as Millis);
+    fleet.run(10_000.0 + PROPOSAL_INTERVAL_MS * plan.changes as Millis);
     let report = &mut fleet.report;
-    for figures in [&mut report.commit, &mut report.everywhere, &mut report.mixed] {
-        figures.sort_by(f64::total_cmp);
+    for values in [&mut report.commit_ms, &mut report.active_everywhere_ms, &mut report.mixed_ms] {
+        values.sort_by(f64::total_cmp);
     }
     fleet.report
 }
 
 impl Fleet {
     fn run(&mut self, end: Millis) {
-        let mut rested = None;
-        while let Some(Reverse((at, order))) = self.due.pop() {
-            self.now = at as Millis / 1000.0;
+        let mut idle_start = None;
+        while let Some(Reverse((due_us, id))) = self.due.pop() {
+            self.now = due_us as Millis / 1000.0;
             if self.now > end {
                 break;
             }
-            if self.now > end - 1000.0 && rested.is_none() {
-                rested = Some(self.traffic);
+            if self.now > end - 1000.0 && idle_start.is_none() {
+                idle_start = Some(self.traffic);
             }
-            let event = self.events.remove(&order).expect("each that is due is kept");
-            self.event(event);
+            let event = self.events.remove(&id).expect("each due event exists");
+            self.handle(event);
         }
-        let (messages, bytes) = rested.unwrap_or_default();
+        let (messages, bytes) = idle_start.unwrap_or_default();
         self.report.idle_messages = (self.traffic.0 - messages) as f64;
         self.report.idle_bytes = (self.traffic.1 - bytes) as f64;
     }
 
     fn after(&mut self, delay: Millis, event: Event) {
-        self.order += 1;
-        self.due.push(Reverse((((self.now + delay) * 1000.0).round() as u64, self.order)));
-        self.events.insert(self.order, event);
+        self.last_event_id += 1;
+        self.due.push(Reverse((((self.now + delay) * 1000.0).round() as u64, self.last_event_id)));
+        self.events.insert(self.last_event_id, event);
     }
 
-    /// One way over a link: a lost packet is sent again 200 ms later.
-    fn link(&mut self) -> Millis {
-        let again = if self.draw.random_bool(0.01) { 200.0 } else { 0.0 };
-        again + self.draw.random_range(1.0..20.0)
+    /// Draws the one-way delay of a link; a lost packet is retransmitted 200 ms later.
+    fn link_delay(&mut self) -> Millis {
+        let retransmission = if self.rng.random_bool(0.01) { 200.0 } else { 0.0 };
+        retransmission + self.rng.random_range(1.0..20.0)
     }
 
-    fn count(&mut self, message: &impl serde::Serialize) {
+    fn count_message(&mut self, message: &impl serde::Serialize) {
         let bytes = serde_json::to_vec(message).expect("messages serialize").len();
         self.traffic.0 += 1;
         self.traffic.1 += bytes as u64;
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Beat(node) => {
+            Event::SendHeartbeat(node) => {
                 let clock = self.nodes[node].clock(self.now);
                 let other = &mut self.nodes[node];
-                if other.out.is_some() || clock + 0.001 < other.member.next_heartbeat_at() {
-                    return; // It was due earlier for another reason.
+                if other.pending.is_some() || clock + 0.001 < other.member.next_heartbeat_at() {
+                    return; // An earlier event has already sent it.
                 }
-                self.tokens += 1;
-                let token = self.tokens;
-                other.out = Some((token, clock));
-                let beat = other.member.heartbeat(clock);
-                self.count(&beat);
-                let link = self.link();
-                self.after(link, Event::BeatComes { node, token, beat });
-                self.after(GIVE_UP_MS, Event::NoAnswer { node, token });
+                self.last_token += 1;
+                let token = self.last_token;
+                other.pending = Some((token, clock));
+                let heartbeat = other.member.heartbeat(clock);
+                self.count_message(&heartbeat);
+                let delay = self.link_delay();
+                self.after(delay, Event::HeartbeatArrives { node, token, heartbeat });
+                self.after(HEARTBEAT_TIMEOUT_MS, Event::HeartbeatFails { node, token });
             }
-            Event::BeatComes { node, token, beat } => {
+            Event::HeartbeatArrives { node, token, heartbeat } => {
                 if self.leader.is_none() {
-                    let link = self.link();
-                    return self.after(link, Event::NoAnswer { node, token });
+                    let delay = self.link_delay();
+                    return self.after(delay, Event::HeartbeatFails { node, token });
                 }
                 self.waiting.insert(token, node);
-                self.lead(Input::Heartbeat { token, heartbeat: beat });
+                self.handle_input(Input::Heartbeat { token, heartbeat });
             }
-            Event::NoAnswer { node, token } => {
-                if self.nodes[node].out.is_some_and(|(out, _)| out == token) {
-                    self.nodes[node].out = None;
-                    self.next_beat(node);
+            Event::HeartbeatFails { node, token } => {
+                if self.nodes[node].pending.is_some_and(|(pending, _)| pending == token) {
+                    self.nodes[node].pending = None;
+                    self.schedule_heartbeat(node);
                 }
             }
-            Event::AnswerComes { node, token, answer } => {
+            Event::ReplyArrives { node, token, reply } => {
                 let now = self.now;
                 let other = &mut self.nodes[node];
-                let Some((_, sent)) = other.out.take_if(|(out, _)| *out == token) else { return };
+                let Some((_, sent_at)) = other.pending.take_if(|(pending, _)| *pending == token) else {
+                    return;
+                };
                 let (clock, before, admits) =
                     (other.clock(now), other.member.active_epoch(), other.admits(now));
-                let effects = other.member.on_reply(sent, *answer, clock);
-                self.told(node, effects, before, admits);
-                self.next_beat(node);
+                let effects = other.member.on_reply(sent_at, *reply, clock);
+                self.carry_out(node, effects, before, admits);
+                self.schedule_heartbeat(node);
             }
-            Event::NewsComes { node, agreed } => {
+            Event::WatchEventArrives { node, agreed } => {
                 let now = self.now;
                 let other = &mut self.nodes[node];
                 let (clock, before, admits) =
                     (other.clock(now), other.member.active_epoch(), other.admits(now));
                 let effects = other.member.on_agreed_state(*agreed, clock);
-                self.told(node, effects, before, admits);
+                self.carry_out(node, effects, before, admits);
             }
             Event::Checked { node, change } => {
                 let clock = self.nodes[node].clock(self.now);
                 self.nodes[node].member.on_check_result(change, Ok(()), clock);
-                self.next_beat(node);
+                self.schedule_heartbeat(node);
             }
-            Event::Confirmed { term, asked } if term == self.term => {
-                self.lead(Input::Confirmed { requested_at: asked })
+            Event::Confirmed { term, requested_at } if term == self.term => {
+                self.handle_input(Input::Confirmed { requested_at })
             }
             Event::Written { term, command } if term == self.term && self.leader.is_some() => {
                 let outcome = Some(self.apply(&command));
-                self.lead(Input::WriteResult { command, outcome });
+                self.handle_input(Input::WriteResult { command, outcome });
             }
-            Event::Tick { term } if term == self.term => self.lead(Input::Tick),
+            Event::Tick { term } if term == self.term => self.handle_input(Input::Tick),
             Event::Confirmed { .. } | Event::Written { .. } | Event::Tick { .. } => {}
             Event::Propose => self.propose(),
-            Event::Lost => {
+            Event::LeaderDies => {
                 self.leader = None;
-                let election = self.draw.random_range(300.0..900.0);
-                self.after(election, Event::Elected);
+                let election = self.rng.random_range(300.0..900.0);
+                self.after(election, Event::LeaderElected);
             }
-            Event::Elected => {
+            Event::LeaderElected => {
                 self.term += 1;
                 self.waiting.clear();
-                self.synced = self.now;
+                self.synced_at = self.now;
                 self.leader = Some(Leader::new(LeaderSettings::default(), self.term, self.now));
-                self.lead(Input::Applied);
+                self.handle_input(Input::Applied);
                 self.after(0.0, Event::Tick { term: self.term });
             }
         }
     }
 
-    fn next_beat(&mut self, node: usize) {
+    fn schedule_heartbeat(&mut self, node: usize) {
         let other = &self.nodes[node];
-        let delay = (other.member.next_heartbeat_at() - other.clock(self.now)).max(0.0) / other.rate;
-        self.after(delay + 0.001, Event::Beat(node));
+        let delay = (other.member.next_heartbeat_at() - other.clock(self.now)).max(0.0) / other.clock_rate;
+        self.after(delay + 0.001, Event::SendHeartbeat(node));
     }
 
     fn propose(&mut self) {
-        let fields =
+        let classes =
             (0..self.plan.classes).map(|class| format!("{{\"Name\":\"class-{class}\",\"Slo\":0.2}}"));
-        let policy = format!("{{\"Classes\":[{}]}}", fields.collect::<Vec<_>>().join(","));
+        let policy = format!("{{\"Classes\":[{}]}}", classes.collect::<Vec<_>>().join(","));
         let policy: Policy = serde_json::from_str(&policy).expect("JSON");
-        let base = self.log.policy_state().epoch();
+        let base_epoch = self.log.policy_state().epoch();
         self.traffic = (0, 0);
-        self.apply(&Command::Policy(PolicyCommand::Propose { base_epoch: base, policy }));
+        self.apply(&Command::Policy(PolicyCommand::Propose { base_epoch, policy }));
         let epoch = self.log.policy_state().highest_epoch();
-        let missing = self.plan.nodes;
-        self.watched = Some(Watched { proposed: self.now, epoch, missing, first: None, last_old: self.now });
-        self.lead(Input::Applied);
-        if self.plan.losses {
-            let at = self.draw.random_range(0.0..60.0);
-            self.after(at, Event::Lost);
+        self.measured = Some(MeasuredChange {
+            proposed_at: self.now,
+            epoch,
+            missing_nodes: self.plan.nodes,
+            first_new_at: None,
+            last_old_at: self.now,
+        });
+        self.handle_input(Input::Applied);
+        if self.plan.leader_dies {
+            let delay = self.rng.random_range(0.0..60.0);
+            self.after(delay, Event::LeaderDies);
         }
     }
 
-    /// A command is committed: replicas apply it, and their watchers hear.
+    /// Commits a command: replicas apply it and notify their watchers.
     fn apply(&mut self, command: &Command) -> control::command::Outcome {
         let before = (self.log.policy_state().epoch(), self.log.policy_state().pending_change().cloned());
         let outcome = self.log.apply(self.log.version() + 1, command);
@@ -326,80 +339,87 @@
             return outcome;
         }
         if agreed.epoch > before.0 {
-            let watched = self.watched.as_ref().expect("it was proposed");
-            self.report.commit.push(self.now - watched.proposed);
+            let measured = self.measured.as_ref().expect("a change was proposed");
+            self.report.commit_ms.push(self.now - measured.proposed_at);
         } else if agreed.change.is_none() {
-            self.report.aborted += 1;
-            self.watched = None;
+            self.report.aborted_count += 1;
+            self.measured = None;
         }
         for node in 0..self.nodes.len() {
-            self.count(&agreed);
-            let delay = self.draw.random_range(1.0..10.0) + self.link();
-            self.after(delay, Event::NewsComes { node, agreed: Box::new(agreed.clone()) });
+            self.count_message(&agreed);
+            let delay = self.rng.random_range(1.0..10.0) + self.link_delay();
+            self.after(delay, Event::WatchEventArrives { node, agreed: Box::new(agreed.clone()) });
         }
         outcome
     }
 
-    fn lead(&mut self, input: Input) {
+    /// Lets the leader handle an input, and carries out its effects.
+    fn handle_input(&mut self, input: Input) {
         let Some(leader) = &mut self.leader else { return };
-        let tick = input == Input::Tick;
+        let is_tick = input == Input::Tick;
         let effects = leader.handle(self.now, input, &self.log);
-        if let Some(next) = leader.next_tick_at().filter(|_| tick) {
+        if let Some(next) = leader.next_tick_at().filter(|_| is_tick) {
             let event = Event::Tick { term: self.term };
             self.after(next - self.now, event);
         }
-        let (term, asked) = (self.term, self.now);
+        let (term, requested_at) = (self.term, self.now);
         for effect in effects {
             match effect {
-                Effect::Reply { token, reply: answer } => {
-                    self.count(&answer);
-                    let node = self.waiting.remove(&token).expect("it was asked");
-                    let link = self.link();
-                    self.after(link, Event::AnswerComes { node, token, answer });
+                Effect::Reply { token, reply } => {
+                    self.count_message(&reply);
+                    let node = self.waiting.remove(&token).expect("the heartbeat is waiting");
+                    let delay = self.link_delay();
+                    self.after(delay, Event::ReplyArrives { node, token, reply });
                 }
                 Effect::Refuse { token, .. } => {
                     self.waiting.remove(&token);
                 }
                 Effect::Write(command) => {
-                    // Writes come to be synced in their order.
-                    let sync = self.draw.random_range(2.0..15.0);
-                    self.synced = self.synced.max(self.now + sync);
-                    self.after(self.synced - self.now, Event::Written { term, command });
+                    // Writes are synced in order.
+                    let sync = self.rng.random_range(2.0..15.0);
+                    self.synced_at = self.synced_at.max(self.now + sync);
+                    self.after(self.synced_at - self.now, Event::Written { term, command });
                 }
                 Effect::ConfirmLeadership => {
-                    let round = self.draw.random_range(1.0..6.0);
-                    self.after(round, Event::Confirmed { term, asked });
+                    let round_trip = self.rng.random_range(1.0..6.0);
+                    self.after(round_trip, Event::Confirmed { term, requested_at });
                 }
-                Effect::Probe { .. } => {} // All nodes live; a connection that is made says nothing.
+                Effect::Probe { .. } => {} // All nodes are alive, and a connection that is made proves nothing.
             }
         }
     }
 
-    fn told(&mut self, node: usize, effects: Vec<member::Effect>, before: Option<Epoch>, admitted: bool) {
+    /// Carries out a member's effects; `before` and `admits` are its epoch and whether it admitted requests before.
+    fn carry_out(&mut self, node: usize, effects: Vec<member::Effect>, before: Option<Epoch>, admits: bool) {
         for effect in effects {
             match effect {
                 member::Effect::Check(change) => {
-                    let check = self.draw.random_range(1.0..5.0);
+                    let check = self.rng.random_range(1.0..5.0);
                     self.after(check, Event::Checked { node, change: change.id });
                 }
-                member::Effect::Activate { epoch, .. } if before.is_some() => self.active(epoch, admitted),
-                member::Effect::SendHeartbeat => self.next_beat(node),
+                member::Effect::Activate { epoch, .. } if before.is_some() => {
+                    self.record_activation(epoch, admits)
+                }
+                member::Effect::SendHeartbeat => self.schedule_heartbeat(node),
                 _ => {}
             }
         }
     }
 
-    fn active(&mut self, epoch: Epoch, admitted: bool) {
+    fn record_activation(&mut self, epoch: Epoch, admitted: bool) {
         let now = self.now;
-        let Some(watched) = self.watched.as_mut().filter(|watched| watched.epoch == epoch) else { return };
-        watched.first.get_or_insert(now);
+        let Some(measured) = self.measured.as_mut().filter(|measured| measured.epoch == epoch) else {
+            return;
+        };
+        measured.first_new_at.get_or_insert(now);
         if admitted {
-            watched.last_old = now; // Otherwise it was in doubt: it took its last request within its promise.
+            measured.last_old_at = now; // Otherwise it was in doubt, and last admitted a request within its promise.
         }
-        watched.missing -= 1;
-        if watched.missing == 0 {
-            self.report.everywhere.push(now - watched.proposed);
-            self.report.mixed.push(watched.last_old - watched.first.unwrap_or(now));
+        measured.missing_nodes -= 1;
+        if measured.missing_nodes == 0 {
+            self.report.active_everywhere_ms.push(now - measured.proposed_at);
+            let first_new_at = measured.first_new_at.unwrap_or(now);
+            self.report.mixed_ms.push(measured.last_old_at - first_new_at);
             self.report.messages += self.traffic.0;
             self.report.bytes += self.traffic.1;
         }
--- a/crates/control/examples/votes/main.rs
+++ b/crates/control/examples/votes/main.rs
@@ -1,42 +1,51 @@
-//! What votes on servers cost and save in fleets of 30 to 1,000 nodes, in virtual time:
+//! Measures the cost and benefit of votes on servers in fleets of 30 to 1,000 nodes, in virtual time:
 //! `cargo run --release -p control --example votes`.
 
 mod sim;
 
-use sim::{alone, run, Plan, Report};
+use sim::{run, without_votes, Plan, Report};
 
 const SEEDS: u64 = 20;
 
-/// A server bad from its tenth second on.
-fn bad(nodes: usize, thin: bool, seed: u64) -> Plan {
-    let (servers, fan, rate) = if thin { (9, 9, 0.1) } else { (nodes, 8, 1.0) };
-    Plan { nodes, servers, fan, rate, honest: 0.01, bad_at: Some(10_000.0), end: 120_000.0, seed }
+/// Returns a simulation with a server that turns bad after 10 s; with `thin` traffic there is little evidence per node.
+fn bad_server(nodes: usize, thin: bool, seed: u64) -> Plan {
+    let (servers, servers_per_node, rate) = if thin { (9, 9, 0.1) } else { (nodes, 8, 1.0) };
+    Plan {
+        nodes,
+        servers,
+        servers_per_node,
+        rate,
+        good_failure_ratio: 0.01,
+        bad_at: Some(10_000.0),
+        end: 120_000.0,
+        seed,
+    }
 }
 
-fn sorted(figures: impl Iterator<Item = f64>) -> Vec<f64> {
-    let mut figures: Vec<f64> = figures.collect();
-    figures.sort_by(f64::total_cmp);
-    figures
+fn sorted(values: impl Iterator<Item = f64>) -> Vec<f64> {
+    let mut values: Vec<f64> = values.collect();
+    values.sort_by(f64::total_cmp);
+    values
 }
 
-fn quantile(sorted: &[f64], part: f64) -> f64 {
+fn quantile(sorted: &[f64], fraction: f64) -> f64 {
     sorted
-        .get(((sorted.len() as f64 * part) as usize).min(sorted.len().saturating_sub(1)))
+        .get(((sorted.len() as f64 * fraction) as usize).min(sorted.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0.0)
 }
 
-fn mean(figures: &[f64]) -> f64 {
-    figures.iter().sum::<f64>() / figures.len().max(1) as f64
+fn mean(values: &[f64]) -> f64 {
+    values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// Each on a thread of its own.
+/// Runs the simulations, each on a thread of its own.
 fn run_all(plans: impl Iterator<Item = Plan>) -> Vec<Report> {
     let threads: Vec<_> = plans.map(|plan| std::thread::spawn(move || run(plan))).collect();
-    threads.into_iter().map(|thread| thread.join().expect("it ends")).collect()
+    threads.into_iter().map(|thread| thread.join().expect("the simulation ends")).collect()
 }
 
-/// `a + b * ln(nodes)` by least squares, and what part of the spread it explains.
+/// Fits `a + b * ln(nodes)` by least squares; returns `a`, `b` and the coefficient of determination.
 fn fit(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let count = points.len() as f64;
     let logs: Vec<(f64, f64)> = points.iter().map(|(nodes, cost)| (nodes.ln(), *cost)).collect();
@@ -57,31 +66,32 @@
     for thin in [false, true] {
         let mut costs = Vec::new();
         for nodes in [30, 300, 1000] {
-            let reports = run_all((0..SEEDS).map(|seed| bad(nodes, thin, seed)));
-            let lone: Vec<_> = (0..SEEDS).map(|seed| alone(&bad(nodes, thin, seed))).collect();
-            let removed = sorted(reports.iter().filter_map(|report| report.removed));
-            let heard = sorted(reports.iter().filter_map(|report| report.heard));
-            let paid = sorted(reports.iter().map(|report| report.paid as f64));
-            let (last, lone_paid) =
-                (sorted(lone.iter().map(|lone| lone.0)), sorted(lone.iter().map(|lone| lone.1 as f64)));
-            let both = |ms: &[f64]| {
+            let reports = run_all((0..SEEDS).map(|seed| bad_server(nodes, thin, seed)));
+            let unaided: Vec<_> =
+                (0..SEEDS).map(|seed| without_votes(&bad_server(nodes, thin, seed))).collect();
+            let removed = sorted(reports.iter().filter_map(|report| report.removed_ms));
+            let known_everywhere = sorted(reports.iter().filter_map(|report| report.known_everywhere_ms));
+            let failures = sorted(reports.iter().map(|report| report.failures as f64));
+            let last_ejections = sorted(unaided.iter().map(|unaided| unaided.0));
+            let unaided_failures = sorted(unaided.iter().map(|unaided| unaided.1 as f64));
+            let p50_p99 = |ms: &[f64]| {
                 format!("{:.2} / {:.2}", quantile(ms, 0.5) / 1000.0, quantile(ms, 0.99) / 1000.0)
             };
             println!(
                 "| {} | {nodes} | {} | {} | {:.0} / {:.0} | {} | {:.0} / {:.0} | {:.0} | {:.0} | {} |",
                 if thin { "thin" } else { "8 servers each" },
-                both(&removed),
-                both(&heard),
-                quantile(&paid, 0.5),
-                quantile(&paid, 0.99),
-                both(&last),
-                quantile(&lone_paid, 0.5),
-                quantile(&lone_paid, 0.99),
-                mean(&reports.iter().map(|report| report.calm).collect::<Vec<_>>()),
-                mean(&reports.iter().map(|report| report.suspect).collect::<Vec<_>>()),
-                reports.iter().filter(|report| report.heard.is_none()).count(),
+                p50_p99(&removed),
+                p50_p99(&known_everywhere),
+                quantile(&failures, 0.5),
+                quantile(&failures, 0.99),
+                p50_p99(&last_ejections),
+                quantile(&unaided_failures, 0.5),
+                quantile(&unaided_failures, 0.99),
+                mean(&reports.iter().map(|report| report.idle_bytes_per_s).collect::<Vec<_>>()),
+                mean(&reports.iter().map(|report| report.suspect_bytes_per_s).collect::<Vec<_>>()),
+                reports.iter().filter(|report| report.known_everywhere_ms.is_none()).count(),
             );
-            costs.push((nodes as f64, mean(&paid)));
+            costs.push((nodes as f64, mean(&failures)));
         }
         let (a, b, explained) = fit(&costs);
         println!("\nfailures paid = {a:.1} + {b:.1} ln(nodes), r2 {explained:.2}, of {costs:?}\n");
@@ -91,18 +101,18 @@
     let sizes = [(30, 240.0), (300, 24.0), (1000, 6.0)];
     let rows =
         [false, true].into_iter().flat_map(|thin| sizes.map(|(nodes, minutes)| (thin, nodes, minutes)));
-    let rows: Vec<_> = rows.flat_map(|row| [0.01, 0.05].map(|honest| (row, honest))).collect();
-    let plans = rows.iter().map(|&((thin, nodes, minutes), honest)| {
+    let rows: Vec<_> = rows.flat_map(|row| [0.01, 0.05].map(|ratio| (row, ratio))).collect();
+    let plans = rows.iter().map(|&((thin, nodes, minutes), good_failure_ratio)| {
         let end = 60_000.0 * minutes;
-        Plan { honest, bad_at: None, end, ..bad(nodes, thin, 1) }
+        Plan { good_failure_ratio, bad_at: None, end, ..bad_server(nodes, thin, 1) }
     });
-    for (&((thin, nodes, minutes), honest), report) in rows.iter().zip(run_all(plans)) {
+    for (&((thin, nodes, minutes), good_failure_ratio), report) in rows.iter().zip(run_all(plans)) {
         println!(
             "| {} | {nodes} | {:.0}% | {minutes:.0} min | {:.2} | {:.0} |",
             if thin { "thin" } else { "8 servers each" },
-            honest * 100.0,
-            report.wrong as f64 * 60.0 / minutes,
-            report.calm,
+            good_failure_ratio * 100.0,
+            report.wrong_verdicts as f64 * 60.0 / minutes,
+            report.idle_bytes_per_s,
         );
     }
 }
--- a/crates/control/examples/votes/sim.rs
+++ b/crates/control/examples/votes/sim.rs
@@ -1,5 +1,5 @@
-//! Votes of a fleet in virtual time: the real tally and log, and nodes as simple as may be, with links and disks drawn from
-//! a seed. What is counted in bytes is what votes add to beats, answers and watches.
+//! Votes of a simulated fleet in virtual time: the real tally and state machine, and minimal nodes, with links and disks
+//! drawn from a seed. The bytes counted are those that votes add to heartbeats, replies and watches.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -14,110 +14,119 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
-const BEAT_MS: Millis = 250.0;
+const HEARTBEAT_INTERVAL_MS: Millis = 250.0;
 const ZONES: usize = 3;
-/// Failures in a row that make a suspect, or an outlier of a node that is alone.
-pub const IN_A_ROW: u32 = 3;
+/// The number of consecutive failures that make a server a suspect or, for nodes without votes, an outlier.
+pub const OUTLIER_FAILURES: u32 = 3;
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub nodes: usize,
     pub servers: usize,
-    /// To how many of the servers each node sends, and how many requests a second to each of them.
-    pub fan: usize,
+    /// The number of servers that each node sends to.
+    pub servers_per_node: usize,
+    /// The requests per second from each node to each of its servers.
     pub rate: f64,
-    /// Part of the requests to a good server that fail.
-    pub honest: f64,
-    /// From when on the first server answers nothing.
+    /// The fraction of requests to a good server that fail.
+    pub good_failure_ratio: f64,
+    /// When the first server stops answering.
     pub bad_at: Option<Millis>,
     pub end: Millis,
     pub seed: u64,
 }
 
-/// What came of it; times in milliseconds of the world.
+/// The results of a simulation; times in milliseconds of virtual time.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// From the first failure of the bad server to the verdict, and to the last node having heard it.
-    pub removed: Option<Millis>,
-    pub heard: Option<Millis>,
-    /// Failures of the bad server until then, all nodes together.
-    pub paid: u64,
-    /// Verdicts on good servers.
-    pub wrong: u64,
-    /// Bytes that votes add a node and second: before the server is bad, and from then to the verdict.
-    pub calm: f64,
-    pub suspect: f64,
+    /// From the first failure of the bad server to the verdict.
+    pub removed_ms: Option<Millis>,
+    /// From the first failure of the bad server until the last node knows the verdict.
+    pub known_everywhere_ms: Option<Millis>,
+    /// The number of failures of the bad server until then, on all nodes.
+    pub failures: u64,
+    /// The number of verdicts on good servers.
+    pub wrong_verdicts: u64,
+    /// The bytes that votes add per node and second before the server turns bad.
+    pub idle_bytes_per_s: f64,
+    /// The same from then to the verdict.
+    pub suspect_bytes_per_s: f64,
 }
 
 enum Event {
-    Request(usize),
-    Beat(usize),
-    Comes { node: usize, echo: Option<Stamp>, votes: VoteReport },
-    Answer { node: usize, stamp: Stamp, asked: Rc<Vec<String>> },
-    News { node: usize, told: Rc<Verdicts> },
+    SendRequest(usize),
+    SendHeartbeat(usize),
+    HeartbeatArrives { node: usize, echoed_stamp: Option<Stamp>, report: VoteReport },
+    ReplyArrives { node: usize, stamp: Stamp, queried: Rc<Vec<String>> },
+    VerdictsArrive { node: usize, verdicts: Rc<Verdicts> },
     Written(VerdictCommand),
     Tick,
 }
 
-/// What a node has seen of a server.
+/// A node's observations of a server.
 #[derive(Clone, Copy, Default)]
-struct Seen {
-    /// Attempts and failures in this half of a window and in the one before.
-    now: (u32, u32),
-    before: (u32, u32),
+struct Observations {
+    /// Attempts and failures in the current half of the evidence window, and in the previous one.
+    current: (u32, u32),
+    previous: (u32, u32),
+    /// The index of the current half window.
     half: u64,
-    row: u32,
-    /// A suspect gets nothing until then, and little from then on.
-    aside: Millis,
+    consecutive_failures: u32,
+    /// A suspect gets no requests until then, and few afterwards.
+    paused_until: Millis,
 }
 
 struct Node {
     servers: Vec<usize>,
-    seen: BTreeMap<usize, Seen>,
-    echo: Option<Stamp>,
-    asked: Rc<Vec<String>>,
-    told: Rc<Verdicts>,
+    observations: BTreeMap<usize, Observations>,
+    stamp: Option<Stamp>,
+    queried: Rc<Vec<String>>,
+    verdicts: Rc<Verdicts>,
 }
 
 struct Fleet {
     plan: Plan,
-    figures: VoteSettings,
-    draw: Pcg64Mcg,
+    settings: VoteSettings,
+    rng: Pcg64Mcg,
     now: Millis,
-    order: u64,
+    last_event_id: u64,
+    /// The due times of events, in microseconds, and their IDs.
     due: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     nodes: Vec<Node>,
     log: FleetState,
     tally: Tally,
-    ticks: Option<Millis>,
-    synced: Millis,
-    first: Option<Millis>,
-    unheard: usize,
+    next_tick_at: Option<Millis>,
+    /// When the last write is on the disks of a majority.
+    synced_at: Millis,
+    /// When a request to the bad server first failed.
+    first_failure_at: Option<Millis>,
+    /// The number of nodes that do not know the verdict on the bad server yet.
+    unaware_nodes: usize,
+    /// The bytes before the server turns bad, and from then to the verdict.
     bytes: (u64, u64),
     report: Report,
 }
 
-fn name(server: usize) -> String {
+fn server_name(server: usize) -> String {
     format!("server-{server}")
 }
 
-fn zone(place: usize) -> String {
-    format!("zone-{}", place % ZONES)
+fn zone(index: usize) -> String {
+    format!("zone-{}", index % ZONES)
 }
 
 fn process(node: usize) -> Process {
     Process { name: format!("node-{node}"), boot: 1 }
 }
 
-/// Runs a plan to its end, or until the bad server is gone from all nodes.
+/// Runs a simulation to its end, or until all nodes know the verdict on the bad server.
 pub fn run(plan: Plan) -> Report {
-    let figures = VoteSettings::default();
-    let mut draw = Pcg64Mcg::seed_from_u64(plan.seed);
+    let settings = VoteSettings::default();
+    let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
     let mut log = FleetState::new();
     let policy = Policy(
-        [("Votes".to_owned(), serde_json::to_value(&figures).expect("figures serialize"))]
+        [("Votes".to_owned(), serde_json::to_value(&settings).expect("settings serialize"))]
             .into_iter()
             .collect(),
     );
@@ -127,51 +136,51 @@
     log.apply(2, &Command::Policy(commit));
     let mut nodes = Vec::new();
     for node in 0..plan.nodes {
-        let (life, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
+        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
         let join = RosterCommand::Join {
             process,
-            liveness_addr: life,
+            liveness_addr,
             coexists_with_previous: false,
             fenced: false,
             active_epoch: None,
         };
         log.apply(log.version() + 1, &Command::Roster(join));
         let mut servers: Vec<usize> = (0..plan.servers).collect();
-        for place in 0..plan.fan {
-            let other = draw.random_range(place..plan.servers);
-            servers.swap(place, other);
+        for index in 0..plan.servers_per_node {
+            let other = rng.random_range(index..plan.servers);
+            servers.swap(index, other);
         }
-        servers.truncate(plan.fan);
+        servers.truncate(plan.servers_per_node);
         nodes.push(Node {
             servers,
-            seen: BTreeMap::new(),
-            echo: None,
-            asked: Rc::default(),
-            told: Rc::default(),
+            observations: BTreeMap::new(),
+            stamp: None,
+            queried: Rc::default(),
+            verdicts: Rc::default(),
         });
     }
     let mut fleet = Fleet {
-        figures,
-        draw,
+        settings,
+        rng,
         now: 0.0,
-        order: 0,
+        last_event_id: 0,
         due: BinaryHeap::new(),
         events: BTreeMap::new(),
         nodes,
         log,
         tally: Tally::new(1, 0.0),
-        ticks: None,
-        synced: 0.0,
-        first: None,
-        unheard: 0,
+        next_tick_at: None,
+        synced_at: 0.0,
+        first_failure_at: None,
+        unaware_nodes: 0,
         bytes: (0, 0),
         report: Report::default(),
         plan,
     };
     for node in 0..fleet.plan.nodes {
-        let at = fleet.draw.random_range(0.0..BEAT_MS);
-        fleet.after(at, Event::Beat(node));
-        fleet.next_request(node);
+        let delay = fleet.rng.random_range(0.0..HEARTBEAT_INTERVAL_MS);
+        fleet.after(delay, Event::SendHeartbeat(node));
+        fleet.schedule_request(node);
     }
     fleet.run();
     fleet.report
@@ -180,244 +189,244 @@
 impl Fleet {
     fn run(&mut self) {
         let bad_at = self.plan.bad_at.unwrap_or(self.plan.end);
-        let part = |bytes: u64, ms: Millis, nodes: usize| bytes as f64 * 1000.0 / ms.max(1.0) / nodes as f64;
-        while let Some(Reverse((at, order))) = self.due.pop() {
-            self.now = at as Millis / 1000.0;
-            if self.now > self.plan.end || self.report.heard.is_some() {
+        let per_node_and_s =
+            |bytes: u64, ms: Millis, nodes: usize| bytes as f64 * 1000.0 / ms.max(1.0) / nodes as f64;
+        while let Some(Reverse((due_us, id))) = self.due.pop() {
+            self.now = due_us as Millis / 1000.0;
+            if self.now > self.plan.end || self.report.known_everywhere_ms.is_some() {
                 break;
             }
-            let event = self.events.remove(&order).expect("each that is due is kept");
-            self.event(event);
+            let event = self.events.remove(&id).expect("each due event exists");
+            self.handle(event);
         }
-        self.report.calm = part(self.bytes.0, bad_at, self.plan.nodes);
-        let ended = self.first.unwrap_or(0.0) + self.report.removed.unwrap_or(0.0);
-        self.report.suspect = part(self.bytes.1, ended - bad_at, self.plan.nodes);
+        self.report.idle_bytes_per_s = per_node_and_s(self.bytes.0, bad_at, self.plan.nodes);
+        let removed_at = self.first_failure_at.unwrap_or(0.0) + self.report.removed_ms.unwrap_or(0.0);
+        self.report.suspect_bytes_per_s = per_node_and_s(self.bytes.1, removed_at - bad_at, self.plan.nodes);
     }
 
     fn after(&mut self, delay: Millis, event: Event) {
-        self.order += 1;
-        self.due.push(Reverse((((self.now + delay) * 1000.0).round() as u64, self.order)));
-        self.events.insert(self.order, event);
+        self.last_event_id += 1;
+        self.due.push(Reverse((((self.now + delay) * 1000.0).round() as u64, self.last_event_id)));
+        self.events.insert(self.last_event_id, event);
     }
 
-    /// One way over a link: a lost packet is sent again 200 ms later.
-    fn link(&mut self) -> Millis {
-        let again = if self.draw.random_bool(0.01) { 200.0 } else { 0.0 };
-        again + self.draw.random_range(1.0..20.0)
+    /// Draws the one-way delay of a link; a lost packet is retransmitted 200 ms later.
+    fn link_delay(&mut self) -> Millis {
+        let retransmission = if self.rng.random_bool(0.01) { 200.0 } else { 0.0 };
+        retransmission + self.rng.random_range(1.0..20.0)
     }
 
-    fn count(&mut self, bytes: usize) {
+    fn count_bytes(&mut self, bytes: usize) {
         if self.plan.bad_at.is_none_or(|bad_at| self.now < bad_at) {
             self.bytes.0 += bytes as u64;
-        } else if self.report.removed.is_none() {
+        } else if self.report.removed_ms.is_none() {
             self.bytes.1 += bytes as u64;
         }
     }
 
-    fn next_request(&mut self, node: usize) {
+    fn schedule_request(&mut self, node: usize) {
         let rate = self.plan.rate * self.nodes[node].servers.len() as f64;
-        let delay = -1000.0 / rate * (1.0 - self.draw.random::<f64>()).ln();
-        self.after(delay, Event::Request(node));
+        let delay = -1000.0 / rate * (1.0 - self.rng.random::<f64>()).ln();
+        self.after(delay, Event::SendRequest(node));
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Request(node) => {
-                self.next_request(node);
-                self.request(node);
+            Event::SendRequest(node) => {
+                self.schedule_request(node);
+                self.send_request(node);
             }
-            Event::Beat(node) => {
-                let votes = self.votes(node);
-                self.count(serde_json::to_vec(&votes).expect("votes serialize").len());
-                let (echo, link) = (self.nodes[node].echo, self.link());
-                self.after(link, Event::Comes { node, echo, votes });
+            Event::SendHeartbeat(node) => {
+                let report = self.vote_report(node);
+                self.count_bytes(serde_json::to_vec(&report).expect("votes serialize").len());
+                let (echoed_stamp, delay) = (self.nodes[node].stamp, self.link_delay());
+                self.after(delay, Event::HeartbeatArrives { node, echoed_stamp, report });
             }
-            Event::Comes { node, echo, votes } => {
-                self.lead(vec![Input::Heartbeat {
-                    process: process(node),
-                    echoed_stamp: echo,
-                    report: Some(votes),
-                }]);
-                // The leader answers once it has made sure that it leads.
-                let confirm = self.draw.random_range(1.0..6.0);
-                let (stamp, asked) = (
-                    Stamp { term: 1, time: self.now + confirm },
-                    Rc::new(self.tally.queried_servers().to_vec()),
-                );
-                if !asked.is_empty() {
-                    self.count(serde_json::to_vec(&*asked).expect("names serialize").len());
+            Event::HeartbeatArrives { node, echoed_stamp, report } => {
+                let (process, report) = (process(node), Some(report));
+                self.handle_inputs(vec![Input::Heartbeat { process, echoed_stamp, report }]);
+                // The leader replies once it has confirmed its leadership.
+                let confirmation = self.rng.random_range(1.0..6.0);
+                let stamp = Stamp { term: 1, time: self.now + confirmation };
+                let queried = Rc::new(self.tally.queried_servers().to_vec());
+                if !queried.is_empty() {
+                    self.count_bytes(serde_json::to_vec(&*queried).expect("names serialize").len());
                 }
-                let link = self.link();
-                self.after(confirm + link, Event::Answer { node, stamp, asked });
+                let delay = self.link_delay();
+                self.after(confirmation + delay, Event::ReplyArrives { node, stamp, queried });
             }
-            Event::Answer { node, stamp, asked } => {
+            Event::ReplyArrives { node, stamp, queried } => {
                 let other = &mut self.nodes[node];
-                (other.echo, other.asked) = (Some(stamp), asked);
-                self.after(BEAT_MS, Event::Beat(node));
+                (other.stamp, other.queried) = (Some(stamp), queried);
+                self.after(HEARTBEAT_INTERVAL_MS, Event::SendHeartbeat(node));
             }
-            Event::News { node, told } => self.news(node, told),
-            Event::Written(command) => self.written(command),
+            Event::VerdictsArrive { node, verdicts } => self.on_verdicts(node, verdicts),
+            Event::Written(command) => self.on_written(command),
             Event::Tick => {
-                self.ticks = None;
-                self.lead(vec![Input::Tick]);
+                self.next_tick_at = None;
+                self.handle_inputs(vec![Input::Tick]);
             }
         }
     }
 
-    /// A node sends a request to one of its servers, if it may.
-    fn request(&mut self, node: usize) {
-        let place = self.draw.random_range(0..self.nodes[node].servers.len());
-        let server = self.nodes[node].servers[place];
-        let keeps = self.draw.random_bool(self.figures.suspect_share);
-        let (now, half) = (self.now, (self.now / (self.figures.evidence_window / 2.0)) as u64);
+    /// Lets a node send a request to one of its servers, if the server gets requests.
+    fn send_request(&mut self, node: usize) {
+        let index = self.rng.random_range(0..self.nodes[node].servers.len());
+        let server = self.nodes[node].servers[index];
+        let is_suspect_turn = self.rng.random_bool(self.settings.suspect_share);
+        let (now, half) = (self.now, (self.now / (self.settings.evidence_window / 2.0)) as u64);
         let other = &mut self.nodes[node];
-        let me = format!("node-{node}");
-        let out = other.told.verdicts.iter().find(|verdict| verdict.server == name(server));
-        let seen = other.seen.entry(server).or_default();
-        let suspect = seen.row >= IN_A_ROW;
-        if out.is_some_and(|verdict| !verdict.probers.contains(&me))
-            || suspect && (now < seen.aside || !keeps)
+        let own_name = format!("node-{node}");
+        let verdict = other.verdicts.verdicts.iter().find(|verdict| verdict.server == server_name(server));
+        let observed = other.observations.entry(server).or_default();
+        let is_suspect = observed.consecutive_failures >= OUTLIER_FAILURES;
+        if verdict.is_some_and(|verdict| !verdict.probers.contains(&own_name))
+            || is_suspect && (now < observed.paused_until || !is_suspect_turn)
         {
             return;
         }
-        seen.turn(half);
-        let bad = server == 0 && self.plan.bad_at.is_some_and(|bad_at| now >= bad_at);
-        let fails = bad || self.draw.random_bool(self.plan.honest);
-        seen.now.0 += 1;
-        seen.now.1 += u32::from(fails);
-        seen.row = if fails { seen.row + 1 } else { 0 };
-        if seen.row >= IN_A_ROW {
-            seen.aside = now + self.figures.suspect_pause;
+        observed.advance_to(half);
+        let is_bad = server == 0 && self.plan.bad_at.is_some_and(|bad_at| now >= bad_at);
+        let fails = is_bad || self.rng.random_bool(self.plan.good_failure_ratio);
+        observed.current.0 += 1;
+        observed.current.1 += u32::from(fails);
+        observed.consecutive_failures = if fails { observed.consecutive_failures + 1 } else { 0 };
+        if observed.consecutive_failures >= OUTLIER_FAILURES {
+            observed.paused_until = now + self.settings.suspect_pause;
         }
-        if bad {
-            self.first.get_or_insert(now);
-            self.report.paid += 1;
+        if is_bad {
+            self.first_failure_at.get_or_insert(now);
+            self.report.failures += 1;
         }
     }
 
-    /// What a node says of servers.
-    fn votes(&mut self, node: usize) -> VoteReport {
-        let half = (self.now / (self.figures.evidence_window / 2.0)) as u64;
+    /// Returns a node's current report.
+    fn vote_report(&mut self, node: usize) -> VoteReport {
+        let half = (self.now / (self.settings.evidence_window / 2.0)) as u64;
         let (mut ballots, mut known, mut suspects) = (Vec::new(), 0, 0);
-        let Node { seen, asked, .. } = &mut self.nodes[node];
-        for (&server, seen) in seen.iter_mut() {
-            seen.turn(half);
-            let (attempts, failed) = (seen.now.0 + seen.before.0, seen.now.1 + seen.before.1);
-            if attempts < self.figures.min_attempts {
+        let Node { observations, queried, .. } = &mut self.nodes[node];
+        for (&server, observed) in observations.iter_mut() {
+            observed.advance_to(half);
+            let attempts = observed.current.0 + observed.previous.0;
+            let failures = observed.current.1 + observed.previous.1;
+            if attempts < self.settings.min_attempts {
                 continue;
             }
             known += 1;
-            let suspect = seen.row >= IN_A_ROW;
-            let favour = suspect || f64::from(failed) >= self.figures.failure_ratio * f64::from(attempts);
-            suspects += usize::from(favour);
-            if !favour && !asked.contains(&name(server)) {
+            let is_suspect = observed.consecutive_failures >= OUTLIER_FAILURES;
+            let is_in_favor =
+                is_suspect || f64::from(failures) >= self.settings.failure_ratio * f64::from(attempts);
+            suspects += usize::from(is_in_favor);
+            if !is_in_favor && !queried.contains(&server_name(server)) {
                 continue;
             }
-            // Of a suspect, what has made it one.
-            let attempts = if suspect { seen.row.min(attempts) } else { attempts };
-            let evidence =
-                Evidence { attempts, connect_failures: failed.min(attempts), ..Evidence::default() };
-            let stand = if favour { Vote::For } else { Vote::Against };
+            // For a suspect only the failures that made it one count.
+            let attempts = if is_suspect { observed.consecutive_failures.min(attempts) } else { attempts };
+            let connect_failures = failures.min(attempts);
+            let evidence = Evidence { attempts, connect_failures, ..Evidence::default() };
+            let vote = if is_in_favor { Vote::For } else { Vote::Against };
             ballots.push(Ballot {
-                server: name(server),
+                server: server_name(server),
                 born_ms: 1.0,
                 zone: zone(server),
-                vote: stand,
+                vote,
                 evidence,
             });
         }
         ballots.sort_by_key(|ballot| ballot.vote);
         ballots.truncate(MAX_BALLOTS);
-        let doubts = suspects >= 2 && suspects as f64 > self.figures.abstain_ratio * f64::from(known);
-        if doubts {
+        let abstains = suspects >= 2 && suspects as f64 > self.settings.abstain_ratio * f64::from(known);
+        if abstains {
             ballots.clear();
         }
-        let up =
-            (0..ZONES).map(|place| (zone(place), ((self.plan.servers + ZONES - 1 - place) / ZONES) as u32));
-        VoteReport { zone: Some(zone(node)), up_servers: up.collect(), abstains: doubts, ballots }
+        let up_servers =
+            (0..ZONES).map(|index| (zone(index), ((self.plan.servers + ZONES - 1 - index) / ZONES) as u32));
+        VoteReport { zone: Some(zone(node)), up_servers: up_servers.collect(), abstains, ballots }
     }
 
-    fn news(&mut self, node: usize, told: Rc<Verdicts>) {
+    fn on_verdicts(&mut self, node: usize, verdicts: Rc<Verdicts>) {
         let other = &mut self.nodes[node];
-        if told.version <= other.told.version {
+        if verdicts.version <= other.verdicts.version {
             return;
         }
-        let had = other.told.verdicts.iter().any(|verdict| verdict.server == name(0));
-        let has = told.verdicts.iter().any(|verdict| verdict.server == name(0));
-        for verdict in told.verdicts.iter().filter(|verdict| !other.told.verdicts.contains(verdict)) {
-            // Removed, and probed: what it has seen before says no more.
-            other.seen.retain(|server, _| name(*server) != verdict.server);
+        let was_removed = other.verdicts.verdicts.iter().any(|verdict| verdict.server == server_name(0));
+        let is_removed = verdicts.verdicts.iter().any(|verdict| verdict.server == server_name(0));
+        for verdict in verdicts.verdicts.iter().filter(|verdict| !other.verdicts.verdicts.contains(verdict)) {
+            // When a server is removed, and when it is probed, earlier observations no longer count.
+            other.observations.retain(|server, _| server_name(*server) != verdict.server);
         }
-        other.told = told;
-        if has && !had && other.servers.contains(&0) && self.unheard > 0 {
-            self.unheard -= 1;
-            if self.unheard == 0 {
-                self.report.heard = self.first.map(|first| self.now - first);
+        other.verdicts = verdicts;
+        if is_removed && !was_removed && other.servers.contains(&0) && self.unaware_nodes > 0 {
+            self.unaware_nodes -= 1;
+            if self.unaware_nodes == 0 {
+                self.report.known_everywhere_ms = self.first_failure_at.map(|first| self.now - first);
             }
         }
     }
 
-    fn lead(&mut self, inputs: Vec<Input>) {
+    /// Lets the tally handle inputs, and writes its commands.
+    fn handle_inputs(&mut self, inputs: Vec<Input>) {
         let commands = self.tally.handle_all(self.now, inputs, &self.log);
         for command in commands {
-            // Writes come to be synced in their order.
-            let sync = self.draw.random_range(2.0..15.0);
-            self.synced = self.synced.max(self.now + sync);
-            self.after(self.synced - self.now, Event::Written(command));
+            // Writes are synced in order.
+            let sync = self.rng.random_range(2.0..15.0);
+            self.synced_at = self.synced_at.max(self.now + sync);
+            self.after(self.synced_at - self.now, Event::Written(command));
         }
-        if let Some(next) = self.tally.next_tick_at().filter(|_| self.ticks.is_none()) {
-            self.ticks = Some(next);
+        if let Some(next) = self.tally.next_tick_at().filter(|_| self.next_tick_at.is_none()) {
+            self.next_tick_at = Some(next);
             self.after((next - self.now).max(0.0) + 0.001, Event::Tick);
         }
     }
 
-    fn written(&mut self, command: VerdictCommand) {
+    fn on_written(&mut self, command: VerdictCommand) {
         let before = self.log.verdicts().version();
         let outcome = self.log.apply(self.log.version() + 1, &Command::Verdict(command.clone()));
         if let (VerdictCommand::Remove { server, .. }, true) =
             (&command, self.log.verdicts().version() > before)
         {
-            if *server != name(0) || self.first.is_none() {
-                self.report.wrong += 1;
-            } else if self.report.removed.is_none() {
-                self.report.removed = self.first.map(|first| self.now - first);
-                self.unheard = self.nodes.iter().filter(|node| node.servers.contains(&0)).count();
+            if *server != server_name(0) || self.first_failure_at.is_none() {
+                self.report.wrong_verdicts += 1;
+            } else if self.report.removed_ms.is_none() {
+                self.report.removed_ms = self.first_failure_at.map(|first| self.now - first);
+                self.unaware_nodes = self.nodes.iter().filter(|node| node.servers.contains(&0)).count();
             }
         }
-        let told = Rc::new(self.log.verdicts().in_force());
+        let verdicts = Rc::new(self.log.verdicts().in_force());
         for node in 0..self.nodes.len() {
-            let delay = self.draw.random_range(1.0..10.0) + self.link();
-            self.after(delay, Event::News { node, told: told.clone() });
+            let delay = self.rng.random_range(1.0..10.0) + self.link_delay();
+            self.after(delay, Event::VerdictsArrive { node, verdicts: verdicts.clone() });
         }
-        self.lead(vec![Input::WriteResult { command, outcome: Some(outcome) }]);
+        self.handle_inputs(vec![Input::WriteResult { command, outcome: Some(outcome) }]);
     }
 }
 
-impl Seen {
-    fn turn(&mut self, half: u64) {
+impl Observations {
+    /// Moves on to a half window, and drops observations from before the previous one.
+    fn advance_to(&mut self, half: u64) {
         if half > self.half {
-            self.before = if half == self.half + 1 { self.now } else { (0, 0) };
-            (self.now, self.half) = ((0, 0), half);
+            self.previous = if half == self.half + 1 { self.current } else { (0, 0) };
+            (self.current, self.half) = ((0, 0), half);
         }
     }
 }
 
-/// The same server bad for nodes that are alone: each takes it out after so many failures in a row. From the first
-/// failure to the last node's, and failures paid until then.
-pub fn alone(plan: &Plan) -> (Millis, u64) {
-    let mut draw = Pcg64Mcg::seed_from_u64(plan.seed);
-    let (mut first, mut last, mut paid) = (Millis::INFINITY, 0.0_f64, 0);
+/// Simulates the same bad server for nodes without votes, each of which ejects it after [`OUTLIER_FAILURES`] consecutive
+/// failures. Returns the time from the first failure to the last node's ejection, and the number of failures.
+pub fn without_votes(plan: &Plan) -> (Millis, u64) {
+    let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
+    let (mut first, mut last, mut failures) = (Millis::INFINITY, 0.0_f64, 0);
     for _ in 0..plan.nodes {
-        if !draw.random_bool(plan.fan as f64 / plan.servers as f64) {
+        if !rng.random_bool(plan.servers_per_node as f64 / plan.servers as f64) {
             continue;
         }
         let mut at = 0.0;
-        for row in 0..IN_A_ROW {
-            at -= 1000.0 / plan.rate * (1.0 - draw.random::<f64>()).ln();
-            first = if row == 0 { first.min(at) } else { first };
-            paid += 1;
+        for failure in 0..OUTLIER_FAILURES {
+            at -= 1000.0 / plan.rate * (1.0 - rng.random::<f64>()).ln();
+            first = if failure == 0 { first.min(at) } else { first };
+            failures += 1;
         }
         last = last.max(at);
     }
-    ((last - first).max(0.0), paid)
+    ((last - first).max(0.0), failures)
 }
