--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -241,14 +241,14 @@
                 return invalid(
                     "peers",
                     format!("replica {id}"),
-                    "empty where joins = true: it learns the group",
+                    "empty if joins = true: the replica learns the group's members",
                 );
             }
             if self.listen.ip().is_unspecified() {
                 return invalid(
                     "listen",
                     self.listen,
-                    "the address that the others reach, where joins = true",
+                    "the address that the other replicas reach, if joins = true",
                 );
             }
         } else if !(1..=MAX_REPLICAS).contains(&peers.len()) {
@@ -275,8 +275,9 @@
         check_range("election.heartbeat_ms", self.heartbeat_ms, 10..=MAX_MS)?;
         let minimum = 2 * self.heartbeat_ms;
         if shortest < minimum || longest <= shortest || longest > MAX_MS {
-            let expected =
-                format!("two spans that grow, from {minimum} (two of election.heartbeat_ms) to {MAX_MS}");
+            let expected = format!(
+                "two increasing durations, from {minimum} (two of election.heartbeat_ms) to {MAX_MS}"
+            );
             return invalid("election.after_ms", format!("[{shortest}, {longest}]"), expected);
         }
         Ok(())
@@ -380,7 +381,7 @@
                 "unreachable = \"fence\"\nlease_ms = 700",
                 "c.toml: terms.lease_ms: 700, but",
             ),
-            ("[300, 600]", "[150, 600]", "c.toml: election.after_ms: [150, 600], but must be two spans"),
+            ("[300, 600]", "[150, 600]", "c.toml: election.after_ms: [150, 600], but must be two increasing"),
             ("connections = 100", "connections = 0", "c.toml: limits.connections: 0, but must be from 16 to"),
         ] {
             assert!(VALID.contains(from), "{from}");
--- a/crates/control/src/edge/calls.rs
+++ b/crates/control/src/edge/calls.rs
@@ -158,7 +158,7 @@
             let advice = format!(
                 "a node's name has 1 to {MAX_NODE_NAME_BYTES} letters, digits, dots, dashes or underscores"
             );
-            return Err(ErrorResponse::bad_request("process.name is no name", advice));
+            return Err(ErrorResponse::bad_request("process.name is not a valid name", advice));
         }
         let liveness_addr = heartbeat.liveness_addr;
         // A refused connection to it counts as the process's exit, so it must be an address of that process.
@@ -180,7 +180,7 @@
 
     fn watch(&self, query: Option<&str>) -> CallResult {
         if !*self.in_touch.borrow() {
-            let error = "this replica has had no contact to a leader recently";
+            let error = "this replica has had no contact with a leader recently";
             return Err(ErrorResponse::unavailable(error, "watch at another replica"));
         }
         // An invalid version counts as none: the full state is sent first.
@@ -459,8 +459,8 @@
         }
         Ok(Err(_)) => Err(ErrorResponse::bad_request("the body ended early", "send it whole")),
         Err(_) => {
-            let error = format!("the body took more than {} s to come", BODY_TIMEOUT.as_secs());
-            Err(ErrorResponse::new(StatusCode::REQUEST_TIMEOUT, error, "send it at once"))
+            let error = format!("the body took more than {} s to arrive", BODY_TIMEOUT.as_secs());
+            Err(ErrorResponse::new(StatusCode::REQUEST_TIMEOUT, error, "send it without pauses"))
         }
     }
 }
--- a/crates/control/src/edge/mod.rs
+++ b/crates/control/src/edge/mod.rs
@@ -41,9 +41,9 @@
 const MAX_WRITES: usize = 64;
 /// The maximum number of messages of other replicas that are read at the same time.
 const MAX_PEER_MESSAGES: usize = 32;
-/// Without contact to a leader for this long, watches end, so that their watchers go to another replica.
+/// Without contact with a leader for this long, watches end, so that their watchers go to another replica.
 const LEADER_CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The interval at which the contact to the leader is checked.
+/// The interval at which the contact with the leader is checked.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// The name of the stored record that counts the starts of the replica.
 const STARTS_RECORD: &str = "starts";
@@ -161,7 +161,7 @@
         let (task_hub, task_replica) = (hub.clone(), replica.clone());
         tasks.spawn(async move {
             check_leader_contact(task_replica, task_hub, in_touch_sender).await;
-            "checks the contact to the leader"
+            "checks the contact with the leader"
         });
         let edge = Arc::new(Edge {
             connections: Limiter::new(config.limits.max_connections),
@@ -272,7 +272,7 @@
             match (&agreed.change, agreed.ended_changes.last()) {
                 _ if !policy_changed => {}
                 (Some(change), _) => {
-                    tracing::info!(change = change.id.0, epoch = change.epoch, "change proposed");
+                    tracing::info!(change = change.id.0, epoch = change.epoch, "change pending");
                 }
                 (None, Some(ended)) => {
                     let (change, epoch) = (ended.id.0, ended.epoch);
@@ -319,7 +319,7 @@
         let changed =
             in_touch.send_if_modified(|in_touch| std::mem::replace(in_touch, is_in_touch) != is_in_touch);
         if changed && !is_in_touch {
-            tracing::warn!("no contact to a leader: watches are ended");
+            tracing::warn!("no contact with a leader: watches are ended");
             hub.disconnect_all();
         }
         tokio::select! {
