--- a/crates/control/src/edge/actor.rs
+++ b/crates/control/src/edge/actor.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use consensus::{Leading, Replica};
+use consensus::{Leadership, Replica};
 use member::{Epoch, Heartbeat, HeartbeatReply, Millis, Process, StageReply};
 use serde::Serialize;
 use tokio::net::TcpStream;
@@ -153,8 +153,8 @@
 impl Actor {
     /// Runs a leader whenever this replica leads, until `stopping`.
     pub async fn run(mut self, mut stopping: watch::Receiver<bool>) {
-        let mut leading = self.replica.leading();
-        let mut applied = self.replica.applied();
+        let mut leading = self.replica.watch_leadership();
+        let mut applied = self.replica.watch_applied();
         let mut term: Option<Term> = None;
         loop {
             let current = leading.borrow_and_update().clone();
@@ -162,7 +162,7 @@
                 tracing::info!(term = current.term, "leadership lost");
                 term = None;
             }
-            if current.me && term.is_none() {
+            if current.is_local && term.is_none() {
                 tracing::info!(term = current.term, "leadership acquired");
                 term = Some(Term::new(&self, current.term));
             }
@@ -273,8 +273,8 @@
         to_millis(self.started_at.elapsed())
     }
 
-    fn is_current(&self, leading: &Leading) -> bool {
-        leading.me && leading.term == self.number
+    fn is_current(&self, leading: &Leadership) -> bool {
+        leading.is_local && leading.term == self.number
     }
 
     /// Returns the event together with all others that are queued. The leader iterates over all members once per step
@@ -389,7 +389,7 @@
                 let term = self.number;
                 self.tasks.spawn(async move {
                     // A decision of this term is void in the log of another one.
-                    let written = replica.write_in(term, command.clone()).await;
+                    let written = replica.write_in_term(term, command.clone()).await;
                     let outcome = written.map(|(_, outcome)| outcome);
                     if let Err(error) = &outcome {
                         tracing::debug!(%error, ?command, "a write of the leader failed");
@@ -400,7 +400,7 @@
             Effect::ConfirmLeadership => {
                 let term = self.number;
                 self.tasks.spawn(async move {
-                    let confirmed = replica.confirm().await.is_ok();
+                    let confirmed = replica.confirm_leadership().await.is_ok();
                     // `leading` is updated by a task and may lag; the status is the consensus core's own. A replica
                     // that was deposed and re-elected would otherwise confirm its next term.
                     let status = replica.status();
--- a/crates/control/src/edge/calls.rs
+++ b/crates/control/src/edge/calls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use consensus::{WriteError, BODY_MOST};
+use consensus::{WriteError, MAX_BODY_BYTES};
 use http_body_util::{BodyExt, Either, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -123,8 +123,8 @@
         match resource {
             Resource::PeerMessage => {
                 let _permit = self.peer_messages.acquire().map_err(limit_error)?;
-                let body = read_body(body, BODY_MOST).await?;
-                let (status, answer) = self.replica.serve(path, body).await;
+                let body = read_body(body, MAX_BODY_BYTES).await?;
+                let (status, answer) = self.replica.handle_message(path, body).await;
                 Ok(json_bytes(status, answer))
             }
             Resource::Session => {
@@ -207,7 +207,7 @@
     /// Returns the verdicts in the log and, on the leader, also its view of the votes.
     async fn verdicts(&self) -> CallResult {
         let votes = self.actor.votes().await;
-        let leading = self.replica.leading().borrow().clone();
+        let leading = self.replica.watch_leadership().borrow().clone();
         let leader = leading.leader.map(|(_, address)| address);
         let (is_leader, votes) = (votes.is_ok(), votes.ok().flatten());
         let in_touch = *self.in_touch.borrow();
@@ -251,7 +251,7 @@
             + 2.0 * settings.promise_ms.max(settings.lease_ms)
             + settings.session_timeout_ms;
         let deadline = Instant::now() + Duration::from_secs_f64(max_ms / 1000.0) + ELECTION_MARGIN;
-        let mut applied = self.replica.applied();
+        let mut applied = self.replica.watch_applied();
         let mut stopping = self.stopping.subscribe();
         let ended = loop {
             applied.borrow_and_update();
@@ -293,7 +293,7 @@
             self.replica.read(|state, _| state.policy_state().pending_change().map(|change| change.id));
         let Some(change) = change else {
             // This replica's state may be outdated.
-            self.replica.confirm().await?;
+            self.replica.confirm_leadership().await?;
             return Err(no_change());
         };
         match self
@@ -336,7 +336,7 @@
 
     async fn status(&self) -> serde_json::Value {
         let store = self.store.clone();
-        let disk_bytes = tokio::task::spawn_blocking(move || store.size().ok()).await.ok().flatten();
+        let disk_bytes = tokio::task::spawn_blocking(move || store.file_size().ok()).await.ok().flatten();
         let (epoch, members) =
             self.replica.read(|state, _| (state.policy_state().epoch(), state.roster().len()));
         json!({
@@ -387,8 +387,10 @@
     fn call_error(&self, error: CallError) -> ErrorResponse {
         match error {
             CallError::NotLeader => {
-                let leading = self.replica.leading().borrow().clone();
-                ErrorResponse::not_leader(leading.leader.filter(|_| !leading.me).map(|(_, address)| address))
+                let leading = self.replica.watch_leadership().borrow().clone();
+                ErrorResponse::not_leader(
+                    leading.leader.filter(|_| !leading.is_local).map(|(_, address)| address),
+                )
             }
             CallError::QueueFull => ErrorResponse::unavailable("too many calls at a time", "ask again soon"),
             CallError::Refused(refusal) => {
--- a/crates/control/src/edge/mod.rs
+++ b/crates/control/src/edge/mod.rs
@@ -24,7 +24,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use consensus::{ConsensusError, Failure, Replica, ReplicaConfig};
+use consensus::{ConsensusError, FatalError, Replica, ReplicaConfig};
 use member::WatchEvent;
 use store::{Owner, Store, StoreError};
 use tokio::signal::unix::{signal, SignalKind};
@@ -79,7 +79,7 @@
     Start(#[from] ConsensusError),
     /// The consensus library failed while running.
     #[error("{0}; {advice}", advice = .0.advice)]
-    Failed(Failure),
+    Failed(FatalError),
     /// One of its tasks has ended.
     #[error("the task that {0} has ended; restart the replica, and report this with its log")]
     Ended(&'static str),
@@ -107,9 +107,9 @@
     /// some of it.
     fn is_ready(&self) -> bool {
         let status = self.replica.status();
-        let required = self.last_entry_at_start.min(status.last.unwrap_or_default());
-        self.replica.leading().borrow().leader.is_some()
-            && status.applied >= required
+        let required = self.last_entry_at_start.min(status.last_log_index.unwrap_or_default());
+        self.replica.watch_leadership().borrow().leader.is_some()
+            && status.applied_index >= required
             && !*self.stopping.borrow()
     }
 }
@@ -141,7 +141,7 @@
         replica_config.election_ms = config.election.timeout_range_ms;
         let starts = count_start(&store).await?;
         let replica = Replica::start(replica_config, store.clone(), FleetState::new()).await?;
-        let last_entry_at_start = replica.status().last.unwrap_or_default();
+        let last_entry_at_start = replica.status().last_log_index.unwrap_or_default();
 
         let (stopping, _) = channel(false);
         let (in_touch_sender, in_touch) = channel(false);
@@ -195,9 +195,9 @@
     pub async fn failed(&mut self) -> ControlError {
         let replica = &self.edge.replica;
         tokio::select! {
-            failure = replica.failure() => ControlError::Failed(failure),
+            failure = replica.fatal_error() => ControlError::Failed(failure),
             // A failure of the replica may have ended the task.
-            Some(ended) = self.tasks.join_next() => match timeout(STOP_TIMEOUT, replica.failure()).await {
+            Some(ended) = self.tasks.join_next() => match timeout(STOP_TIMEOUT, replica.fatal_error()).await {
                 Ok(failure) => ControlError::Failed(failure),
                 Err(_) => ControlError::Ended(ended.unwrap_or("panicked")),
             }
@@ -258,7 +258,7 @@
 
 /// Publishes each change of the policy and of the verdicts to watchers, and logs each change of the policy.
 async fn publish_changes(replica: Replica<FleetState>, hub: WatchHub) {
-    let mut applied = replica.applied();
+    let mut applied = replica.watch_applied();
     let mut published = None;
     loop {
         applied.borrow_and_update();
@@ -303,13 +303,13 @@
 
 /// Tracks whether this replica is in contact with a leader that a majority follows, and ends watches if it is not.
 async fn check_leader_contact(replica: Replica<FleetState>, hub: WatchHub, in_touch: Sender<bool>) {
-    let mut leading = replica.leading();
+    let mut leading = replica.watch_leadership();
     let mut last_contact: Option<Instant> = None;
     loop {
         let current = leading.borrow_and_update().clone();
         let started = Instant::now();
-        let has_leader = match current.me {
-            true => matches!(timeout(LEADER_CONTACT_TIMEOUT, replica.confirm()).await, Ok(Ok(()))),
+        let has_leader = match current.is_local {
+            true => matches!(timeout(LEADER_CONTACT_TIMEOUT, replica.confirm_leadership()).await, Ok(Ok(()))),
             false => current.leader.is_some(),
         };
         if has_leader {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -7,7 +7,7 @@
 //! | [`roster`] | which processes are members: join, leave, proven exit, removal |
 //! | [`policy`] | the agreed epoch, the pending change, the outcomes of past changes |
 //! | [`verdicts`] | servers that are removed by votes, and the removal caps |
-//! | [`machine`] | the three of them combined, driven by [`consensus::Machine`] |
+//! | [`machine`] | the three of them combined, driven by [`consensus::StateMachine`] |
 //! | [`leader`] | sessions, promises and leases by one leader's monotonic clock; pure like the others, but not replicated: it returns what to write, reply and probe |
 //! | [`tally`] | ballots on servers and the verdicts that follow from them; next to the leader and built the same way |
 //! | [`config`] | one replica's configuration, with complete validation |
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,6 +1,6 @@
 //! The replicated state machine: roster, policy and verdicts combined, as [`consensus`] drives it.
 
-use consensus::Machine;
+use consensus::StateMachine;
 use member::AgreedState;
 use serde::{Deserialize, Serialize};
 
@@ -71,7 +71,7 @@
     }
 }
 
-impl Machine for FleetState {
+impl StateMachine for FleetState {
     type Command = Command;
     type Reply = Outcome;
 
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -1,6 +1,6 @@
 //! The verdicts' state machine, and those rules of the tally that do not depend on the order of events.
 
-use consensus::Machine as _;
+use consensus::StateMachine as _;
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand, VerdictCommand};
 use control::machine::FleetState;
 use control::tally::{Input, Tally};
--- a/crates/control/tests/votes_model.rs
+++ b/crates/control/tests/votes_model.rs
@@ -10,7 +10,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Instant;
 
-use consensus::Machine as _;
+use consensus::StateMachine as _;
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand, VerdictCommand};
 use control::machine::FleetState;
 use control::tally::{Input, Tally};
--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -229,8 +229,8 @@
             }
             Out::Reply { attempt, reply } => {
                 let outcome = match reply {
-                    Reply::Served => Outcome::Done,
-                    Reply::TurnedAway => Outcome::Full,
+                    Reply::Served => Outcome::Success,
+                    Reply::TurnedAway => Outcome::Rejected,
                     Reply::Error => Outcome::Error,
                     Reply::Garbled | Reply::Reset => Outcome::Reset,
                 };
@@ -454,7 +454,7 @@
         ballots.sort_by_key(|ballot| (ballot.vote, std::cmp::Reverse(ballot.evidence.failures())));
         ballots.truncate(MAX_BALLOTS);
         let zone = Some(draw.zones[self.world.node_zone(node)].clone());
-        let votes = VoteReport { zone, up_servers: self.world.up(), abstains: own.doubts, ballots };
+        let votes = VoteReport { zone, up_servers: self.world.up(), abstains: own.self_doubt, ballots };
         let echo = n.answer.as_ref().map(|(stamp, _)| *stamp);
         let Some(answer) = group.beat(self.now, process(node, self.lives[node]), echo, votes) else { return };
         n.answer = Some(answer);
