--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -544,7 +544,7 @@
     /// clocks that differ in rate.
     pub fn max_mixed_ms(&self) -> f64 {
         let told = self.terms.get("promise_ms").and_then(toml::Value::as_integer);
-        let promise = told.map_or(control::leader::Terms::default().promise_ms, |ms| ms as f64);
+        let promise = told.map_or(control::leader::LeaderSettings::default().promise_ms, |ms| ms as f64);
         promise * (1.0 + 2.0 * member::MAX_CLOCK_DRIFT)
     }
 }
