--- a/src/main.rs
+++ b/src/main.rs
@@ -11,13 +11,13 @@
 use std::time::{Duration, Instant};
 
 use net::admin::Admin;
-use net::agreed::Joining;
+use net::advice::Advice;
 use net::clients::Clients;
 use net::config::{self, Config, ConfigError};
-use net::fault::Advice;
-use net::hands::Tasks;
+use net::io_tasks::IoTasks;
 use net::listen::{self, ListenError};
 use net::log;
+use net::membership::MembershipSetup;
 use net::node::Node;
 use thiserror::Error;
 use tokio::net::TcpListener;
@@ -25,26 +25,26 @@
 use tokio::task::{spawn_local, LocalSet};
 use tulipmount::SettingsError;
 
-/// How long connections still come after SIGTERM, where no other process takes them.
-const ACCEPT: Duration = Duration::from_millis(500);
-/// How long what has come by then may take to be accepted.
-const BACKLOG: Duration = Duration::from_millis(100);
-/// SIGKILL comes no sooner than the longest deadline, which counts as 3 s at most, and this after SIGTERM.
-const KILL_AFTER: Duration = Duration::from_millis(700);
-const LONGEST: Duration = Duration::from_secs(3);
-/// How long before that the node closes what is still idle, and fails what is still open.
-const CLOSE_BEFORE: Duration = Duration::from_millis(700);
-const FAIL_BEFORE: Duration = Duration::from_millis(300);
-/// How long after that the node ends, if nobody has killed it: however slowly an answer comes, or is read.
-const LAST: Duration = Duration::from_secs(10);
-/// How long the last beat may take, which closes the session with the control group.
-const LEAVE: Duration = Duration::from_millis(500);
-/// How often idle connections are looked at, and a line on the node's state is logged.
-const SWEEP: Duration = Duration::from_millis(500);
-/// How often bans are looked at: well within the grace of a drain.
-const BANS: Duration = Duration::from_millis(50);
-
-/// Why a node does not start.
+/// How long connections are still accepted after SIGTERM if no other process accepts them.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(500);
+/// How long accepting the connections queued by then may take.
+const BACKLOG_TIMEOUT: Duration = Duration::from_millis(100);
+/// SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as [`MAX_DEADLINE`] at most, plus this.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// How long before SIGKILL the node closes idle connections, and fails open requests.
+const CLOSE_IDLE_BEFORE_KILL: Duration = Duration::from_millis(700);
+const FAIL_BEFORE_KILL: Duration = Duration::from_millis(300);
+/// How long after that time the node exits if it was not killed, however slowly responses arrive or are read.
+const EXIT_AFTER_KILL: Duration = Duration::from_secs(10);
+/// How long the last heartbeat may take, which closes the session with the control group.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often idle connections are checked and a line on the node's state is logged.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// How often bans are read: well within the grace period of a drain.
+const BAN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Why a node cannot start.
 #[derive(Debug, Error)]
 enum StartError {
     #[error(transparent)]
@@ -82,38 +82,41 @@
 
 fn run() -> Result<(), StartError> {
     let config = config::load()?;
-    // A task that panics leaves what it held unanswered, and perhaps the module half changed. A node that
-    // ends is started again; one that is half dead is not.
-    std::panic::set_hook(Box::new(|fault| {
-        log::line(format!("panic: {fault}"));
-        // Time for the line; a full pipe must not hold up the end.
+    // A task that panics leaves its requests unanswered and may leave the decision module in an inconsistent state.
+    // A node that ends is restarted; one that half works is not.
+    std::panic::set_hook(Box::new(|panic| {
+        log::line(format!("panic: {panic}"));
+        // Time to write the line; a full pipe must not delay the exit.
         std::thread::sleep(Duration::from_millis(50));
         std::process::exit(101);
     }));
-    // Before anything else opens a descriptor.
-    let listener = match config.inherited {
+    // Before any other descriptor is opened.
+    let listener = match config.inherited_fd {
         Some(fd) => listen::adopt(fd)?,
         None => listen::bind("listen", config.listen)?,
     };
     log::start();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(StartError::Runtime)?;
-    let ended = LocalSet::new().block_on(&runtime, serve(config, listener));
-    // A disk that hangs must not hold up the end.
+    let result = LocalSet::new().block_on(&runtime, serve(config, listener));
+    // A disk that hangs must not delay the exit.
     runtime.shutdown_background();
-    ended
+    result
 }
 
 async fn serve(mut config: Config, listener: StdListener) -> Result<(), StartError> {
-    let caught = |kind| signal(kind).map_err(StartError::Signal);
-    let (mut terminate, mut interrupt) = (caught(SignalKind::terminate())?, caught(SignalKind::interrupt())?);
-    let hangup = caught(SignalKind::hangup())?;
-    let (listener, address) = listen::take("listen", listener)?;
-    let admin = config.admin.map(|at| listen::bind("admin_addr", at)).transpose()?;
-    let admin = admin.map(|listener| listen::take("admin_addr", listener)).transpose()?;
-    let joining = config.control.take().map(|control| Joining::new(&config, control)).transpose()?;
-    let node = Node::new(config, joining.as_ref().map(Joining::gate), Box::new(Tasks))?;
-    let membership = joining.map(|joining| joining.follow(&node));
+    let listen_for = |kind| signal(kind).map_err(StartError::Signal);
+    let (mut terminate, mut interrupt) =
+        (listen_for(SignalKind::terminate())?, listen_for(SignalKind::interrupt())?);
+    let hangup = listen_for(SignalKind::hangup())?;
+    let (listener, address) = listen::into_tokio("listen", listener)?;
+    let admin = config.admin_addr.map(|at| listen::bind("admin_addr", at)).transpose()?;
+    let admin = admin.map(|listener| listen::into_tokio("admin_addr", listener)).transpose()?;
+    let membership_setup =
+        config.control.take().map(|control| MembershipSetup::new(&config, control)).transpose()?;
+    let node =
+        Node::new(config, membership_setup.as_ref().map(MembershipSetup::admission), Box::new(IoTasks))?;
+    let membership = membership_setup.map(|setup| setup.follow(&node));
     if let Some((listener, address)) = admin {
         log::line(format!("{} takes operators' calls at {address}", node.config.name));
         spawn_local(Admin::new(node.clone()).accept(listener));
@@ -125,8 +128,8 @@
     spawn_local(sweep(node.clone(), clients.clone()));
     spawn_local(reload(node.clone(), hangup));
     let accept = async {
-        if node.config.inherited.is_some() {
-            // Until this process can serve, an older one does.
+        if node.config.inherited_fd.is_some() {
+            // An older process serves until this one can.
             node.until_ready().await;
         }
         clients.accept(&listener).await;
@@ -138,75 +141,75 @@
     }
     stop(&node, &clients, listener).await;
     if let Some(membership) = membership {
-        membership.leave(Instant::now() + LEAVE).await;
+        membership.leave(Instant::now() + LEAVE_TIMEOUT).await;
     }
     Ok(())
 }
 
-/// Follows discovery to the address that the configuration file names at each SIGHUP. One that can't be read
-/// changes nothing.
+/// Follows discovery to the address in the configuration file at each SIGHUP. An invalid file changes nothing.
 async fn reload(node: Rc<Node>, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
-        match config::moved() {
-            Ok(to) => node.move_discovery(to),
+        match config::reload_discovery_addr() {
+            Ok(address) => node.change_discovery(address),
             Err(error) => log::line(format!("SIGHUP: nothing changed: {}", error.line())),
         }
     }
 }
 
-/// Follows what a successor, or the process before, is told of maintenance.
+/// Follows the bans that the previous or the next process of this node changes.
 async fn follow_bans(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(BANS).await;
-        node.look_at_bans();
+        tokio::time::sleep(BAN_POLL_INTERVAL).await;
+        node.poll_bans();
     }
 }
 
 async fn sweep(node: Rc<Node>, clients: Rc<Clients>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
-        log::refill();
-        log::line(format!("{} clients, {}", clients.count(), node.status()));
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        log::refill_limit();
+        log::line(format!("{} clients, {}", clients.open_connections(), node.status()));
         node.share_memory();
         node.pool.sweep();
         clients.sweep();
     }
 }
 
-/// Finishes all that was taken. Without a successor the front goes on connecting for a while; clients use what
-/// they have for as long as it stays open.
+/// Finishes all open requests. Without a successor, clients go on connecting for a while, and use the connections
+/// that they have for as long as those stay open.
 async fn stop(node: &Rc<Node>, clients: &Rc<Clients>, listener: TcpListener) {
-    let told = Instant::now();
-    node.closing.set(Some(told));
-    let longest = Duration::try_from_secs_f64(node.config.told.longest / 1000.0).unwrap_or(LONGEST);
-    let kill = told + longest.min(LONGEST) + KILL_AFTER;
-    let mut close_idle = told;
+    let stop_requested = Instant::now();
+    node.stopping_since.set(Some(stop_requested));
+    let max_deadline =
+        Duration::try_from_secs_f64(node.config.node_settings.longest / 1000.0).unwrap_or(MAX_DEADLINE);
+    let kill_at = stop_requested + max_deadline.min(MAX_DEADLINE) + KILL_MARGIN;
+    let mut close_idle_at = stop_requested;
     clients.serve_waiting();
-    if node.config.inherited.is_some() {
-        // New connections are the successor's, and what they need of the descriptors too. Clients go over to it
-        // with the answers that close; an idle connection that is closed may cross a request.
+    if node.config.inherited_fd.is_some() {
+        // New connections are the successor's, and so are the descriptors that they need. Clients move over to it
+        // with responses that close their connection; closing an idle connection may cross a request on it.
         drop(listener);
         node.share_memory();
-        node.pool.shrink(node.server_connections());
+        node.pool.shrink(node.max_server_connections());
         clients.shrink();
-        close_idle = kill - CLOSE_BEFORE;
+        close_idle_at = kill_at - CLOSE_IDLE_BEFORE_KILL;
     } else {
-        let _ = tokio::time::timeout(ACCEPT, clients.accept(&listener)).await;
+        let _ = tokio::time::timeout(ACCEPT_AFTER_SIGTERM, clients.accept(&listener)).await;
         clients.serve_waiting();
-        // They may come without end.
-        let _ = tokio::time::timeout(BACKLOG, clients.empty_backlog(&listener)).await;
+        // They may keep arriving without end.
+        let _ = tokio::time::timeout(BACKLOG_TIMEOUT, clients.accept_queued(&listener)).await;
         drop(listener);
     }
-    // Whoever reads slowly gets its answer until SIGKILL comes: to end before would be to lose it.
-    while clients.count() > 0 || node.open_requests() > 0 {
-        if Instant::now() >= close_idle {
+    // A client that reads slowly gets its response until SIGKILL comes: to exit earlier would lose it.
+    while clients.open_connections() > 0 || node.open_requests() > 0 {
+        if Instant::now() >= close_idle_at {
             clients.close_idle();
         }
-        if Instant::now() >= kill - FAIL_BEFORE {
-            node.fail_open();
+        if Instant::now() >= kill_at - FAIL_BEFORE_KILL {
+            node.fail_open_requests();
             clients.close_unanswered();
         }
-        if Instant::now() >= kill + LAST {
+        if Instant::now() >= kill_at + EXIT_AFTER_KILL {
             clients.close_all();
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -215,7 +218,7 @@
 
 #[cfg(test)]
 mod tests {
-    use net::fault::tests::each_has_its_advice;
+    use net::advice::tests::assert_each_has_advice;
 
     use super::*;
 
@@ -223,8 +226,8 @@
     fn each_error_has_its_advice() {
         use StartError::*;
         let error = || io::Error::from(io::ErrorKind::Other);
-        each_has_its_advice(|before| match before {
-            None => Some(Config(ConfigError::NoFile)),
+        assert_each_has_advice(|before| match before {
+            None => Some(Config(ConfigError::FileNotSet)),
             Some(Config(_)) => Some(Listen(ListenError::Runtime { field: "listen", error: error() })),
             Some(Listen(_)) => Some(Settings(SettingsError("tick: negative".into()))),
             Some(Settings(_)) => Some(Runtime(error())),
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' second address: HTTP/1.1, one call to a connection.
+//! The operators' interface at the second address: HTTP/1.1, one call per connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,115 +16,116 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::bodies::Outgoing;
-use super::clients::plain;
-use super::fault::Advice;
+use super::advice::Advice;
+use super::bodies::OutgoingBody;
+use super::clients::empty_response;
 use super::log;
 use super::node::Node;
-use super::sock::{Io, Sock};
+use super::socket::{HyperIo, TrackedSocket};
 
-/// Callers at a time; their descriptors are kept aside. One more takes the place of the one that came first.
-const CALLERS: usize = 8;
-/// How long a caller may take for its call, and to read the answer.
-const PATIENCE: Duration = Duration::from_millis(2000);
-/// How long a connection is read after its answer, so that a reset does not overtake it.
-const LINGER: Duration = Duration::from_millis(200);
-/// How long accepting rests when descriptors have run out all the same.
-const EXHAUSTED: Duration = Duration::from_millis(20);
+/// The most callers at a time; their descriptors are reserved. One more takes the place of the oldest.
+const MAX_CALLERS: usize = 8;
+/// How long a caller may take to send its call and to read the response.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
+/// How long a connection is read after its response, so that no reset overtakes it.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// The pause before accepting again after an error, as when descriptors have run out despite the reserve.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// The largest head of a call.
-const HEAD_MOST: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// The second address.
+/// The server of the operators' interface.
 pub struct Admin {
     node: Rc<Node>,
-    /// The callers, in the order in which they came.
-    open: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    last: Cell<u64>,
+    /// The open connections, in the order in which they were accepted.
+    callers: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    last_number: Cell<u64>,
 }
 
 impl Admin {
-    /// No callers yet.
+    /// A server without callers.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
-        Rc::new(Self { node, open: RefCell::default(), last: Cell::new(0) })
+        Rc::new(Self { node, callers: RefCell::default(), last_number: Cell::new(0) })
     }
 
-    /// Takes calls; never ends.
+    /// Accepts calls; never returns.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.serve(stream),
                 Err(error) => {
-                    log::trouble(|| format!("accept at the second address: {error}"));
-                    tokio::time::sleep(EXHAUSTED).await;
+                    log::limited(|| format!("accept at the second address: {error}"));
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
-            // Whoever has come gets to say its call before the next one can take its place.
+            // A new caller gets to send its call before the next one can replace it.
             tokio::task::yield_now().await;
         }
     }
 
     fn serve(self: &Rc<Self>, stream: TcpStream) {
-        let Ok(sock) = Sock::new(stream) else { return };
-        let (number, close) = (self.last.get() + 1, Rc::new(Notify::new()));
-        self.last.set(number);
-        let mut open = self.open.borrow_mut();
-        if open.len() >= CALLERS {
-            if let Some((_, first)) = open.pop_first() {
-                first.notify_one();
+        let Ok(socket) = TrackedSocket::new(stream) else { return };
+        let (number, close) = (self.last_number.get() + 1, Rc::new(Notify::new()));
+        self.last_number.set(number);
+        let mut callers = self.callers.borrow_mut();
+        if callers.len() >= MAX_CALLERS {
+            if let Some((_, oldest)) = callers.pop_first() {
+                oldest.notify_one();
             }
         }
-        open.insert(number, close.clone());
+        callers.insert(number, close.clone());
         let admin = self.clone();
         tokio::task::spawn_local(async move {
             tokio::select! {
-                _ = timeout(PATIENCE, admin.converse(sock)) => {}
+                _ = timeout(CALL_TIMEOUT, admin.serve_connection(socket)) => {}
                 () = close.notified() => {}
             }
-            admin.open.borrow_mut().remove(&number);
+            admin.callers.borrow_mut().remove(&number);
         });
     }
 
-    async fn converse(&self, sock: Rc<Sock>) {
+    async fn serve_connection(&self, socket: Rc<TrackedSocket>) {
         let service = service_fn(|call| async move {
             let (method, path) = (call.method(), call.uri().path());
-            Ok::<_, Infallible>(self.answer(method, path))
+            Ok::<_, Infallible>(self.respond(method, path))
         });
         let conn = http1::Builder::new()
             .keep_alive(false)
-            .max_buf_size(HEAD_MOST)
+            .max_buf_size(MAX_HEAD_BYTES)
             .auto_date_header(false)
-            .serve_connection(Io(sock.clone()), service);
-        // What breaks a caller's connection is the caller's to see.
+            .serve_connection(HyperIo(socket.clone()), service);
+        // A failed connection concerns only its caller.
         let _ = conn.await;
-        let _ = timeout(LINGER, sock.linger()).await;
+        let _ = timeout(LINGER_TIMEOUT, socket.linger()).await;
     }
 
-    fn answer(&self, method: &Method, path: &str) -> Response<Outgoing> {
+    fn respond(&self, method: &Method, path: &str) -> Response<OutgoingBody> {
         match path {
-            "/metrics" => only(Method::GET, method, || {
-                let mut answer = Response::new(Outgoing::held(Bytes::from(self.node.figures())));
-                answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-                answer
+            "/metrics" => allow_only(Method::GET, method, || {
+                let mut response =
+                    Response::new(OutgoingBody::buffered(Bytes::from(self.node.metrics_text())));
+                response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+                response
             }),
-            "/ready" => only(Method::GET, method, || plain(self.node.readiness())),
-            _ => self.maintain(method, path).unwrap_or_else(|| plain(StatusCode::NOT_FOUND)),
+            "/ready" => allow_only(Method::GET, method, || empty_response(self.node.ready_status())),
+            _ => self.maintenance_call(method, path).unwrap_or_else(|| empty_response(StatusCode::NOT_FOUND)),
         }
     }
 
-    /// A call that takes a server out or gives it back; `None` where the path is no such call.
-    fn maintain(&self, method: &Method, path: &str) -> Option<Response<Outgoing>> {
-        let (what, id) = path.strip_prefix("/app-servers/")?.split_once('/')?;
-        let out = match what {
+    /// Bans a server or lifts its ban; `None` if the path is neither call.
+    fn maintenance_call(&self, method: &Method, path: &str) -> Option<Response<OutgoingBody>> {
+        let (operation, id) = path.strip_prefix("/app-servers/")?.split_once('/')?;
+        let ban = match operation {
             "disable" => true,
             "enable" => false,
             _ => return None,
         };
-        Some(only(Method::PUT, method, || {
+        Some(allow_only(Method::PUT, method, || {
             let Ok(name) = percent_decode_str(id).decode_utf8() else {
-                return plain(StatusCode::BAD_REQUEST);
+                return empty_response(StatusCode::BAD_REQUEST);
             };
-            let known = if out { Ok(self.node.disable(&name)) } else { self.node.enable(&name) };
-            plain(match known {
+            let known = if ban { Ok(self.node.disable(&name)) } else { self.node.enable(&name) };
+            empty_response(match known {
                 Ok(true) => StatusCode::OK,
                 Ok(false) => StatusCode::NOT_FOUND,
                 Err(error) => {
@@ -136,13 +137,17 @@
     }
 }
 
-/// The answer to a call that has just one method.
-fn only(wanted: Method, method: &Method, answer: impl FnOnce() -> Response<Outgoing>) -> Response<Outgoing> {
-    if *method == wanted {
-        return answer();
+/// The response to a call that allows one method only.
+fn allow_only(
+    allowed: Method,
+    method: &Method,
+    respond: impl FnOnce() -> Response<OutgoingBody>,
+) -> Response<OutgoingBody> {
+    if *method == allowed {
+        return respond();
     }
-    let mut refusal = plain(StatusCode::METHOD_NOT_ALLOWED);
-    let allowed = if wanted == Method::GET { "GET" } else { "PUT" };
-    refusal.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
+    let mut refusal = empty_response(StatusCode::METHOD_NOT_ALLOWED);
+    let allow = if allowed == Method::GET { "GET" } else { "PUT" };
+    refusal.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
     refusal
 }
--- a/src/net/bans.rs
+++ b/src/net/bans.rs
@@ -1,8 +1,9 @@
-//! Bans that outlive the process: one empty file for each in a folder that it shares with its successor, and one
-//! for each server that came back, whose time tells since when it is cold.
+//! Bans on servers that outlive the process: an empty marker file for each banned server, in a folder that the
+//! process shares with its successor, and one for each server whose ban was lifted, whose modification time tells
+//! how long the server counts as cold.
 //!
-//! A file is made or removed whole and names one server alone, so two processes need no lock and lose nothing
-//! of each other's. What the folder can't keep holds in memory.
+//! A marker is created or removed as a whole and names a single server, so two processes need no lock and lose none
+//! of each other's changes. A ban that cannot be written holds in memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File};
@@ -12,53 +13,53 @@
 
 use thiserror::Error;
 
-use super::fault::Advice;
+use super::advice::Advice;
 use super::log;
 
-/// What a server's file begins with while it is out, and once it is back.
-const OUT: &str = "out-";
-const BACK: &str = "back-";
+/// File name prefixes: of the marker of a banned server, and of one whose ban was lifted.
+const BANNED_PREFIX: &str = "out-";
+const RETURNED_PREFIX: &str = "back-";
 
-/// What has changed for a server.
+/// A change made by another process of this node.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Change {
-    /// It is out.
-    Out,
-    /// It came back so long ago, as far as the clock tells.
-    Back(Duration),
+pub enum BanChange {
+    /// The server was banned.
+    Banned,
+    /// The ban was lifted this long ago, by the wall clock.
+    Lifted(Duration),
 }
 
-/// What the folder can't do.
+/// Why the folder of markers could not be used.
 #[derive(Debug, Error)]
 pub enum BanError {
-    /// A ban can't be written.
+    /// A ban could not be saved.
     #[error("the ban of {name} holds in this process alone: {error}")]
-    Unkept {
+    BanNotSaved {
         /// The server.
         name: String,
-        /// What the system says.
+        /// The system's error.
         error: io::Error,
     },
-    /// That a server is back can't be written.
+    /// The lifting of a ban could not be saved.
     #[error("that {name} came back is known to this process alone: {error}")]
-    ReturnUnkept {
+    ReturnNotSaved {
         /// The server.
         name: String,
-        /// What the system says.
+        /// The system's error.
         error: io::Error,
     },
-    /// A ban can't be lifted.
+    /// A ban could not be lifted.
     #[error("{name} stays out of use: {error}")]
-    Unlifted {
+    NotLifted {
         /// The server.
         name: String,
-        /// What the system says.
+        /// The system's error.
         error: io::Error,
     },
-    /// The folder can't be read.
+    /// The folder could not be read.
     #[error("bans can't be read, those known hold: {error}")]
-    Unread {
-        /// What the system says.
+    FolderUnreadable {
+        /// The system's error.
         error: io::Error,
     },
 }
@@ -66,168 +67,178 @@
 impl Advice for BanError {
     fn advice(&self) -> String {
         match self {
-            Self::Unkept { .. } => "ban it again after an upgrade, or make room under TMPDIR".into(),
-            Self::ReturnUnkept { .. } => "give it back at the other process as well".into(),
-            Self::Unlifted { .. } => {
+            Self::BanNotSaved { .. } => "ban it again after an upgrade, or make room under TMPDIR".into(),
+            Self::ReturnNotSaved { .. } => "give it back at the other process as well".into(),
+            Self::NotLifted { .. } => {
                 "remove its file from the node's folder under TMPDIR, or call again".into()
             }
-            Self::Unread { .. } => "let the node's user read its folder under TMPDIR".into(),
+            Self::FolderUnreadable { .. } => "let the node's user read its folder under TMPDIR".into(),
         }
     }
 }
 
-/// The servers that operators have taken out, by name.
+/// The servers that operators have banned, by name.
 pub struct Bans {
-    /// `None` where bans are not kept.
+    /// Where the markers are; `None` if bans are not saved.
     folder: Option<PathBuf>,
-    /// How long it matters that a server came back.
-    cold: Duration,
-    out: BTreeSet<String>,
-    /// Those of them that the folder does not hold.
-    unkept: BTreeSet<String>,
-    /// When others came back, as the folder tells.
-    back: BTreeMap<String, SystemTime>,
+    /// How long a returned server counts as cold.
+    cold_period: Duration,
+    banned: BTreeSet<String>,
+    /// Those of the banned servers that have no marker.
+    unsaved: BTreeSet<String>,
+    /// When other servers' bans were lifted, by their markers.
+    returned: BTreeMap<String, SystemTime>,
 }
 
 impl Bans {
-    /// No bans yet; those of the node `name` are kept in a folder of its own below `parent`.
-    pub fn new(parent: Option<PathBuf>, name: &str, cold: Duration) -> Self {
-        let folder = parent.map(|p| p.join(format!("bans-{}", hex(name))));
-        Self { folder, cold, out: BTreeSet::new(), unkept: BTreeSet::new(), back: BTreeMap::new() }
+    /// No bans yet; those of node `name` are kept in a folder of its own below `parent`.
+    pub fn new(parent: Option<PathBuf>, name: &str, cold_period: Duration) -> Self {
+        let folder = parent.map(|p| p.join(format!("bans-{}", encode_hex(name))));
+        Self {
+            folder,
+            cold_period,
+            banned: BTreeSet::new(),
+            unsaved: BTreeSet::new(),
+            returned: BTreeMap::new(),
+        }
     }
 
-    /// Is the server out?
-    pub fn hold(&self, name: &str) -> bool {
-        self.out.contains(name)
+    /// Whether the server is banned.
+    pub fn is_banned(&self, name: &str) -> bool {
+        self.banned.contains(name)
     }
 
-    /// Takes a server out.
-    pub fn take_out(&mut self, name: &str) {
-        self.back.remove(name);
-        self.out.insert(name.to_string());
-        // The ban first: cut off in between, it holds.
-        match self.make(OUT, name).and_then(|()| self.remove(BACK, name)) {
-            Ok(()) => self.unkept.remove(name),
+    /// Bans a server.
+    pub fn ban(&mut self, name: &str) {
+        self.returned.remove(name);
+        self.banned.insert(name.to_string());
+        // The ban's marker comes first: if the process ends between the two steps, the ban holds.
+        match self.create_marker(BANNED_PREFIX, name).and_then(|()| self.remove_marker(RETURNED_PREFIX, name))
+        {
+            Ok(()) => self.unsaved.remove(name),
             Err(error) => {
-                log::line(BanError::Unkept { name: name.to_string(), error }.line());
-                self.unkept.insert(name.to_string())
+                log::line(BanError::BanNotSaved { name: name.to_string(), error }.line());
+                self.unsaved.insert(name.to_string())
             }
         };
     }
 
-    /// Gives a server back; false where it is not out.
+    /// Lifts the ban on a server; false if there is none.
     ///
     /// # Errors
-    /// Where its file can't be removed, and takes it out again.
-    pub fn give_back(&mut self, name: &str) -> Result<bool, BanError> {
-        if !self.out.contains(name) {
+    /// [`BanError::NotLifted`] if the marker cannot be removed; the server then stays banned.
+    pub fn unban(&mut self, name: &str) -> Result<bool, BanError> {
+        if !self.banned.contains(name) {
             return Ok(false);
         }
-        if !self.unkept.remove(name) {
-            if let Err(error) = self.make(BACK, name) {
-                log::line(BanError::ReturnUnkept { name: name.to_string(), error }.line());
+        if !self.unsaved.remove(name) {
+            if let Err(error) = self.create_marker(RETURNED_PREFIX, name) {
+                log::line(BanError::ReturnNotSaved { name: name.to_string(), error }.line());
             }
-            let lifted = self.remove(OUT, name).and_then(|()| self.files());
-            self.back = lifted.map_err(|error| BanError::Unlifted { name: name.to_string(), error })?.1;
+            let lifted = self.remove_marker(BANNED_PREFIX, name).and_then(|()| self.read_folder());
+            self.returned = lifted.map_err(|error| BanError::NotLifted { name: name.to_string(), error })?.1;
         }
-        self.out.remove(name);
+        self.banned.remove(name);
         Ok(true)
     }
 
-    /// What other processes have changed since the last look, this one's start included.
-    pub fn changes(&mut self) -> Vec<(String, Change)> {
-        let (out, back) = match self.files() {
+    /// What other processes have changed since the last call. The first call returns all saved bans.
+    pub fn poll_changes(&mut self) -> Vec<(String, BanChange)> {
+        let (banned, returned) = match self.read_folder() {
             Ok(files) => files,
             Err(error) => {
-                log::trouble(|| BanError::Unread { error }.line());
+                log::limited(|| BanError::FolderUnreadable { error }.line());
                 return Vec::new();
             }
         };
         let mut changes = Vec::new();
-        for name in out.difference(&self.out) {
-            changes.push((name.clone(), Change::Out));
+        for name in banned.difference(&self.banned) {
+            changes.push((name.clone(), BanChange::Banned));
         }
-        let news =
-            |(name, at): &(&String, &SystemTime)| !out.contains(*name) && self.back.get(*name) != Some(*at);
-        for (name, at) in back.iter().filter(news) {
-            changes.push((name.clone(), Change::Back(ago(*at))));
+        let is_new = |(name, at): &(&String, &SystemTime)| {
+            !banned.contains(*name) && self.returned.get(*name) != Some(*at)
+        };
+        for (name, at) in returned.iter().filter(is_new) {
+            changes.push((name.clone(), BanChange::Lifted(age(*at))));
         }
-        for name in self.out.iter().filter(|n| !out.contains(*n) && !self.unkept.contains(*n)) {
-            if !back.contains_key(name) {
-                changes.push((name.clone(), Change::Back(Duration::ZERO)));
+        for name in self.banned.iter().filter(|n| !banned.contains(*n) && !self.unsaved.contains(*n)) {
+            if !returned.contains_key(name) {
+                changes.push((name.clone(), BanChange::Lifted(Duration::ZERO)));
             }
         }
-        self.out = out.union(&self.unkept).cloned().collect();
-        self.back = back;
+        self.banned = banned.union(&self.unsaved).cloned().collect();
+        self.returned = returned;
         changes
     }
 
-    /// The servers that the folder has as out, and when others came back. What no longer matters is removed.
-    fn files(&self) -> io::Result<(BTreeSet<String>, BTreeMap<String, SystemTime>)> {
-        let (mut out, mut back) = (BTreeSet::new(), BTreeMap::new());
-        let Some(folder) = &self.folder else { return Ok((out, back)) };
+    /// Reads which servers are banned and when others' bans were lifted, and removes markers older than the cold
+    /// period.
+    fn read_folder(&self) -> io::Result<(BTreeSet<String>, BTreeMap<String, SystemTime>)> {
+        let (mut banned, mut returned) = (BTreeSet::new(), BTreeMap::new());
+        let Some(folder) = &self.folder else { return Ok((banned, returned)) };
         let entries = match fs::read_dir(folder) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok((out, back)),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok((banned, returned)),
             entries => entries?,
         };
         for entry in entries {
             let entry = entry?;
             let file = entry.file_name();
             let Some(file) = file.to_str() else { continue };
-            if let Some(name) = file.strip_prefix(OUT).and_then(unhex) {
-                out.insert(name);
-            } else if let Some(name) = file.strip_prefix(BACK).and_then(unhex) {
-                // Removed by the other process meanwhile: no news.
+            if let Some(name) = file.strip_prefix(BANNED_PREFIX).and_then(decode_hex) {
+                banned.insert(name);
+            } else if let Some(name) = file.strip_prefix(RETURNED_PREFIX).and_then(decode_hex) {
+                // The other process removed it meanwhile.
                 let Ok(at) = entry.metadata().and_then(|m| m.modified()) else { continue };
-                if ago(at) > self.cold {
+                if age(at) > self.cold_period {
                     let _ = fs::remove_file(entry.path());
                 } else {
-                    back.insert(name, at);
+                    returned.insert(name, at);
                 }
             }
         }
-        Ok((out, back))
+        Ok((banned, returned))
     }
 
-    fn path(&self, kind: &str, name: &str) -> io::Result<PathBuf> {
+    fn marker_path(&self, kind: &str, name: &str) -> io::Result<PathBuf> {
         let folder = self.folder.as_ref().ok_or_else(|| io::Error::other("TMPDIR is not set"))?;
-        Ok(folder.join(format!("{kind}{}", hex(name))))
+        Ok(folder.join(format!("{kind}{}", encode_hex(name))))
     }
 
-    /// Makes a server's file, with the present time.
+    /// Creates a server's marker, dated now.
     #[expect(
         clippy::disallowed_methods,
-        reason = "a file's time; see `ago` for what a step of the clock does"
+        reason = "a file's time; see `age` for what a step of the clock does"
     )]
-    fn make(&self, kind: &str, name: &str) -> io::Result<()> {
-        let path = self.path(kind, name)?;
+    fn create_marker(&self, kind: &str, name: &str) -> io::Result<()> {
+        let path = self.marker_path(kind, name)?;
         if let Some(folder) = path.parent() {
             fs::create_dir_all(folder)?;
         }
         File::create(path)?.set_modified(SystemTime::now())
     }
 
-    fn remove(&self, kind: &str, name: &str) -> io::Result<()> {
-        match fs::remove_file(self.path(kind, name)?) {
+    fn remove_marker(&self, kind: &str, name: &str) -> io::Result<()> {
+        match fs::remove_file(self.marker_path(kind, name)?) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
             done => done,
         }
     }
 }
 
-/// How long ago a file was made, by the clock that two processes share. Where that was put back meanwhile, the server
-/// counts as back just now and no later; where it was put forward, as warm too soon, which its limit then learns.
+/// The age of a marker by the wall clock, which both processes share. If that clock was set back meanwhile, the
+/// server counts as just returned, so it is never cold for longer than that; if it was set forward, the server
+/// counts as warm too soon, and its concurrency limit adapts.
 #[expect(clippy::disallowed_methods, reason = "one process's monotonic time means nothing to another")]
-fn ago(at: SystemTime) -> Duration {
+fn age(at: SystemTime) -> Duration {
     at.elapsed().unwrap_or_default()
 }
 
-/// A name as part of a file's: never a path, whatever it holds.
-fn hex(name: &str) -> String {
+/// A name as part of a file name: hex digits, so it is never a path.
+fn encode_hex(name: &str) -> String {
     name.bytes().map(|b| format!("{b:02x}")).collect()
 }
 
-fn unhex(digits: &str) -> Option<String> {
+fn decode_hex(digits: &str) -> Option<String> {
     let byte = |at: usize| digits.get(at..at + 2).and_then(|pair| u8::from_str_radix(pair, 16).ok());
     let bytes: Option<Vec<u8>> = (0..digits.len()).step_by(2).map(byte).collect();
     String::from_utf8(bytes?).ok()
@@ -237,19 +248,19 @@
 mod tests {
     use std::path::Path;
 
-    use super::super::fault::tests::each_has_its_advice;
+    use super::super::advice::tests::assert_each_has_advice;
     use super::*;
 
     #[test]
     fn each_error_has_its_advice() {
         use BanError::*;
         let (name, error) = (|| "s1".to_string(), || io::Error::other("TMPDIR is not set"));
-        each_has_its_advice(|before| match before {
-            None => Some(Unkept { name: name(), error: error() }),
-            Some(Unkept { .. }) => Some(ReturnUnkept { name: name(), error: error() }),
-            Some(ReturnUnkept { .. }) => Some(Unlifted { name: name(), error: error() }),
-            Some(Unlifted { .. }) => Some(Unread { error: error() }),
-            Some(Unread { .. }) => None,
+        assert_each_has_advice(|before| match before {
+            None => Some(BanNotSaved { name: name(), error: error() }),
+            Some(BanNotSaved { .. }) => Some(ReturnNotSaved { name: name(), error: error() }),
+            Some(ReturnNotSaved { .. }) => Some(NotLifted { name: name(), error: error() }),
+            Some(NotLifted { .. }) => Some(FolderUnreadable { error: error() }),
+            Some(FolderUnreadable { .. }) => None,
         });
     }
 
@@ -261,70 +272,80 @@
         folder
     }
 
-    fn bans(folder: &Path, cold: Duration) -> Bans {
-        Bans::new(Some(folder.to_path_buf()), "n0", cold)
+    fn bans(folder: &Path, cold_period: Duration) -> Bans {
+        Bans::new(Some(folder.to_path_buf()), "n0", cold_period)
     }
 
-    /// What one process does, the other sees, once; neither is told of its own.
+    /// What one process changes, the other reports once; none reports its own changes.
     #[test]
     fn two_processes_share_their_bans() {
         let folder = folder("shared");
         let [mut old, mut new] = [(); 2].map(|()| bans(&folder, COLD));
-        assert_eq!(old.changes(), []);
-        old.take_out("s/1");
-        old.take_out("s2");
-        old.take_out("s2");
-        assert_eq!(new.changes(), [("s/1".to_string(), Change::Out), ("s2".to_string(), Change::Out)]);
-        assert!(new.hold("s/1") && new.changes().is_empty() && old.changes().is_empty());
-        assert!(new.give_back("s2").expect("removed") && !new.give_back("s2").expect("nothing to do"));
-        let seen = old.changes();
-        assert!(matches!(seen.as_slice(), [(name, Change::Back(_))] if name == "s2"), "{seen:?}");
-        assert!(!old.hold("s2") && old.hold("s/1"));
-        assert!(old.changes().is_empty() && new.changes().is_empty());
+        assert_eq!(old.poll_changes(), []);
+        old.ban("s/1");
+        old.ban("s2");
+        old.ban("s2");
+        assert_eq!(
+            new.poll_changes(),
+            [("s/1".to_string(), BanChange::Banned), ("s2".to_string(), BanChange::Banned)]
+        );
+        assert!(new.is_banned("s/1") && new.poll_changes().is_empty() && old.poll_changes().is_empty());
+        assert!(new.unban("s2").expect("removed") && !new.unban("s2").expect("nothing to do"));
+        let seen = old.poll_changes();
+        assert!(matches!(seen.as_slice(), [(name, BanChange::Lifted(_))] if name == "s2"), "{seen:?}");
+        assert!(!old.is_banned("s2") && old.is_banned("s/1"));
+        assert!(old.poll_changes().is_empty() && new.poll_changes().is_empty());
     }
 
-    /// A process that starts later is told who is out, and who came back a moment ago.
+    /// A process that starts later learns of bans and of recent returns.
     #[test]
-    fn a_successor_is_told_of_a_return() {
+    fn a_successor_learns_of_a_recent_return() {
         let folder = folder("return");
         let mut old = bans(&folder, COLD);
-        old.take_out("s1");
-        assert!(old.give_back("s1").expect("removed"));
+        old.ban("s1");
+        assert!(old.unban("s1").expect("removed"));
         let mut new = bans(&folder, COLD);
-        let seen = new.changes();
-        assert!(matches!(seen.as_slice(), [(name, Change::Back(_))] if name == "s1"), "{seen:?}");
-        assert!(new.changes().is_empty());
+        let seen = new.poll_changes();
+        assert!(matches!(seen.as_slice(), [(name, BanChange::Lifted(_))] if name == "s1"), "{seen:?}");
+        assert!(new.poll_changes().is_empty());
         std::thread::sleep(Duration::from_millis(5));
-        assert!(bans(&folder, Duration::from_millis(1)).changes().is_empty(), "long ago");
+        assert!(bans(&folder, Duration::from_millis(1)).poll_changes().is_empty(), "long ago");
     }
 
-    /// A clock that was put back or forward by an hour after a return: never longer cold than after one just now.
+    /// The clock is set back or forward by an hour after a return: the server is never cold for longer than after a
+    /// return just now.
     #[test]
     fn a_stepped_clock_keeps_no_server_cold() {
         let folder = folder("stepped");
         let hour = Duration::from_secs(3600);
         let mut old = bans(&folder, COLD);
-        old.take_out("s1");
-        assert!(old.give_back("s1").expect("removed"));
-        let file = File::options().write(true).open(old.path(BACK, "s1").expect("a path")).expect("the file");
+        old.ban("s1");
+        assert!(old.unban("s1").expect("removed"));
+        let file = File::options()
+            .write(true)
+            .open(old.marker_path(RETURNED_PREFIX, "s1").expect("a path"))
+            .expect("the file");
         let made = file.metadata().and_then(|meta| meta.modified()).expect("its time");
         file.set_modified(made + hour).expect("set");
-        assert_eq!(bans(&folder, COLD).changes(), [("s1".to_string(), Change::Back(Duration::ZERO))]);
+        assert_eq!(
+            bans(&folder, COLD).poll_changes(),
+            [("s1".to_string(), BanChange::Lifted(Duration::ZERO))]
+        );
         file.set_modified(made - hour).expect("set");
-        assert_eq!(bans(&folder, COLD).changes(), []);
+        assert_eq!(bans(&folder, COLD).poll_changes(), []);
     }
 
-    /// What can't be kept holds all the same: no folder, and a name that no file can have.
+    /// Without a folder, or with a name too long for a file, a ban holds in memory.
     #[test]
-    fn a_ban_that_can_not_be_kept_holds() {
+    fn a_ban_that_cannot_be_saved_holds_in_memory() {
         let long = "x".repeat(300);
         for (mut bans, name) in
             [(bans(&folder("unkept"), COLD), long.as_str()), (Bans::new(None, "n0", COLD), "s1")]
         {
-            bans.take_out(name);
-            assert!(bans.changes().is_empty() && bans.hold(name));
-            assert!(bans.give_back(name).expect("nothing to remove") && !bans.hold(name));
-            assert!(bans.changes().is_empty() && !bans.hold(name));
+            bans.ban(name);
+            assert!(bans.poll_changes().is_empty() && bans.is_banned(name));
+            assert!(bans.unban(name).expect("nothing to remove") && !bans.is_banned(name));
+            assert!(bans.poll_changes().is_empty() && !bans.is_banned(name));
         }
     }
 }
--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way through the node.
+//! Request and response bodies on their way through the node: buffered, or streamed within limits.
 
 use std::cell::Cell;
 use std::fmt;
@@ -14,96 +14,100 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout, Sleep};
 
-use super::metrics::{End, Taken};
+use super::metrics::{RequestGuard, RequestOutcome};
 
-/// How slowly a body may come.
+/// How slowly a body may arrive, and how long it may be.
 #[derive(Clone, Copy)]
-pub struct Pace {
-    /// How long it may be waited for in all, ...
-    pub wait: Duration,
-    /// ... and how much longer for each KiB that has come.
-    pub per_kib: Duration,
-    /// The longest that it may be, in bytes.
-    pub most: usize,
+pub struct BodyLimits {
+    /// How long its sender may be waited for in total, before `extra_per_kib` is added.
+    pub max_wait: Duration,
+    /// How much longer the sender may be waited for with each KiB received.
+    pub extra_per_kib: Duration,
+    /// The most bytes.
+    pub max_bytes: usize,
 }
 
 /// Why a body ended early.
 #[derive(Debug)]
-pub enum Cut {
+pub enum BodyError {
     /// It came too slowly.
-    Slow,
-    /// It is longer than it may be.
-    Long,
-    /// There was no room to pass it on.
-    NoRoom,
-    /// Its connection broke, or it can't be read.
-    Broken(hyper::Error),
+    TooSlow,
+    /// It exceeds its limit.
+    TooLong,
+    /// The memory budget had no room to stream it.
+    NoMemory,
+    /// Its connection failed, or its framing is invalid.
+    Connection(hyper::Error),
 }
 
-impl fmt::Display for Cut {
+impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Slow => write!(f, "came too slowly"),
-            Self::Long => write!(f, "longer than it may be"),
-            Self::NoRoom => write!(f, "no room to pass it on"),
-            Self::Broken(error) => write!(f, "{error}"),
+            Self::TooSlow => write!(f, "came too slowly"),
+            Self::TooLong => write!(f, "longer than it may be"),
+            Self::NoMemory => write!(f, "no room to pass it on"),
+            Self::Connection(error) => write!(f, "{error}"),
         }
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for BodyError {}
 
-/// A body whose sender is waited for only as long as it keeps its pace. While nobody asks for more, no time
-/// counts against it.
-pub struct Paced {
+/// A body with limits on its length and on the time that its sender may be waited for. Time counts only while the
+/// reader asks for more.
+pub struct LimitedBody {
     body: Incoming,
-    pace: Pace,
-    /// What was waited in all, and since when it is waited now.
+    limits: BodyLimits,
+    /// The time waited so far, and since when the reader has been waiting.
     waited: Duration,
-    since: Option<Instant>,
-    came: usize,
-    /// Made once it is first waited for: most bodies come at once, or are empty.
-    late: Option<Pin<Box<Sleep>>>,
+    waiting_since: Option<Instant>,
+    received: usize,
+    /// Created at the first wait: most bodies arrive at once, or are empty.
+    timeout: Option<Pin<Box<Sleep>>>,
 }
 
-impl Paced {
-    /// Nothing has come yet, and nothing was asked for.
-    pub fn new(body: Incoming, pace: Pace) -> Self {
-        Self { body, pace, waited: Duration::ZERO, since: None, came: 0, late: None }
+impl LimitedBody {
+    /// A body of which nothing has been read.
+    pub fn new(body: Incoming, limits: BodyLimits) -> Self {
+        Self { body, limits, waited: Duration::ZERO, waiting_since: None, received: 0, timeout: None }
     }
 }
 
-impl Body for Paced {
+impl Body for LimitedBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = &mut *self;
         let frame = match Pin::new(&mut this.body).poll_frame(cx) {
             Poll::Ready(frame) => frame,
             Poll::Pending => {
-                let late = this.late.get_or_insert_with(|| Box::pin(sleep_until(Instant::now().into())));
-                if this.since.is_none() {
+                let timeout =
+                    this.timeout.get_or_insert_with(|| Box::pin(sleep_until(Instant::now().into())));
+                if this.waiting_since.is_none() {
                     let now = Instant::now();
-                    let kib = u32::try_from(this.came / 1024).unwrap_or(u32::MAX);
-                    let allowed = this.pace.wait + this.pace.per_kib * kib;
-                    this.since = Some(now);
-                    late.as_mut().reset((now + allowed.saturating_sub(this.waited)).into());
+                    let kib = u32::try_from(this.received / 1024).unwrap_or(u32::MAX);
+                    let allowed = this.limits.max_wait + this.limits.extra_per_kib * kib;
+                    this.waiting_since = Some(now);
+                    timeout.as_mut().reset((now + allowed.saturating_sub(this.waited)).into());
                 }
-                ready!(late.as_mut().poll(cx));
-                return Poll::Ready(Some(Err(Cut::Slow)));
+                ready!(timeout.as_mut().poll(cx));
+                return Poll::Ready(Some(Err(BodyError::TooSlow)));
             }
         };
-        if let Some(since) = this.since.take() {
+        if let Some(since) = this.waiting_since.take() {
             this.waited += since.elapsed();
         }
         if let Some(data) = frame.as_ref().and_then(|f| f.as_ref().ok()?.data_ref()) {
-            this.came += data.len();
-            if this.came > this.pace.most {
-                return Poll::Ready(Some(Err(Cut::Long)));
+            this.received += data.len();
+            if this.received > this.limits.max_bytes {
+                return Poll::Ready(Some(Err(BodyError::TooLong)));
             }
         }
-        Poll::Ready(frame.map(|f| f.map_err(Cut::Broken)))
+        Poll::Ready(frame.map(|f| f.map_err(BodyError::Connection)))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -115,314 +119,346 @@
     }
 }
 
-/// The bytes that all bodies together may take.
+/// The memory that all bodies together may take.
 #[derive(Clone)]
-pub struct Budget(Rc<Room>);
-
-struct Room {
-    most: isize,
-    /// What of it is this process's now.
-    all: Cell<isize>,
-    /// Below 0 where more is taken than it had left when its part became smaller.
-    left: Cell<isize>,
-    freed: Notify,
+pub struct MemoryBudget(Rc<BudgetState>);
+
+struct BudgetState {
+    total: isize,
+    /// The part of it that this process may use now.
+    usable: Cell<isize>,
+    /// Below 0 if more is reserved than the process may use since its part became smaller.
+    free: Cell<isize>,
+    released: Notify,
 }
 
-/// A part of the budget, until it is dropped.
-pub struct Held {
-    budget: Budget,
+/// A reserved part of the budget, released when dropped.
+pub struct Reservation {
+    budget: MemoryBudget,
     bytes: usize,
 }
 
-impl Budget {
-    /// So many bytes.
+impl MemoryBudget {
+    /// A budget of this many bytes.
     pub fn new(bytes: usize) -> Self {
-        let most = isize::try_from(bytes).unwrap_or(isize::MAX);
-        Self(Rc::new(Room { most, all: Cell::new(most), left: Cell::new(most), freed: Notify::new() }))
+        let total = isize::try_from(bytes).unwrap_or(isize::MAX);
+        Self(Rc::new(BudgetState {
+            total,
+            usable: Cell::new(total),
+            free: Cell::new(total),
+            released: Notify::new(),
+        }))
     }
 
-    /// Leaves half of it to another process, or no longer does.
-    pub fn share(&self, shared: bool) {
-        let all = if shared { self.0.most / 2 } else { self.0.most };
-        let more = all - self.0.all.replace(all);
-        self.give(more);
+    /// Leaves half of the budget to another process of this node, or takes it back.
+    pub fn set_shared(&self, shared: bool) {
+        let usable = if shared { self.0.total / 2 } else { self.0.total };
+        let gained = usable - self.0.usable.replace(usable);
+        self.release(gained);
     }
 
-    fn give(&self, bytes: isize) {
-        self.0.left.set(self.0.left.get() + bytes);
-        self.0.freed.notify_waiters();
+    fn release(&self, bytes: isize) {
+        self.0.free.set(self.0.free.get() + bytes);
+        self.0.released.notify_waiters();
     }
 
-    /// Takes so many bytes, if that leaves a part of the budget, one in `spare`, to others.
-    fn take(&self, bytes: usize, spare: isize) -> Option<Held> {
-        let left = self.0.left.get() - bytes as isize;
-        if left < self.0.all.get().checked_div(spare).unwrap_or(0) {
+    /// Reserves memory if at least one part in `spare_divisor` of the budget stays free; 0 asks for nothing to stay
+    /// free.
+    fn try_reserve(&self, bytes: usize, spare_divisor: isize) -> Option<Reservation> {
+        let free = self.0.free.get() - bytes as isize;
+        if free < self.0.usable.get().checked_div(spare_divisor).unwrap_or(0) {
             return None;
         }
-        self.0.left.set(left);
-        Some(Held { budget: self.clone(), bytes })
+        self.0.free.set(free);
+        Some(Reservation { budget: self.clone(), bytes })
     }
 
-    /// The same once there is room, if there soon is.
-    async fn wait(&self, bytes: usize, spare: isize) -> Result<Held, Cut> {
-        let room = async {
+    /// Reserves memory as [`Self::try_reserve`] does, waiting up to [`BUDGET_TIMEOUT`] for it.
+    async fn reserve(&self, bytes: usize, spare_divisor: isize) -> Result<Reservation, BodyError> {
+        let reserved = async {
             loop {
-                if let Some(held) = self.take(bytes, spare) {
-                    return held;
+                if let Some(reservation) = self.try_reserve(bytes, spare_divisor) {
+                    return reservation;
                 }
-                self.0.freed.notified().await;
+                self.0.released.notified().await;
             }
         };
-        timeout(ROOM_WITHIN, room).await.map_err(|_| Cut::NoRoom)
+        timeout(BUDGET_TIMEOUT, reserved).await.map_err(|_| BodyError::NoMemory)
     }
 }
 
-impl Held {
-    /// Gives back what is not needed.
+impl Reservation {
+    /// Releases all but the given number of bytes.
     fn shrink(&mut self, bytes: usize) {
-        let over = self.bytes.saturating_sub(bytes);
-        self.bytes -= over;
-        self.budget.give(over as isize);
+        let excess = self.bytes.saturating_sub(bytes);
+        self.bytes -= excess;
+        self.budget.release(excess as isize);
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.shrink(0);
     }
 }
 
-/// What has become of a body that is passed on as it comes.
+/// How far a streamed body has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It is coming.
-    Coming,
-    /// All of it was handed on.
-    Whole,
-    /// Its sender broke off, or was too slow.
-    Cut,
-    /// Nobody takes the rest.
+pub enum BodyState {
+    /// More of it is to come.
+    Streaming,
+    /// All of it was passed on.
+    Complete,
+    /// Its sender broke off, was too slow, or sent too much.
+    Failed,
+    /// The receiver is gone before its end.
     Dropped,
 }
 
-/// Where the fate of a body can be seen.
+/// Observes the state of a streamed body.
 #[derive(Clone)]
-pub struct Passage(Rc<(Cell<Fate>, Notify)>);
+pub struct BodyMonitor(Rc<(Cell<BodyState>, Notify)>);
 
-impl Passage {
-    /// For a body that is coming.
+impl BodyMonitor {
+    /// For a body that has just begun.
     fn new() -> Self {
-        Self(Rc::new((Cell::new(Fate::Coming), Notify::new())))
+        Self(Rc::new((Cell::new(BodyState::Streaming), Notify::new())))
     }
 
-    /// What has become of the body.
-    pub fn fate(&self) -> Fate {
+    /// The body's state.
+    pub fn state(&self) -> BodyState {
         self.0 .0.get()
     }
 
-    /// Waits until it is no longer coming.
-    pub async fn ended(&self) -> Fate {
-        while self.fate() == Fate::Coming {
+    /// Waits until the body is no longer streaming, and returns its state.
+    pub async fn ended(&self) -> BodyState {
+        while self.state() == BodyState::Streaming {
             self.0 .1.notified().await;
         }
-        self.fate()
+        self.state()
     }
 
-    fn end(&self, fate: Fate) {
-        if self.fate() == Fate::Coming {
-            self.0 .0.set(fate);
+    fn finish(&self, state: BodyState) {
+        if self.state() == BodyState::Streaming {
+            self.0 .0.set(state);
             self.0 .1.notify_waiters();
         }
     }
 }
 
-/// Longer than anything lasts here.
-const NEVER: Duration = Duration::from_secs(86_400);
-/// How long a body waits for room.
-const ROOM_WITHIN: Duration = Duration::from_secs(2);
-/// What a body that is passed on takes on its way: a piece in hand, and the buffers of two connections.
-const PASSING: usize = 128 * 1024;
-/// The largest body that is held whole.
-pub const HELD_MOST: usize = 64 * 1024;
-
-/// A body that is held whole.
-pub struct Kept {
-    /// All of it.
+/// Longer than any request lasts.
+const FOREVER: Duration = Duration::from_secs(86_400);
+/// How long a body waits for memory.
+const BUDGET_TIMEOUT: Duration = Duration::from_secs(2);
+/// The memory that a streamed body takes: a piece in hand, and the buffers of two connections.
+const STREAMING_BYTES: usize = 128 * 1024;
+/// The longest body that is buffered.
+pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+
+/// A body that is held in memory as a whole.
+pub struct BufferedBody {
+    /// The body.
     pub bytes: Bytes,
-    /// Its part of the budget; the node's own few words need none.
-    _held: Option<Held>,
+    /// Its part of the budget; the node's own short responses need none.
+    _reservation: Option<Reservation>,
 }
 
-impl From<Bytes> for Kept {
+impl From<Bytes> for BufferedBody {
     fn from(bytes: Bytes) -> Self {
-        Self { bytes, _held: None }
+        Self { bytes, _reservation: None }
     }
 }
 
-/// A body as far as it was read before it goes on.
-pub enum Gathered {
+/// A body as far as it was read before it is passed on.
+pub enum ReceivedBody {
     /// All of it.
-    Whole(Kept),
-    /// The rest is passed on as it comes.
-    Coming(Coming),
+    Buffered(BufferedBody),
+    /// Its beginning; the rest is streamed.
+    Streaming(StreamingBody),
 }
 
-/// Whose body it is that is read.
+/// Whose body is read.
 #[derive(Clone, Copy)]
-pub enum Side {
-    /// A request's: it leaves room for answers, as its own answer needs some while it is held.
+pub enum BodyKind {
+    /// A request's. It leaves a quarter of the budget to responses: its own response needs memory while it is held.
     Request,
-    /// An answer's, which is held for so long after its first bytes where its length was not said.
-    Answer(Duration),
+    /// A response's. Without a known length it is buffered for up to this long after its first bytes.
+    Response(Duration),
 }
 
-/// Reads a body whole, if it is short and the budget has room for it; else up to its first bytes. Long ones leave
-/// half of the budget to short ones.
-pub async fn gather(mut body: Paced, budget: &Budget, side: Side) -> Result<Gathered, Cut> {
-    let said = body.size_hint().exact().map(|n| usize::try_from(n).unwrap_or(usize::MAX));
-    let (spare, hold) = match side {
-        Side::Request => (4, NEVER),
-        Side::Answer(hold) => (0, hold),
+/// Reads a body as a whole if it is short and the budget has room for it, else only up to its first bytes. Long
+/// bodies leave half of the budget to short ones.
+///
+/// # Errors
+/// A [`BodyError`] if the body breaks one of its limits or its connection fails, or if a long one finds no room in
+/// the budget.
+pub async fn receive(
+    mut body: LimitedBody,
+    budget: &MemoryBudget,
+    kind: BodyKind,
+) -> Result<ReceivedBody, BodyError> {
+    let length = body.size_hint().exact().map(|n| usize::try_from(n).unwrap_or(usize::MAX));
+    let (spare_divisor, buffer_time) = match kind {
+        BodyKind::Request => (4, FOREVER),
+        BodyKind::Response(buffer_time) => (0, buffer_time),
+    };
+    let mut reservation = match length {
+        Some(length) if length > MAX_BUFFERED_BYTES => Some(budget.reserve(STREAMING_BYTES, 2).await?),
+        Some(length) => budget.try_reserve(length, spare_divisor),
+        None => budget.try_reserve(STREAMING_BYTES, spare_divisor),
     };
-    let mut held = match said {
-        Some(length) if length > HELD_MOST => Some(budget.wait(PASSING, 2).await?),
-        Some(length) => budget.take(length, spare),
-        None => budget.take(PASSING, spare),
+    let max_buffered = if length.is_some_and(|length| length > MAX_BUFFERED_BYTES) || reservation.is_none() {
+        0
+    } else {
+        MAX_BUFFERED_BYTES
     };
-    let most = if said.is_some_and(|length| length > HELD_MOST) || held.is_none() { 0 } else { HELD_MOST };
     let mut bytes = BytesMut::new();
-    let mut over = pin!(tokio::time::sleep(NEVER));
+    let mut buffer_timeout = pin!(tokio::time::sleep(FOREVER));
     loop {
         let frame = tokio::select! {
             biased;
             frame = body.frame() => frame,
-            () = &mut over => break,
+            () = &mut buffer_timeout => break,
         };
         let Some(frame) = frame else {
-            if let Some(held) = &mut held {
-                held.shrink(bytes.len());
+            if let Some(reservation) = &mut reservation {
+                reservation.shrink(bytes.len());
             }
-            return Ok(Gathered::Whole(Kept { bytes: bytes.freeze(), _held: held }));
+            return Ok(ReceivedBody::Buffered(BufferedBody {
+                bytes: bytes.freeze(),
+                _reservation: reservation,
+            }));
         };
         let Ok(data) = frame?.into_data() else { continue };
-        if said.is_none() && bytes.is_empty() {
-            over.as_mut().reset((Instant::now() + hold).into());
+        if length.is_none() && bytes.is_empty() {
+            buffer_timeout.as_mut().reset((Instant::now() + buffer_time).into());
         }
         bytes.extend_from_slice(&data);
-        if bytes.len() > most {
+        if bytes.len() > max_buffered {
             break;
         }
     }
-    Ok(Gathered::Coming(Coming::new(bytes.freeze(), body, held)))
+    Ok(ReceivedBody::Streaming(StreamingBody::new(bytes.freeze(), body, reservation)))
 }
 
-/// A body that goes out: held whole, or passed on as it comes.
-pub enum Outgoing {
-    /// Held; `None` once it is out.
-    Whole(Option<Kept>),
-    /// Passed on.
-    Coming(Coming),
+/// A body to be sent.
+pub enum OutgoingBody {
+    /// Buffered; `None` once it was handed over, or if it is empty.
+    Buffered(Option<BufferedBody>),
+    /// Passed on as it arrives.
+    Streaming(StreamingBody),
 }
 
-/// A body that is passed on as it comes.
-pub struct Coming {
-    /// What was read of it before.
+/// A body that is passed on as it arrives.
+pub struct StreamingBody {
+    /// The part that was read before.
     first: Option<Bytes>,
-    rest: Paced,
-    passage: Passage,
-    /// The request that ends with it.
-    taken: Option<Taken>,
-    /// Its part of the budget; a short one that found no room goes without.
-    _held: Option<Held>,
+    rest: LimitedBody,
+    monitor: BodyMonitor,
+    /// The request that ends with this body.
+    request: Option<RequestGuard>,
+    /// Its part of the budget; a short body that found no room is streamed without one.
+    _reservation: Option<Reservation>,
 }
 
-impl Coming {
+impl StreamingBody {
     /// A body of which `first` has been read.
-    fn new(first: Bytes, rest: Paced, held: Option<Held>) -> Self {
+    fn new(first: Bytes, rest: LimitedBody, reservation: Option<Reservation>) -> Self {
         let first = Some(first).filter(|f| !f.is_empty());
-        Self { first, rest, passage: Passage::new(), taken: None, _held: held }
+        Self { first, rest, monitor: BodyMonitor::new(), request: None, _reservation: reservation }
     }
 
-    /// Where its fate can be seen.
-    pub fn passage(&self) -> Passage {
-        self.passage.clone()
+    /// Observes its state.
+    pub fn monitor(&self) -> BodyMonitor {
+        self.monitor.clone()
     }
 
-    /// The request ends with this body, as served if all of it goes out.
-    pub fn ends(&mut self, taken: Taken) {
-        self.taken = Some(taken);
+    /// Ends the request with this body: as a success if all of it is passed on.
+    pub fn attach_request(&mut self, request: RequestGuard) {
+        self.request = Some(request);
     }
 
-    fn end(&mut self, fate: Fate) {
-        self.passage.end(fate);
-        if let Some(mut taken) = self.taken.take() {
-            taken.end = if self.passage.fate() == Fate::Whole { End::Success } else { End::Error };
+    fn finish(&mut self, state: BodyState) {
+        self.monitor.finish(state);
+        if let Some(mut request) = self.request.take() {
+            request.outcome = if self.monitor.state() == BodyState::Complete {
+                RequestOutcome::Success
+            } else {
+                RequestOutcome::Error
+            };
         }
     }
 }
 
-impl Drop for Coming {
+impl Drop for StreamingBody {
     fn drop(&mut self) {
-        // A body whose length was said is not asked for more once it has all come.
-        let whole = self.first.is_none() && self.rest.is_end_stream();
-        self.end(if whole { Fate::Whole } else { Fate::Dropped });
+        // A body of known length is not polled again after its last byte.
+        let complete = self.first.is_none() && self.rest.is_end_stream();
+        self.finish(if complete { BodyState::Complete } else { BodyState::Dropped });
     }
 }
 
-impl Outgoing {
-    /// What is held whole.
-    pub fn held(kept: impl Into<Kept>) -> Self {
-        Self::Whole(Some(kept.into()).filter(|k| !k.bytes.is_empty()))
+impl OutgoingBody {
+    /// A buffered body.
+    pub fn buffered(buffered: impl Into<BufferedBody>) -> Self {
+        Self::Buffered(Some(buffered.into()).filter(|k| !k.bytes.is_empty()))
     }
 
-    /// Where the fate of one that is coming can be seen.
-    pub fn passage(&self) -> Option<Passage> {
+    /// Observes the state of a streamed body; `None` for a buffered one.
+    pub fn monitor(&self) -> Option<BodyMonitor> {
         match self {
-            Self::Whole(..) => None,
-            Self::Coming(coming) => Some(coming.passage()),
+            Self::Buffered(..) => None,
+            Self::Streaming(streaming) => Some(streaming.monitor()),
         }
     }
 
-    /// Its length, if that is known.
+    /// The length in bytes, if it is known.
     pub fn length(&self) -> Option<u64> {
         self.size_hint().exact()
     }
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
-    type Error = Cut;
-
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        let coming = match &mut *self {
-            Self::Whole(kept) => return Poll::Ready(kept.take().map(|k| Ok(Frame::data(k.bytes)))),
-            Self::Coming(coming) => coming,
+    type Error = BodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        let streaming = match &mut *self {
+            Self::Buffered(buffered) => {
+                return Poll::Ready(buffered.take().map(|k| Ok(Frame::data(k.bytes))))
+            }
+            Self::Streaming(streaming) => streaming,
         };
-        if let Some(first) = coming.first.take() {
+        if let Some(first) = streaming.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
-        let frame = ready!(Pin::new(&mut coming.rest).poll_frame(cx));
+        let frame = ready!(Pin::new(&mut streaming.rest).poll_frame(cx));
         match &frame {
-            Some(Ok(_)) if !coming.rest.is_end_stream() => {}
-            Some(Ok(_)) | None => coming.end(Fate::Whole),
-            Some(Err(_)) => coming.end(Fate::Cut),
+            Some(Ok(_)) if !streaming.rest.is_end_stream() => {}
+            Some(Ok(_)) | None => streaming.finish(BodyState::Complete),
+            Some(Err(_)) => streaming.finish(BodyState::Failed),
         }
         Poll::Ready(frame)
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(kept) => kept.is_none(),
-            Self::Coming(coming) => coming.first.is_none() && coming.rest.is_end_stream(),
+            Self::Buffered(buffered) => buffered.is_none(),
+            Self::Streaming(streaming) => streaming.first.is_none() && streaming.rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(kept) => SizeHint::with_exact(kept.as_ref().map_or(0, |k| k.bytes.len() as u64)),
-            Self::Coming(coming) => {
-                let first = coming.first.as_ref().map_or(0, |f| f.len() as u64);
-                let rest = coming.rest.size_hint().exact();
+            Self::Buffered(buffered) => {
+                SizeHint::with_exact(buffered.as_ref().map_or(0, |k| k.bytes.len() as u64))
+            }
+            Self::Streaming(streaming) => {
+                let first = streaming.first.as_ref().map_or(0, |f| f.len() as u64);
+                let rest = streaming.rest.size_hint().exact();
                 rest.map_or_else(SizeHint::new, |rest| SizeHint::with_exact(first + rest))
             }
         }
@@ -433,34 +469,34 @@
 mod tests {
     use super::*;
 
-    /// Half of the budget is the other process's, also where more is taken when that one comes; what long bodies
-    /// leave to short ones is then a half of the half.
+    /// Half of the budget can be left to another process, also while more than half is reserved; what long bodies
+    /// leave to short ones is then half of the rest.
     #[test]
-    fn half_of_the_budget_can_be_left_to_others() {
-        let budget = Budget::new(1000);
-        let most = budget.take(900, 0).expect("room");
-        budget.share(true);
-        budget.share(true);
-        assert!(budget.take(1, 0).is_none());
-        drop(most);
-        let rest = budget.take(250, 2).expect("half of its half");
-        assert!(budget.take(1, 2).is_none() && budget.take(251, 0).is_none());
-        budget.share(false);
-        assert!(budget.take(250, 2).is_some() && budget.take(251, 2).is_none());
+    fn half_of_the_budget_can_be_left_to_another_process() {
+        let budget = MemoryBudget::new(1000);
+        let first = budget.try_reserve(900, 0).expect("room");
+        budget.set_shared(true);
+        budget.set_shared(true);
+        assert!(budget.try_reserve(1, 0).is_none());
+        drop(first);
+        let rest = budget.try_reserve(250, 2).expect("half of its half");
+        assert!(budget.try_reserve(1, 2).is_none() && budget.try_reserve(251, 0).is_none());
+        budget.set_shared(false);
+        assert!(budget.try_reserve(250, 2).is_some() && budget.try_reserve(251, 2).is_none());
         drop(rest);
-        assert!(budget.take(1000, 0).is_some());
+        assert!(budget.try_reserve(1000, 0).is_some());
     }
 
-    /// Whoever waits for room is given it as soon as there is some, and told where there is none for long.
+    /// A reservation is granted as soon as there is room, and refused if there is none for [`BUDGET_TIMEOUT`].
     #[test]
-    fn room_is_waited_for() {
+    fn a_reservation_waits_for_memory() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            let budget = Budget::new(1000);
-            let held = budget.take(800, 0).expect("room");
-            assert!(matches!(budget.wait(300, 0).await, Err(Cut::NoRoom)));
-            let (got, ()) = tokio::join!(budget.wait(300, 0), async move { drop(held) });
-            assert!(got.is_ok());
+            let budget = MemoryBudget::new(1000);
+            let held = budget.try_reserve(800, 0).expect("room");
+            assert!(matches!(budget.reserve(300, 0).await, Err(BodyError::NoMemory)));
+            let (granted, ()) = tokio::join!(budget.reserve(300, 0), async move { drop(held) });
+            assert!(granted.is_ok());
         });
     }
 }
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: the listener, reading requests, and the one final answer of each.
+//! The client side: accepts connections, reads requests, and sends one final response to each.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -24,58 +24,66 @@
 use tokio::time::timeout;
 use tulipmount::{Effect, Millis, RequestId};
 
-use super::bodies::{gather, Cut, Fate, Gathered, Outgoing, Pace, Paced, Side};
+use super::bodies::{
+    receive, BodyError, BodyKind, BodyLimits, BodyState, LimitedBody, OutgoingBody, ReceivedBody,
+};
 use super::log;
-use super::metrics::{End, Taken};
+use super::metrics::{RequestGuard, RequestOutcome};
 use super::node::Node;
-use super::request::{end_to_end, Answer, Asked, Reply, REMAINING, TXN};
-use super::sock::{Io, Length, Phase, Sock};
+use super::request::{end_to_end, FinalResponse, ForwardedRequest, ServerResponse, REMAINING_MS, TXN};
+use super::socket::{BodyLength, HyperIo, Phase, TrackedSocket};
 
-/// How long before the client's deadline the module's ends: the answer still has to be written and to
+/// How long before the client's deadline the decision module's ends: the response still has to be written and to
 /// arrive.
-const MARGIN: Duration = Duration::from_millis(20);
-/// How long before the client's deadline the node answers in the module's place.
-const GUARD: Duration = Duration::from_millis(9);
-/// The longest deadline that is believed.
-const LONGEST: u64 = 600_000;
-/// How long a request's head may take to come, the first from the connection's beginning on.
-/// Whoever sends nothing proper is owed a close within 3 s; one without a request may be closed after 2 s.
-const READING: Duration = Duration::from_millis(2200);
-/// How long a client may read nothing of an answer.
-const UNREAD: Duration = Duration::from_secs(10);
-/// How slowly the body of a request may come: at half of the pace that clients may have, and whoever sends a head
-/// and no more is still owed its close.
-const SENDING: Pace =
-    Pace { wait: Duration::from_millis(2000), per_kib: Duration::from_millis(32), most: BODY_MOST };
-/// A request that takes longer to come is logged.
-const SLOW: Duration = Duration::from_millis(10);
-/// How long a connection is read after its last answer, so that a reset does not overtake it.
-const LINGER: Duration = Duration::from_millis(2000);
-/// The longest body of a request.
-const BODY_MOST: usize = 32 << 20;
-/// The largest head of a request.
-const HEAD_MOST: usize = 32 * 1024;
-/// A connection that has just come gets this long to bring its request, before it is closed as idle, and a request
-/// that is coming gets this long for its next piece, before it makes room for others.
-const FRESH: Duration = Duration::from_millis(200);
-/// How long the log keeps quiet of the same trouble.
-const QUIET: Duration = Duration::from_secs(5);
-/// How long accepting rests when descriptors have run out.
-const EXHAUSTED: Duration = Duration::from_millis(20);
-
-const ORG: HeaderName = HeaderName::from_static("x-org");
-/// A client's guess at the work.
+const MODULE_MARGIN: Duration = Duration::from_millis(20);
+/// How long before the client's deadline the node responds if the decision module has not.
+const NODE_MARGIN: Duration = Duration::from_millis(9);
+/// Longer deadlines are cut to this, in milliseconds.
+const MAX_REMAINING_MS: u64 = 600_000;
+/// How long a request's head may take to arrive; for the first one, from the connection's start. Clients that send
+/// nothing valid must be disconnected within 3 s; those without a request may be after 2 s.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
+/// How long a client may read nothing of a response.
+const UNREAD_RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How slowly a request's body may arrive: at half of the rate that clients are allowed. A client that sends a head
+/// and no more must still be disconnected in time.
+const REQUEST_BODY_LIMITS: BodyLimits = BodyLimits {
+    max_wait: Duration::from_millis(2000),
+    extra_per_kib: Duration::from_millis(32),
+    max_bytes: MAX_BODY_BYTES,
+};
+/// Requests that take longer to arrive are logged.
+const SLOW_ARRIVAL: Duration = Duration::from_millis(10);
+/// How long a connection is read after its last response, so that no reset overtakes it.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(2000);
+/// The longest body of a request, in bytes.
+const MAX_BODY_BYTES: usize = 32 << 20;
+/// The largest head of a request, in bytes.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// A new connection gets this long to send a request before it is closed as idle; a request that is arriving gets
+/// this long for its next bytes before it may be evicted.
+const GRACE_TIME: Duration = Duration::from_millis(200);
+/// The least time between log lines about the same error.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// The pause before accepting again when descriptors have run out, and between checks for room.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
+/// The tenant.
+const TENANT: HeaderName = HeaderName::from_static("x-org");
+/// The client's estimate of the work, in microseconds.
 const ESTIMATE: HeaderName = HeaderName::from_static("x-estimate");
-/// Marks a client's repeat.
+/// Marks a request that its client has sent before.
 const RESENT: HeaderName = HeaderName::from_static("x-resent");
-/// Under which epoch a request was taken.
+/// The epoch under which a request was taken.
 const POLICY_EPOCH: HeaderName = HeaderName::from_static("x-policy-epoch");
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// The idempotency key, of requests that may be repeated by key.
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
+/// The connection of one client.
 struct Client {
-    sock: Rc<Sock>,
+    socket: Rc<TrackedSocket>,
     close: Notify,
-    /// It has to make room, and its socket is about to go.
+    /// Whether the connection is being closed to make room.
     evicted: Cell<bool>,
 }
 
@@ -83,67 +91,69 @@
 pub struct Clients {
     node: Rc<Node>,
     open: RefCell<HashMap<u64, Rc<Client>>>,
-    /// How many of them are evicted.
+    /// How many of them are being evicted.
     evicted: Cell<usize>,
-    last: Cell<u64>,
-    freed: Notify,
-    /// One that was accepted and waits for room.
+    last_number: Cell<u64>,
+    closed: Notify,
+    /// An accepted connection that waits for room.
     waiting: Cell<Option<TcpStream>>,
 }
 
 impl Clients {
     /// No connections yet.
     pub fn new(node: Rc<Node>) -> Rc<Self> {
-        let (open, evicted, last) = (RefCell::default(), Cell::new(0), Cell::new(0));
-        Rc::new(Self { node, open, evicted, last, freed: Notify::new(), waiting: Cell::default() })
+        let (open, evicted, last_number) = (RefCell::default(), Cell::new(0), Cell::new(0));
+        Rc::new(Self { node, open, evicted, last_number, closed: Notify::new(), waiting: Cell::default() })
     }
 
-    /// How many connections there are: each holds a descriptor until its task has ended, evicted or not.
-    pub fn count(&self) -> usize {
+    /// How many connections are open. Each holds a descriptor until its task has ended, also while it is evicted.
+    pub fn open_connections(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Closes idle connections until there are no more than there may be, or none is idle.
+    /// Closes idle connections until no more than the limit are open, or none is idle.
     pub fn shrink(&self) {
-        while self.count() - self.evicted.get() > self.node.client_connections() && self.evict(false) {}
+        while self.open_connections() - self.evicted.get() > self.node.max_client_connections()
+            && self.evict(false)
+        {}
     }
 
-    /// Accepts connections; never ends.
+    /// Accepts connections; never returns.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
-        let mut logged: Option<Instant> = None;
+        let mut last_logged: Option<Instant> = None;
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    // Room is made once it is needed, and never by a connection that has just come. Where accepting
-                    // ends meanwhile, that one is still served.
+                    // Room is made only when it is needed, and never by closing a connection that was just
+                    // accepted. If accepting ends meanwhile, this connection is still served.
                     self.waiting.set(Some(stream));
-                    while self.count() >= self.node.client_connections() {
+                    while self.open_connections() >= self.node.max_client_connections() {
                         if self.evicted.get() == 0 {
                             self.evict(true);
                         }
-                        // One that is busy now may be idle soon, which nobody tells.
-                        let _ = timeout(EXHAUSTED, self.freed.notified()).await;
+                        // A busy connection may become idle without a notification.
+                        let _ = timeout(ACCEPT_BACKOFF, self.closed.notified()).await;
                     }
                     self.serve_waiting();
                 }
                 Err(error) => {
-                    // Out of descriptors, as a rule: what is idle makes room, and the backlog waits.
-                    if logged.is_none_or(|at| at.elapsed() >= QUIET) {
-                        logged = Some(Instant::now());
+                    // Usually out of descriptors: idle connections make room, and the backlog waits.
+                    if last_logged.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
+                        last_logged = Some(Instant::now());
                         log::line(format!("accept: {error}"));
                     }
                     if !self.node.pool.evict() {
                         self.evict(true);
                     }
-                    tokio::time::sleep(EXHAUSTED).await;
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// Accepts what the backlog still holds.
-    pub async fn empty_backlog(self: &Rc<Self>, listener: &TcpListener) {
-        while let Ok(Ok((stream, _))) = timeout(EXHAUSTED, listener.accept()).await {
+    /// Accepts the connections that are left in the backlog.
+    pub async fn accept_queued(self: &Rc<Self>, listener: &TcpListener) {
+        while let Ok(Ok((stream, _))) = timeout(ACCEPT_BACKOFF, listener.accept()).await {
             self.serve(stream);
         }
     }
@@ -155,337 +165,353 @@
         }
     }
 
-    /// Closes connections on which a request's head takes too long to come, or an answer is not read.
+    /// Closes connections on which a request's head takes too long, or on which the client does not read its
+    /// response.
     pub fn sweep(&self) {
-        self.close(|sock, phase, since| match phase {
-            Phase::New | Phase::Reading => since.elapsed() >= READING,
-            Phase::Answering => sock.stalled() >= UNREAD,
+        self.close_where(|socket, phase, since| match phase {
+            Phase::New | Phase::ReadingHead => since.elapsed() >= HEAD_TIMEOUT,
+            Phase::Responding => socket.write_stalled_for() >= UNREAD_RESPONSE_TIMEOUT,
             _ => false,
         });
     }
 
     /// Closes connections that are between requests and have nothing to read.
     pub fn close_idle(&self) {
-        let idle = |sock: &Sock, phase, since: Instant| {
-            matches!(phase, Phase::New | Phase::Idle) && since.elapsed() >= FRESH && sock.quiet()
+        let idle = |socket: &TrackedSocket, phase, since: Instant| {
+            matches!(phase, Phase::New | Phase::Idle) && since.elapsed() >= GRACE_TIME && socket.is_quiet()
         };
-        self.close(idle);
+        self.close_where(idle);
     }
 
-    /// Closes all connections on which no answer is on its way; behind one that has just been written the connection
+    /// Closes all connections on which no response is being sent. A connection that has just sent its last response
     /// is still read for a moment.
     pub fn close_unanswered(&self) {
-        self.close(|_, phase, since| match phase {
-            Phase::Busy | Phase::Answering => false,
-            Phase::Ending => since.elapsed() >= FRESH,
+        self.close_where(|_, phase, since| match phase {
+            Phase::Serving | Phase::Responding => false,
+            Phase::Closing => since.elapsed() >= GRACE_TIME,
             _ => true,
         });
     }
 
     /// Closes all connections.
     pub fn close_all(&self) {
-        self.close(|_, _, _| true);
+        self.close_where(|_, _, _| true);
     }
 
-    fn close(&self, which: impl Fn(&Sock, Phase, Instant) -> bool) {
+    fn close_where(&self, matches: impl Fn(&TrackedSocket, Phase, Instant) -> bool) {
         for client in self.open.borrow().values() {
-            let (phase, since) = client.sock.phase();
-            if which(&client.sock, phase, since) {
+            let (phase, since) = client.socket.phase();
+            if matches(&client.socket, phase, since) {
                 client.close.notify_one();
             }
         }
     }
 
-    /// Closes the connection that has been idle for longest, or else, if `coming` says so, the one whose request has
-    /// come no further for longest; false where there is none.
-    fn evict(&self, coming: bool) -> bool {
+    /// Closes the connection that has been idle for longest; if there is none and `include_arriving` is set, the
+    /// one whose request has not progressed for longest. False if no connection can be closed.
+    fn evict(&self, include_arriving: bool) -> bool {
         let (open, now) = (self.open.borrow(), Instant::now());
-        let waits = |since: Instant| now.saturating_duration_since(since) >= FRESH;
-        let rank = |c: &Client| match c.sock.phase() {
+        let waits_long = |since: Instant| now.saturating_duration_since(since) >= GRACE_TIME;
+        let rank = |c: &Client| match c.socket.phase() {
             _ if c.evicted.get() => None,
-            (Phase::New, since) if !waits(since) => None,
-            (Phase::New | Phase::Idle | Phase::Ending, since) => Some((0, since)),
-            (Phase::Reading | Phase::Body, _) if coming && waits(c.sock.heard()) => Some((1, c.sock.heard())),
+            (Phase::New, since) if !waits_long(since) => None,
+            (Phase::New | Phase::Idle | Phase::Closing, since) => Some((0, since)),
+            (Phase::ReadingHead | Phase::ReadingBody, _)
+                if include_arriving && waits_long(c.socket.last_received()) =>
+            {
+                Some((1, c.socket.last_received()))
+            }
             _ => None,
         };
         let mut ranked: BinaryHeap<_> =
             open.iter().filter_map(|(n, c)| Some(Reverse((rank(c)?, *n)))).collect();
-        // The kernel is asked of as few as it takes: to ask of each at every connection of a crowd is all that the
-        // node would find time for.
-        let idle = |c: &Client| !matches!(c.sock.phase().0, Phase::New | Phase::Idle) || c.sock.quiet();
-        let least =
+        // Checks as few sockets as possible: a system call for each of them at every new connection of a crowd
+        // would take all of the node's time.
+        let idle =
+            |c: &Client| !matches!(c.socket.phase().0, Phase::New | Phase::Idle) || c.socket.is_quiet();
+        let candidate =
             std::iter::from_fn(|| ranked.pop()).find_map(|Reverse((_, n))| open.get(&n).filter(|c| idle(c)));
-        let Some(client) = least else { return false };
+        let Some(client) = candidate else { return false };
         client.evicted.set(true);
         self.evicted.set(self.evicted.get() + 1);
-        client.sock.enter(Phase::Ending);
+        client.socket.enter(Phase::Closing);
         client.close.notify_one();
         true
     }
 
     fn serve(self: &Rc<Self>, stream: TcpStream) {
-        let Ok(sock) = Sock::new(stream) else { return };
-        let number = self.last.get() + 1;
-        self.last.set(number);
-        let client = Rc::new(Client { sock, close: Notify::new(), evicted: Cell::new(false) });
+        let Ok(socket) = TrackedSocket::new(stream) else { return };
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        let client = Rc::new(Client { socket, close: Notify::new(), evicted: Cell::new(false) });
         self.open.borrow_mut().insert(number, client.clone());
         let clients = self.clone();
         tokio::task::spawn_local(async move {
-            clients.converse(client.clone()).await;
+            clients.serve_connection(client.clone()).await;
             clients.open.borrow_mut().remove(&number);
             clients.evicted.set(clients.evicted.get() - usize::from(client.evicted.get()));
             drop(client);
-            clients.freed.notify_one();
+            clients.closed.notify_one();
         });
     }
 
-    async fn converse(self: &Rc<Self>, client: Rc<Client>) {
+    async fn serve_connection(self: &Rc<Self>, client: Rc<Client>) {
         let service = service_fn(|request| {
-            let (node, sock) = (self.node.clone(), client.sock.clone());
-            async move { Ok::<_, Infallible>(respond(node, sock, request).await) }
+            let (node, socket) = (self.node.clone(), client.socket.clone());
+            async move { Ok::<_, Infallible>(respond(node, socket, request).await) }
         });
-        let conn = http1::Builder::new()
-            .max_buf_size(HEAD_MOST)
+        let connection = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
             .auto_date_header(false)
-            .serve_connection(Io(client.sock.clone()), service);
-        let sock = &client.sock;
-        let talk = async {
-            let broke = {
-                let (mut conn, mut left) = (pin!(conn), pin!(sock.left()));
-                let mut gone = false;
+            .serve_connection(HyperIo(client.socket.clone()), service);
+        let socket = &client.socket;
+        let conversation = async {
+            let failed = {
+                let (mut connection, mut peer_closed) = (pin!(connection), pin!(socket.peer_closed()));
+                let mut peer_gone = false;
                 poll_fn(|cx| {
-                    if let Poll::Ready(ended) = conn.as_mut().poll(cx) {
+                    if let Poll::Ready(ended) = connection.as_mut().poll(cx) {
                         return Poll::Ready(ended.is_err());
                     }
-                    // While it has bytes that came behind the request, hyper does not look for the end behind them.
-                    gone = gone || left.as_mut().poll(cx).is_ready();
-                    if gone && matches!(sock.phase().0, Phase::Busy | Phase::Answering) {
+                    // While unread bytes follow the request, hyper does not look for the end behind them.
+                    peer_gone = peer_gone || peer_closed.as_mut().poll(cx).is_ready();
+                    if peer_gone && matches!(socket.phase().0, Phase::Serving | Phase::Responding) {
                         return Poll::Ready(true);
                     }
                     Poll::Pending
                 })
                 .await
             };
-            if broke && sock.phase().0 == Phase::Answering {
-                // Whatever the answer's framing, its end must not look like a whole one's.
-                sock.reset();
+            if failed && socket.phase().0 == Phase::Responding {
+                // Whatever the framing of the response, it must not look complete.
+                socket.reset_on_close();
                 return;
             }
-            sock.enter(Phase::Ending);
-            let _ = timeout(LINGER, sock.linger()).await;
+            socket.enter(Phase::Closing);
+            let _ = timeout(LINGER_TIMEOUT, socket.linger()).await;
         };
         tokio::select! {
-            // Once it is decided that it closes, nothing more is read that would be lost then.
+            // Once the connection is to be closed, nothing more is read: it would be lost.
             biased;
             () = client.close.notified() => {}
-            () = talk => return,
+            () = conversation => return,
         }
-        match sock.phase().0 {
-            Phase::Answering => return sock.reset(),
-            Phase::Ending => {}
+        match socket.phase().0 {
+            Phase::Responding => return socket.reset_on_close(),
+            Phase::Closing => {}
             _ => {
-                // A request may come in this very moment: nobody has read it, and its client is told so in order.
-                sock.enter(Phase::Ending);
+                // A request may arrive at this moment. It is not read, and its client sees an orderly close.
+                socket.enter(Phase::Closing);
                 tokio::select! {
                     biased;
                     () = client.close.notified() => {}
-                    _ = timeout(FRESH, sock.linger()) => return,
+                    _ = timeout(GRACE_TIME, socket.linger()) => return,
                 }
             }
         }
-        // It makes room now.
-        sock.finish();
+        // It was evicted meanwhile.
+        socket.close_now();
     }
 }
 
-/// Answers one request.
-async fn respond(node: Rc<Node>, sock: Rc<Sock>, request: Request<Incoming>) -> Response<Outgoing> {
-    let began = sock.arrived();
-    let head = *request.method() == Method::HEAD;
-    let mut answer = if asks_readiness(&node, &request) {
-        plain(node.readiness())
+/// Responds to one request.
+async fn respond(
+    node: Rc<Node>,
+    socket: Rc<TrackedSocket>,
+    request: Request<Incoming>,
+) -> Response<OutgoingBody> {
+    let started = socket.request_started();
+    let is_head = *request.method() == Method::HEAD;
+    let mut response = if asks_readiness(&node, &request) {
+        empty_response(node.ready_status())
     } else {
-        let ambiguous = sock.ambiguous();
-        sock.enter(Phase::Body);
-        match read(&node, request, ambiguous).await {
-            Ok((asked, remaining)) => {
-                sock.enter(Phase::Busy);
-                let coming = began.elapsed();
-                if coming >= SLOW {
-                    log::trouble(|| format!("{}: took {coming:.1?} to come", asked.txn()));
+        let ambiguous_framing = socket.has_ambiguous_framing();
+        socket.enter(Phase::ReadingBody);
+        match read_request(&node, request, ambiguous_framing).await {
+            Ok((request, remaining)) => {
+                socket.enter(Phase::Serving);
+                let arrival = started.elapsed();
+                if arrival >= SLOW_ARRIVAL {
+                    log::limited(|| format!("{}: took {arrival:.1?} to come", request.txn()));
                 }
-                settle(&node, asked, remaining, sock.heard()).await
+                admit_and_serve(&node, request, remaining, socket.last_received()).await
             }
-            Err(Bad { status, closes }) => {
-                let mut answer = plain(status);
-                if closes {
-                    answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            Err(Rejection { status, close }) => {
+                let mut response = empty_response(status);
+                if close {
+                    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                answer
+                response
             }
         }
     };
-    if node.closing.get().is_some() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    if node.stopping_since.get().is_some() {
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    sock.begin(if head { Length::Of(0) } else { Length::of(answer.body()) }, None);
-    sock.enter(Phase::Answering);
-    answer
+    socket.begin_message(if is_head { BodyLength::Known(0) } else { BodyLength::of(response.body()) }, None);
+    socket.enter(Phase::Responding);
+    response
 }
 
-/// Is it the question whether the node can serve? A class may be named so too; its requests bring an id.
+/// Whether the request asks for the node's readiness. A class may have the same name; its requests have an id.
 fn asks_readiness(node: &Node, request: &Request<Incoming>) -> bool {
-    let class =
-        || request.headers().contains_key(TXN) && node.config.told.classes.iter().any(|c| c == "ready");
-    request.uri().path() == "/ready" && !class()
+    let for_class = || {
+        request.headers().contains_key(TXN) && node.config.node_settings.classes.iter().any(|c| c == "ready")
+    };
+    request.uri().path() == "/ready" && !for_class()
 }
 
-/// An answer without a body.
-pub fn plain(status: StatusCode) -> Response<Outgoing> {
-    let mut answer = Response::new(Outgoing::held(Bytes::new()));
-    *answer.status_mut() = status;
-    answer
+/// A response without a body.
+pub fn empty_response(status: StatusCode) -> Response<OutgoingBody> {
+    let mut response = Response::new(OutgoingBody::buffered(Bytes::new()));
+    *response.status_mut() = status;
+    response
 }
 
-/// Gives up the request when the client's connection ends before its answer.
-struct Owed {
+/// Cancels the request if the client's connection ends before its response.
+struct CancelOnDrop {
     node: Rc<Node>,
     id: RequestId,
     txn: String,
-    came: Instant,
+    since: Instant,
     answered: bool,
 }
 
-impl Drop for Owed {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if !self.answered {
-            let after = self.came.elapsed();
-            log::trouble(|| format!("{}: left by its client, or out of time, after {after:.1?}", self.txn));
+            let after = self.since.elapsed();
+            log::limited(|| format!("{}: left by its client, or out of time, after {after:.1?}", self.txn));
             self.node.client_gone(self.id);
         }
     }
 }
 
-/// Takes a request in, if one may be taken right now, and waits for its final answer. Its time counts from its last
-/// byte, which `came` then or sooner: one that came right behind another has waited for the answer to that.
-async fn settle(node: &Rc<Node>, asked: Asked, remaining: Duration, came: Instant) -> Response<Outgoing> {
-    let mut taken = node.metrics.take(asked.class);
-    if !node.has_room() {
-        taken.end = End::Overload;
+/// Admits a request, if possible, and waits for its final response. Its time counts from its last byte, which
+/// arrived at `received` or earlier: a pipelined request has waited for the response to the one before it.
+async fn admit_and_serve(
+    node: &Rc<Node>,
+    request: ForwardedRequest,
+    remaining: Duration,
+    received: Instant,
+) -> Response<OutgoingBody> {
+    let mut guard = node.metrics.begin_request(request.class);
+    if !node.has_request_capacity() {
+        guard.outcome = RequestOutcome::Overload;
         return refusal(0.0);
     }
     let epoch = match node.admit() {
         Ok(epoch) => epoch,
-        Err(stop) => {
-            log::trouble(|| format!("{}: refused, {}", asked.txn(), stop.words()));
-            taken.end = End::Overload;
-            return refusal(node.held_away());
+        Err(reason) => {
+            log::limited(|| format!("{}: refused, {}", request.txn(), reason.description()));
+            guard.outcome = RequestOutcome::Overload;
+            return refusal(node.held_retry_after());
         }
     };
-    let mut answer = answered(node, asked, remaining, came, taken).await;
+    let mut response = serve_request(node, request, remaining, received, guard).await;
     if let Some(epoch) = epoch {
-        answer.headers_mut().insert(POLICY_EPOCH, HeaderValue::from(epoch));
+        response.headers_mut().insert(POLICY_EPOCH, HeaderValue::from(epoch));
     }
-    answer
+    response
 }
 
-/// Hands the request to the node and waits for its final answer.
-async fn answered(
+/// Passes the request to the node and waits for its final response.
+async fn serve_request(
     node: &Rc<Node>,
-    asked: Asked,
+    request: ForwardedRequest,
     remaining: Duration,
-    came: Instant,
-    taken: Taken,
-) -> Response<Outgoing> {
-    let (margin, guard) = margins(remaining);
-    let (txn, passage) = (asked.txn().to_string(), asked.body.passage().cloned());
-    let (id, mut answered) = node.request(asked, came + remaining - margin);
-    let mut owed = Owed { node: node.clone(), id, txn, came, answered: false };
-    if let Some(passage) = passage {
-        let whole = tokio::select! {
+    received: Instant,
+    guard: RequestGuard,
+) -> Response<OutgoingBody> {
+    let (module_margin, node_margin) = margins(remaining);
+    let (txn, monitor) = (request.txn().to_string(), request.body.monitor().cloned());
+    let (id, mut receiver) = node.start_request(request, received + remaining - module_margin);
+    let mut cancel = CancelOnDrop { node: node.clone(), id, txn, since: received, answered: false };
+    if let Some(monitor) = monitor {
+        let complete = tokio::select! {
             biased;
-            fate = passage.ended() => fate == Fate::Whole,
-            early = &mut answered => {
-                owed.answered = true;
-                return early.map_or_else(|_| plain(StatusCode::BAD_GATEWAY), |answer| word(answer, taken));
+            state = monitor.ended() => state == BodyState::Complete,
+            early = &mut receiver => {
+                cancel.answered = true;
+                return early.map_or_else(|_| empty_response(StatusCode::BAD_GATEWAY), |response| into_http(response, guard));
             }
         };
-        owed.came = Instant::now();
-        if whole {
-            node.whole(id, owed.came + remaining - margin);
+        cancel.since = Instant::now();
+        if complete {
+            node.body_complete(id, cancel.since + remaining - module_margin);
         }
     }
-    let Some(answer) = in_time(owed.came + remaining - guard, answered).await else {
-        return plain(StatusCode::GATEWAY_TIMEOUT);
+    let Some(response) = by_deadline(cancel.since + remaining - node_margin, receiver).await else {
+        return empty_response(StatusCode::GATEWAY_TIMEOUT);
     };
-    owed.answered = true;
-    word(answer, taken)
+    cancel.answered = true;
+    into_http(response, guard)
 }
 
-/// Words the final answer. What is passed on as it comes ends the request when it ends.
-fn word(answer: Answer, mut taken: Taken) -> Response<Outgoing> {
-    match answer {
-        Answer::Served(reply) => {
-            let Reply { headers, body } = *reply;
+/// Converts the final response to HTTP. A streamed one ends the request when its body ends.
+fn into_http(response: FinalResponse, mut guard: RequestGuard) -> Response<OutgoingBody> {
+    match response {
+        FinalResponse::Served(response) => {
+            let ServerResponse { headers, body } = *response;
             let body = match body {
-                Gathered::Whole(kept) => {
-                    taken.end = End::Success;
-                    Outgoing::held(kept)
+                ReceivedBody::Buffered(buffered) => {
+                    guard.outcome = RequestOutcome::Success;
+                    OutgoingBody::buffered(buffered)
                 }
-                Gathered::Coming(mut coming) => {
-                    coming.ends(taken);
-                    Outgoing::Coming(coming)
+                ReceivedBody::Streaming(mut streaming) => {
+                    streaming.attach_request(guard);
+                    OutgoingBody::Streaming(streaming)
                 }
             };
-            let mut answer = Response::new(body);
-            *answer.headers_mut() = headers;
-            answer
+            let mut response = Response::new(body);
+            *response.headers_mut() = headers;
+            response
         }
-        Answer::Refused(stay_away) => {
-            taken.end = End::Overload;
-            refusal(stay_away)
+        FinalResponse::Refused(retry_after) => {
+            guard.outcome = RequestOutcome::Overload;
+            refusal(retry_after)
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY),
+        FinalResponse::Failed => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
 
-/// How long before the client's deadline the module's ends, and the node answers in its place. A request with
-/// little time left keeps most of it: its answer, too, may come late.
+/// How long before the client's deadline the decision module's deadline is, and the node's own. A request with
+/// little time left keeps most of it, even if its response may then arrive late.
 fn margins(remaining: Duration) -> (Duration, Duration) {
-    (MARGIN.min(remaining / 8), GUARD.min(remaining / 16))
+    (MODULE_MARGIN.min(remaining / 8), NODE_MARGIN.min(remaining / 16))
 }
 
-/// The answer, if it comes in time. Whatever becomes of the module's timers and attempts, the client is not
-/// kept waiting past that.
-async fn in_time(last: Instant, answered: oneshot::Receiver<Answer>) -> Option<Answer> {
-    tokio::time::timeout_at(last.into(), answered).await.ok()?.ok()
+/// The response, if it comes by `deadline`. The client waits no longer, whatever happens to the decision module's
+/// timers and attempts.
+async fn by_deadline(deadline: Instant, receiver: oneshot::Receiver<FinalResponse>) -> Option<FinalResponse> {
+    tokio::time::timeout_at(deadline.into(), receiver).await.ok()?.ok()
 }
 
-/// A refusal, with the module's word on when to come back in decimal seconds.
-fn refusal(stay_away: Millis) -> Response<Outgoing> {
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-    if stay_away > 0.0 {
-        if let Ok(span) = HeaderValue::from_str(&format!("{:.3}", stay_away / 1000.0)) {
-            answer.headers_mut().insert(RETRY_AFTER, span);
+/// A refusal, with the decision module's `Retry-After` in decimal seconds.
+fn refusal(retry_after: Millis) -> Response<OutgoingBody> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+    if retry_after > 0.0 {
+        if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_after / 1000.0)) {
+            response.headers_mut().insert(RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
 
-/// What is wrong with a request, and whether its connection is of further use.
-struct Bad {
+/// Why a request is rejected, and whether its connection must be closed.
+struct Rejection {
     status: StatusCode,
-    closes: bool,
+    close: bool,
 }
 
-impl From<StatusCode> for Bad {
+impl From<StatusCode> for Rejection {
     fn from(status: StatusCode) -> Self {
-        Self { status, closes: false }
+        Self { status, close: false }
     }
 }
 
-/// The one value of a header, if it has one that can be read.
-fn header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Bad> {
+/// The value of a header that may occur only once; an error if it is repeated or is not visible ASCII.
+fn header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Rejection> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
@@ -494,109 +520,133 @@
     }
 }
 
-/// Ids and keys: some visible characters.
-fn token(value: Option<&str>) -> Result<&str, Bad> {
-    let fits = |v: &&str| (1..=256).contains(&v.len()) && v.bytes().all(|b| b.is_ascii_graphic());
-    value.filter(fits).ok_or(StatusCode::BAD_REQUEST.into())
+/// Checks an id or key: 1 to 256 visible characters.
+fn token(value: Option<&str>) -> Result<&str, Rejection> {
+    let valid = |v: &&str| (1..=256).contains(&v.len()) && v.bytes().all(|b| b.is_ascii_graphic());
+    value.filter(valid).ok_or(StatusCode::BAD_REQUEST.into())
 }
 
-async fn read(node: &Node, request: Request<Incoming>, ambiguous: bool) -> Result<(Asked, Duration), Bad> {
-    let told = &node.config.told;
+async fn read_request(
+    node: &Node,
+    request: Request<Incoming>,
+    ambiguous_framing: bool,
+) -> Result<(ForwardedRequest, Duration), Rejection> {
+    let settings = &node.config.node_settings;
     let (parts, body) = request.into_parts();
     let mut encodings = parts.headers.get_all(TRANSFER_ENCODING).iter();
     if let Some(encoding) = encodings.next() {
-        // Two readings of where such a request ends are one too many: it may hide another.
-        let plain = encodings.next().is_none() && encoding.as_bytes().eq_ignore_ascii_case(b"chunked");
-        if ambiguous || !plain {
-            return Err(Bad { status: StatusCode::BAD_REQUEST, closes: true });
+        // A request whose end can be determined in two ways may hide another request (RFC 9112, section 6.1).
+        let only_chunked = encodings.next().is_none() && encoding.as_bytes().eq_ignore_ascii_case(b"chunked");
+        if ambiguous_framing || !only_chunked {
+            return Err(Rejection { status: StatusCode::BAD_REQUEST, close: true });
         }
     }
     let declared = parts.headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    // What has not been read when the answer goes out makes the connection useless.
-    let unread =
-        |status| Bad { status, closes: declared != Some(0) && !hyper::body::Body::is_end_stream(&body) };
-    if declared.is_some_and(|n| n > BODY_MOST as u64) {
-        return Err(unread(StatusCode::PAYLOAD_TOO_LARGE));
+    // If the body is not read before the response is sent, the connection cannot be reused.
+    let reject_unread =
+        |status| Rejection { status, close: declared != Some(0) && !hyper::body::Body::is_end_stream(&body) };
+    if declared.is_some_and(|n| n > MAX_BODY_BYTES as u64) {
+        return Err(reject_unread(StatusCode::PAYLOAD_TOO_LARGE));
     }
-    // A name stands there as it is, or percent-encoded; no class has an empty one.
+    // The class name is literal or percent-encoded; no class has an empty name.
     let name = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let class = |name: &str| told.classes.iter().position(|c| c == name);
+    let class = |name: &str| settings.classes.iter().position(|c| c == name);
     let decoded = || class(&percent_decode_str(name).decode_utf8().ok()?);
-    let class = class(name).or_else(decoded).ok_or_else(|| unread(StatusCode::NOT_FOUND))?;
-    let checked = check(&parts.method, &parts.headers, told.settings.classes[class].effect);
-    let remaining = checked.map_err(|bad| unread(bad.status))?;
-    // A name may have letters beyond ASCII; two of them are none.
-    let mut orgs = parts.headers.get_all(&ORG).iter();
+    let class = class(name).or_else(decoded).ok_or_else(|| reject_unread(StatusCode::NOT_FOUND))?;
+    let checked = check_headers(&parts.method, &parts.headers, settings.settings.classes[class].effect);
+    let remaining = checked.map_err(|rejection| reject_unread(rejection.status))?;
+    // A tenant's name may have non-ASCII letters. A repeated header counts as none.
+    let mut orgs = parts.headers.get_all(&TENANT).iter();
     let org = orgs.next().filter(|_| orgs.next().is_none());
-    let tenant = org.and_then(|org| told.tenants.iter().position(|t| t.as_bytes() == org.as_bytes()));
+    let tenant = org.and_then(|org| settings.tenants.iter().position(|t| t.as_bytes() == org.as_bytes()));
     let mut uri = Uri::builder();
     if let Some(path) = parts.uri.path_and_query() {
         uri = uri.path_and_query(path.clone());
     }
-    let uri = uri.build().map_err(|_| unread(StatusCode::BAD_REQUEST))?;
-    let body = match gather(Paced::new(body, SENDING), &node.budget, Side::Request).await {
+    let uri = uri.build().map_err(|_| reject_unread(StatusCode::BAD_REQUEST))?;
+    let body = match receive(
+        LimitedBody::new(body, REQUEST_BODY_LIMITS),
+        &node.body_budget,
+        BodyKind::Request,
+    )
+    .await
+    {
         Ok(body) => body.into(),
-        Err(Cut::Slow) => return Err(Bad { status: StatusCode::REQUEST_TIMEOUT, closes: true }),
-        Err(Cut::Long) => return Err(Bad { status: StatusCode::PAYLOAD_TOO_LARGE, closes: true }),
-        Err(Cut::NoRoom) => return Err(Bad { status: StatusCode::SERVICE_UNAVAILABLE, closes: true }),
-        Err(Cut::Broken(_)) => return Err(Bad { status: StatusCode::BAD_REQUEST, closes: true }),
+        Err(BodyError::TooSlow) => {
+            return Err(Rejection { status: StatusCode::REQUEST_TIMEOUT, close: true })
+        }
+        Err(BodyError::TooLong) => {
+            return Err(Rejection { status: StatusCode::PAYLOAD_TOO_LARGE, close: true })
+        }
+        Err(BodyError::NoMemory) => {
+            return Err(Rejection { status: StatusCode::SERVICE_UNAVAILABLE, close: true })
+        }
+        Err(BodyError::Connection(_)) => {
+            return Err(Rejection { status: StatusCode::BAD_REQUEST, close: true })
+        }
     };
     let mut headers = end_to_end(&parts.headers);
-    headers.remove(REMAINING);
-    // Microseconds; a guess that can't be read is none.
-    let work = headers.get(ESTIMATE).and_then(|v| v.to_str().ok()?.parse::<u32>().ok());
-    let work = work.map(|us| f64::from(us) / 1000.0);
-    let again = headers.get(RESENT).is_some_and(|v| v == "1");
+    headers.remove(REMAINING_MS);
+    // An estimate that cannot be parsed is ignored.
+    let estimated_work = headers.get(ESTIMATE).and_then(|v| v.to_str().ok()?.parse::<u32>().ok());
+    let estimated_work = estimated_work.map(|us| f64::from(us) / 1000.0);
+    let resent = headers.get(RESENT).is_some_and(|v| v == "1");
     if !headers.contains_key(HOST) {
         headers.insert(HOST, HeaderValue::from_static("service.internal"));
     }
-    Ok((Asked { class, tenant, again, work, method: parts.method, uri, headers, body }, remaining))
+    Ok((
+        ForwardedRequest { class, tenant, resent, estimated_work, method: parts.method, uri, headers, body },
+        remaining,
+    ))
 }
 
-/// Checks what a request must bring, and gives its time.
-fn check(method: &Method, headers: &HeaderMap, effect: Effect) -> Result<Duration, Bad> {
+/// Checks the headers that a request must have, and returns the time that it has left.
+fn check_headers(method: &Method, headers: &HeaderMap, effect: Effect) -> Result<Duration, Rejection> {
     token(header(headers, &TXN)?)?;
-    let remaining = header(headers, &REMAINING)?.filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
+    let remaining = header(headers, &REMAINING_MS)?.filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     let remaining = remaining.and_then(|v| v.parse::<u64>().ok()).ok_or(StatusCode::BAD_REQUEST)?;
-    let wanted = if effect == Effect::Safe { Method::GET } else { Method::POST };
-    if *method != wanted {
+    let expected = if effect == Effect::Safe { Method::GET } else { Method::POST };
+    if *method != expected {
         return Err(StatusCode::BAD_REQUEST.into());
     }
     if matches!(effect, Effect::Keyed { .. }) {
-        token(header(headers, &KEY)?)?;
+        token(header(headers, &IDEMPOTENCY_KEY)?)?;
     }
-    Ok(Duration::from_millis(remaining.min(LONGEST)))
+    Ok(Duration::from_millis(remaining.min(MAX_REMAINING_MS)))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// Half of what a request with little time has left must not be kept back for the way to the client.
+    /// A request with little time left keeps most of it for the servers.
     #[test]
-    fn little_time_is_left_to_the_servers() {
+    fn a_request_with_little_time_keeps_most_of_it_for_the_servers() {
         let ms = Duration::from_millis;
-        assert_eq!(margins(ms(1000)), (MARGIN, GUARD));
+        assert_eq!(margins(ms(1000)), (MODULE_MARGIN, NODE_MARGIN));
         for left in [1, 20, 40, 80] {
-            let (margin, guard) = margins(ms(left));
-            assert!(margin <= ms(left) / 5 && guard < margin, "{margin:?} and {guard:?} of {left} ms");
+            let (module_margin, node_margin) = margins(ms(left));
+            assert!(
+                module_margin <= ms(left) / 5 && node_margin < module_margin,
+                "{module_margin:?} and {node_margin:?} of {left} ms"
+            );
         }
     }
 
-    /// An answer that never comes must not keep the client past its deadline.
+    /// If the decision module never responds, the client is answered by its deadline.
     #[test]
-    fn the_guard_ends_the_wait_for_an_answer() {
+    fn a_response_that_never_comes_is_waited_for_until_the_deadline() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            let (module, answered) = oneshot::channel();
-            let guarded = in_time(Instant::now() + Duration::from_millis(50), answered);
-            let ended = timeout(Duration::from_secs(20), guarded).await;
+            let (module, receiver) = oneshot::channel();
+            let response = by_deadline(Instant::now() + Duration::from_millis(50), receiver);
+            let ended = timeout(Duration::from_secs(20), response).await;
             assert!(matches!(ended, Ok(None)));
             drop(module);
-            let (module, answered) = oneshot::channel();
-            assert!(module.send(Answer::Refused(1.0)).is_ok());
-            let guarded = in_time(Instant::now() + Duration::from_secs(20), answered);
-            assert!(matches!(guarded.await, Some(Answer::Refused(_))));
+            let (module, receiver) = oneshot::channel();
+            assert!(module.send(FinalResponse::Refused(1.0)).is_ok());
+            let response = by_deadline(Instant::now() + Duration::from_secs(20), receiver);
+            assert!(matches!(response.await, Some(FinalResponse::Refused(_))));
         });
     }
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: one call to the service, each step of it told to the node, whose follower knows all else.
+//! Calls to the discovery service. Each step of a call is reported to the node, whose list follower decides what to
+//! do.
 
 use std::rc::Rc;
 
@@ -11,41 +12,41 @@
 use tokio::task::{spawn_local, JoinHandle};
 
 use super::node::Node;
-use super::sock::{Io, Sock};
+use super::socket::{HyperIo, TrackedSocket};
 
-/// Asks for a path, on a connection of its own that ends with the call.
+/// Requests a path on a connection of its own, which is closed with the call.
 pub async fn call(node: Rc<Node>, id: CallId, path: String) {
-    match answer(&node, id, &path).await {
-        Ok(()) => node.discover(Event::Ended(id)),
-        Err(error) => node.discover(Event::Broke(id, &error.to_string())),
+    match read_response(&node, id, &path).await {
+        Ok(()) => node.handle_discovery(Event::Ended(id)),
+        Err(error) => node.handle_discovery(Event::Broke(id, &error.to_string())),
     }
 }
 
-/// Whatever breaks a call, it is made again; the words are for the log.
-type Broken = Box<dyn std::error::Error>;
-
-async fn answer(node: &Rc<Node>, id: CallId, path: &str) -> Result<(), Broken> {
-    let to = node.discovery.get();
-    let sock = Sock::new(TcpStream::connect(to).await?)?;
-    let (mut send, conn) = http1::handshake(Io(sock)).await?;
-    // What breaks the connection breaks the call too, and is seen there.
-    let _driver = Driver(spawn_local(async move { drop(conn.await) }));
-    let request = Request::get(path).header("host", to.to_string()).body(Empty::<Bytes>::new())?;
-    node.discover(Event::Connected(id));
-    let mut answer = send.send_request(request).await?;
-    node.discover(Event::Head(id, answer.status().as_u16()));
-    while let Some(frame) = answer.frame().await {
+/// Any error ends the call, and the follower repeats it; the text is for the log.
+type CallError = Box<dyn std::error::Error>;
+
+async fn read_response(node: &Rc<Node>, id: CallId, path: &str) -> Result<(), CallError> {
+    let address = node.discovery_addr.get();
+    let socket = TrackedSocket::new(TcpStream::connect(address).await?)?;
+    let (mut sender, connection) = http1::handshake(HyperIo(socket)).await?;
+    // An error of the connection also fails the call, and is reported there.
+    let _driver = DriverTask(spawn_local(async move { drop(connection.await) }));
+    let request = Request::get(path).header("host", address.to_string()).body(Empty::<Bytes>::new())?;
+    node.handle_discovery(Event::Connected(id));
+    let mut response = sender.send_request(request).await?;
+    node.handle_discovery(Event::Head(id, response.status().as_u16()));
+    while let Some(frame) = response.frame().await {
         if let Ok(data) = frame?.into_data() {
-            node.discover(Event::Bytes(id, &data));
+            node.handle_discovery(Event::Bytes(id, &data));
         }
     }
     Ok(())
 }
 
-/// The task that drives a connection; it ends with the call.
-struct Driver(JoinHandle<()>);
+/// The task that drives a connection; dropped with the call.
+struct DriverTask(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for DriverTask {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -7,39 +7,39 @@
 use socket2::{Domain, Socket, Type};
 use thiserror::Error;
 
-use super::config::INHERITED;
-use super::fault::Advice;
+use super::advice::Advice;
+use super::config::INHERITED_FD_VARIABLE;
 
-/// Connections that the kernel may hold until they are accepted.
-const BACKLOG: i32 = 1024;
+/// Connections that the kernel may queue until they are accepted.
+const ACCEPT_BACKLOG: i32 = 1024;
 
 /// Why there is no listening socket.
 #[derive(Debug, Error)]
 pub enum ListenError {
-    /// An address can't be listened at.
+    /// The address cannot be bound.
     #[error("{field}: {at}: {error}")]
     Bind {
-        /// What the configuration calls it.
+        /// The name of the address in the configuration.
         field: &'static str,
         /// The address.
         at: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         error: io::Error,
     },
-    /// The descriptor that was passed on is something else.
-    #[error("{INHERITED}: {fd}: {words}")]
+    /// The inherited descriptor cannot be used.
+    #[error("{INHERITED_FD_VARIABLE}: {fd}: {reason}")]
     Inherited {
-        /// Its number.
+        /// The descriptor.
         fd: RawFd,
-        /// What it is not.
-        words: String,
+        /// What is wrong with it.
+        reason: String,
     },
-    /// The runtime can't have a socket.
+    /// The async runtime cannot use the socket.
     #[error("{field}: {error}")]
     Runtime {
-        /// What the configuration calls it.
+        /// The name of the address in the configuration.
         field: &'static str,
-        /// What the system says.
+        /// The system's error.
         error: io::Error,
     },
 }
@@ -57,60 +57,61 @@
     }
 }
 
-/// Listens at an address; `field` is what the configuration calls it.
+/// Listens at an address; `field` is its name in the configuration.
 ///
 /// # Errors
-/// Where it can't be listened at.
+/// [`ListenError::Bind`].
 pub fn bind(field: &'static str, at: SocketAddr) -> Result<TcpListener, ListenError> {
     let bound = || -> io::Result<TcpListener> {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.bind(&at.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(ACCEPT_BACKLOG)?;
         socket.set_nonblocking(true)?;
         Ok(socket.into())
     };
     bound().map_err(|error| ListenError::Bind { field, at, error })
 }
 
-/// Takes over the listening socket that this process was started with. To be called before the process has
-/// opened a descriptor of its own. Other processes go on using the socket: it is never shut down, only closed.
+/// Takes over the listening socket that this process inherited. Must be called before the process opens a
+/// descriptor of its own. Other processes go on using the socket, so it is never shut down, only closed.
 ///
 /// # Errors
-/// Where the descriptor is something else.
+/// [`ListenError::Inherited`] if the descriptor is not a listening TCP socket.
 pub fn adopt(fd: RawFd) -> Result<TcpListener, ListenError> {
-    let fault = |words: String| ListenError::Inherited { fd, words };
-    let names = std::fs::read_link(format!("/proc/self/fd/{fd}"));
-    if !names.is_ok_and(|to| to.to_string_lossy().starts_with("socket:")) {
-        return Err(fault("not an open socket".into()));
+    let unusable = |reason: String| ListenError::Inherited { fd, reason };
+    let target = std::fs::read_link(format!("/proc/self/fd/{fd}"));
+    if !target.is_ok_and(|to| to.to_string_lossy().starts_with("socket:")) {
+        return Err(unusable("not an open socket".into()));
     }
-    // SAFETY: the descriptor is open, as was just seen, and as nothing of this process has opened one yet, it
-    // was inherited: nothing else here owns it.
+    // SAFETY: the descriptor is open, as was just checked, and this process has opened none yet, so it was
+    // inherited and nothing else here owns it.
     #[allow(unsafe_code)]
     let socket = unsafe { Socket::from_raw_fd(fd) };
-    let address = socket.local_addr().map_err(|e| fault(e.to_string()))?;
+    let address = socket.local_addr().map_err(|e| unusable(e.to_string()))?;
     if address.as_socket().is_none() || !socket.is_listener().unwrap_or(false) {
-        return Err(fault("not a listening TCP socket".into()));
+        return Err(unusable("not a listening TCP socket".into()));
     }
-    socket.set_nonblocking(true).map_err(|e| fault(e.to_string()))?;
+    socket.set_nonblocking(true).map_err(|e| unusable(e.to_string()))?;
     Ok(socket.into())
 }
 
-/// The socket as the runtime's, and its address.
+/// The socket for the async runtime, and its address.
 ///
 /// # Errors
-/// Where the runtime can't have it.
-pub fn take(
+/// [`ListenError::Runtime`].
+pub fn into_tokio(
     field: &'static str,
     listener: TcpListener,
 ) -> Result<(tokio::net::TcpListener, SocketAddr), ListenError> {
-    let taken = tokio::net::TcpListener::from_std(listener).and_then(|l| l.local_addr().map(|at| (l, at)));
-    taken.map_err(|error| ListenError::Runtime { field, error })
+    let converted =
+        tokio::net::TcpListener::from_std(listener).and_then(|l| l.local_addr().map(|at| (l, at)));
+    converted.map_err(|error| ListenError::Runtime { field, error })
 }
 
 #[cfg(test)]
 mod tests {
-    use super::super::fault::tests::each_has_its_advice;
+    use super::super::advice::tests::assert_each_has_advice;
     use super::*;
 
     #[test]
@@ -118,12 +119,12 @@
         use ListenError::*;
         let at = SocketAddr::from(([127, 0, 0, 1], 9000));
         let bind = |kind: io::ErrorKind| Bind { field: "listen", at, error: kind.into() };
-        each_has_its_advice(|before| match before {
+        assert_each_has_advice(|before| match before {
             None => Some(bind(io::ErrorKind::AddrInUse)),
             Some(Bind { error, .. }) if error.kind() == io::ErrorKind::AddrInUse => {
                 Some(bind(io::ErrorKind::PermissionDenied))
             }
-            Some(Bind { .. }) => Some(Inherited { fd: 7, words: "not an open socket".into() }),
+            Some(Bind { .. }) => Some(Inherited { fd: 7, reason: "not an open socket".into() }),
             Some(Inherited { .. }) => Some(Runtime { field: "listen", error: io::ErrorKind::Other.into() }),
             Some(Runtime { .. }) => None,
         });
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -1,125 +1,125 @@
-//! The figures that operators read. Each counter is raised in one place, where the thing happens.
+//! The metrics that operators read. Each counter is raised in one place, where the counted event happens.
 
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// How a request ended.
+/// How a request ended, as counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Served.
+pub enum RequestOutcome {
+    /// Answered with a server's response.
     Success,
-    /// Refused.
+    /// Refused for lack of capacity or of a usable policy.
     Overload,
-    /// Failed, or left by its client.
+    /// Failed, or abandoned by its client.
     Error,
 }
 
-/// The names of the ends, in their order.
-const ENDS: [&str; 3] = ["success", "overload", "error"];
+/// The metric labels of the outcomes, by discriminant.
+const OUTCOME_LABELS: [&str; 3] = ["success", "overload", "error"];
 
-/// What a node knows of votes on servers.
+/// What a node knows about the votes on servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Voting {
-    /// Servers that it suspects.
+pub struct VotingStatus {
+    /// Servers that this node suspects.
     pub suspects: usize,
-    /// Servers that a verdict holds for here.
+    /// Servers that a verdict removes for this node.
     pub removed: usize,
-    /// Too many are out: verdicts are not heeded.
-    pub panic: bool,
-    /// The group's word is too old: it ejects by its own evidence.
-    pub alone: bool,
-    /// It suspects too many, and abstains.
-    pub doubts: bool,
-    /// How long ago a leader answered, in whole milliseconds; `None` where none has.
-    pub word_age_ms: Option<u64>,
+    /// Verdicts would remove too many servers and are ignored.
+    pub panic_mode: bool,
+    /// The last contact with the group is too old: the node ejects servers by its own evidence.
+    pub standalone: bool,
+    /// The node suspects too many servers and abstains.
+    pub abstains: bool,
+    /// Whole milliseconds since a leader last answered; `None` if none has.
+    pub last_contact_ms: Option<u64>,
 }
 
-/// Counts from the start of the process on.
+/// Counters that run from the start of the process.
 pub struct Metrics {
-    /// For each class, how many requests ended in which way.
-    ended: Vec<[Cell<u64>; 3]>,
+    /// For each class, how many requests ended in each way.
+    completed: Vec<[Cell<u64>; 3]>,
     concurrent: Cell<u64>,
     dispatches: Rc<Cell<u64>>,
 }
 
 impl Metrics {
-    /// Nothing has happened yet.
+    /// All counters at zero.
     pub fn new(classes: usize) -> Rc<Self> {
-        let ended = (0..classes).map(|_| Default::default()).collect();
-        Rc::new(Self { ended, concurrent: Cell::new(0), dispatches: Rc::default() })
+        let completed = (0..classes).map(|_| Default::default()).collect();
+        Rc::new(Self { completed, concurrent: Cell::new(0), dispatches: Rc::default() })
     }
 
-    /// A request was taken.
-    pub fn take(self: &Rc<Self>, class: usize) -> Taken {
+    /// Counts a request as open until the guard is dropped.
+    pub fn begin_request(self: &Rc<Self>, class: usize) -> RequestGuard {
         self.concurrent.set(self.concurrent.get() + 1);
-        Taken { metrics: self.clone(), class, end: End::Error }
+        RequestGuard { metrics: self.clone(), class, outcome: RequestOutcome::Error }
     }
 
-    /// The counter of attempts that were written whole.
+    /// The counter of attempts that were written to a server completely.
     pub fn dispatches(&self) -> Rc<Cell<u64>> {
         self.dispatches.clone()
     }
 
-    /// All figures, one a line. `classes` are the names; `targets` and `disabled` how many servers the list has,
-    /// and how many of those are avoided; `policy` the epoch that requests are judged by, if one is known, and
-    /// whether none are taken, where there is a control group; `votes` what is known of votes on servers, while there
-    /// are any.
-    pub fn text(
+    /// All metrics, one `edge_balancer.NAME=VALUE` a line. `classes` are the names of the classes; `targets` is the
+    /// number of listed servers and `disabled` how many of those nothing is sent to. `policy` is there if the node
+    /// follows a control group: the epoch in force, if one is known, and whether new requests are refused. `votes`
+    /// is there while the agreed policy has votes.
+    pub fn render(
         &self,
         classes: &[String],
         targets: usize,
         disabled: usize,
         policy: Option<(Option<u64>, bool)>,
-        votes: Option<Voting>,
+        votes: Option<VotingStatus>,
     ) -> String {
         let mut text = String::new();
-        let mut line = |name: &str, value: u64| {
-            // A string takes all that is written to it.
+        let mut write_line = |name: &str, value: u64| {
+            // Writing to a `String` cannot fail.
             let _ = writeln!(text, "edge_balancer.{name}={value}");
         };
-        for (class, ended) in classes.iter().zip(&self.ended) {
-            for (end, count) in ENDS.iter().zip(ended) {
-                line(&format!("replies.{class}.{end}"), count.get());
+        for (class, counts) in classes.iter().zip(&self.completed) {
+            for (outcome, count) in OUTCOME_LABELS.iter().zip(counts) {
+                write_line(&format!("replies.{class}.{outcome}"), count.get());
             }
         }
-        line("dispatches", self.dispatches.get());
-        line("concurrent", self.concurrent.get());
-        line("targets", targets as u64);
-        line("targets_disabled", disabled as u64);
+        write_line("dispatches", self.dispatches.get());
+        write_line("concurrent", self.concurrent.get());
+        write_line("targets", targets as u64);
+        write_line("targets_disabled", disabled as u64);
         if let Some((epoch, held)) = policy {
             if let Some(epoch) = epoch {
-                line("policy.epoch", epoch);
+                write_line("policy.epoch", epoch);
             }
-            line("policy.held", held.into());
+            write_line("policy.held", held.into());
         }
         if let Some(votes) = votes {
-            line("votes.suspects", votes.suspects as u64);
-            line("votes.removed", votes.removed as u64);
-            line("votes.panic", votes.panic.into());
-            line("votes.alone", votes.alone.into());
-            line("votes.doubts", votes.doubts.into());
-            if let Some(age) = votes.word_age_ms {
-                line("votes.word_age_ms", age);
+            write_line("votes.suspects", votes.suspects as u64);
+            write_line("votes.removed", votes.removed as u64);
+            write_line("votes.panic", votes.panic_mode.into());
+            write_line("votes.alone", votes.standalone.into());
+            write_line("votes.doubts", votes.abstains.into());
+            if let Some(age) = votes.last_contact_ms {
+                write_line("votes.word_age_ms", age);
             }
         }
         text
     }
 }
 
-/// A request from when it was taken until its end, which is counted when this is dropped.
-pub struct Taken {
+/// An open request; dropping this counts its end.
+pub struct RequestGuard {
     metrics: Rc<Metrics>,
     class: usize,
-    /// What it counts as if it ends now.
-    pub end: End,
+    /// What the request is counted as if it ends now.
+    pub outcome: RequestOutcome,
 }
 
-impl Drop for Taken {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        let (metrics, end) = (&self.metrics, self.end as usize);
+        let (metrics, outcome) = (&self.metrics, self.outcome as usize);
         metrics.concurrent.set(metrics.concurrent.get() - 1);
-        let count = &metrics.ended[self.class][end];
+        let count = &metrics.completed[self.class][outcome];
         count.set(count.get() + 1);
     }
 }
