--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -1,4 +1,5 @@
-//! The owner of the decision module: events in, actions out, the table of requests, the clock and the timer.
+//! The owner of the decision module: passes events to it, performs its actions, and keeps the table of requests,
+//! the clock and the timer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -7,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use endpoints::{Action as Do, CallId, Follower, Health, Mode, Ms, Update};
+use endpoints::{Action as ListAction, CallId, Follower, Health, Mode, Ms, Update};
 use hyper::StatusCode;
 use member::votes::{Ballot, Verdicts, Votes};
 use member::Epoch;
@@ -20,65 +21,70 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::bans::{BanError, Bans, Change};
-use super::bodies::Budget;
+use super::admission::{Admission, HoldReason};
+use super::bans::{BanChange, BanError, Bans};
+use super::bodies::MemoryBudget;
 use super::config::Config;
-use super::gate::{Gate, Stop};
 use super::log;
-use super::metrics::{Metrics, Voting};
+use super::metrics::{Metrics, VotingStatus};
 use super::pool::Pool;
-use super::request::{Answer, Asked, Reply, To};
-use super::votes::{self, Word};
+use super::request::{AttemptTarget, FinalResponse, ForwardedRequest, ServerResponse};
+use super::votes::{self, VoteState};
 
 /// How long the node waits for discovery before it serves by the saved list.
-const READY_WITHIN: Duration = Duration::from_millis(2500);
-/// How long after its start a process that inherited its listener may have an older one beside it: that is told
-/// to end within 6 s, once this one is ready, and is killed 3.7 s later at the latest.
-const OVERLAP: Duration = Duration::from_secs(10);
-
-/// Descriptors that no client or server may take, where there are enough: for the standard streams, the runtime,
-/// the listeners, discovery and operators' callers.
-const ASIDE: usize = 24;
-/// Turns of the runtime that what has come needs to be read: its connection, and the call on it.
-const READ_FIRST: usize = 3;
-/// What an open request takes of the memory that bodies leave, in bytes: its heads, mostly.
-const OPEN_BYTES: usize = 16 * 1024;
-/// For how long whoever is refused because of the gate should stay away, in milliseconds: a beat or two.
-const HELD_AWAY: Millis = 500.0;
-/// How often it is looked whether the node can serve.
-const LOOK: Duration = Duration::from_millis(10);
-
-/// What a process is of its node: with a listener that another one may have too, two serve as one node for a while,
-/// and what they take of its limits must add up.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long after its start a process that inherited its listener may have an older one beside it: the older one is
+/// told to end within 6 s, once this one is ready, and is killed at most 3.7 s later.
+const MAX_OVERLAP: Duration = Duration::from_secs(10);
+
+/// Descriptors that clients and servers may not take, if there are enough: for the standard streams, the runtime,
+/// the listeners, discovery and operators' calls.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Turns of the runtime until data that has arrived is read: by the task of its connection, then by the call on it.
+const READ_TURNS: usize = 3;
+/// The memory of an open request besides its body, in bytes: mostly its heads.
+const OPEN_REQUEST_BYTES: usize = 16 * 1024;
+/// The `Retry-After` of requests refused by [`Node::admit`], in milliseconds: one or two heartbeats.
+const HELD_RETRY_AFTER_MS: Millis = 500.0;
+/// How often it is checked whether the node is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// The role of this process. With a shared listener two processes serve as one node for a while, and their parts of
+/// its limits must add up to no more than the whole.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Part {
-    /// All of it.
-    Whole,
-    /// It has just started, and an older one may still be there. Clients come over to it.
-    New,
-    /// It has been told to end, and a newer one may be there.
-    Old,
+enum ProcessRole {
+    /// The only process of the node.
+    Sole,
+    /// Just started, perhaps beside an older process. Clients move over to it.
+    Successor,
+    /// Told to end, perhaps beside a newer process.
+    Predecessor,
 }
 
-/// Who does on sockets what the node decides. Each call begins something that goes on by itself, and tells the node
-/// how it ended.
-pub trait Hands {
-    /// One attempt at a request.
-    fn attempt(&self, node: Rc<Node>, to: To, asked: Rc<Asked>) -> AbortHandle;
-    /// One probe of a server.
-    fn probe(&self, node: Rc<Node>, server: ServerId);
-    /// Asks discovery for a path; each step is told to the node's [`Node::discover`].
-    fn call(&self, node: Rc<Node>, id: CallId, path: String) -> AbortHandle;
+/// Starts the I/O that the node decides on. Each operation runs as a task and reports its result to the node.
+pub trait NodeIo {
+    /// Starts one attempt at a request.
+    fn start_attempt(
+        &self,
+        node: Rc<Node>,
+        target: AttemptTarget,
+        request: Rc<ForwardedRequest>,
+    ) -> AbortHandle;
+    /// Starts one probe of a server.
+    fn start_probe(&self, node: Rc<Node>, server: ServerId);
+    /// Requests a path from discovery; each step is reported to [`Node::handle_discovery`].
+    fn start_discovery_call(&self, node: Rc<Node>, id: CallId, path: String) -> AbortHandle;
 }
 
-/// Monotonic time for the module, and its relation to Unix time at the start.
+/// Monotonic time for the decision module, and the Unix time at the start.
 struct Clock {
     start: Instant,
     unix_start: Millis,
 }
 
 impl Clock {
-    /// The one look at the wall clock: dates of other machines are taken as they are by it, within [`started`]'s bounds.
+    /// The only reading of the wall clock. Dates from other machines are converted by it, within the bounds of
+    /// [`start_time`].
     #[expect(
         clippy::disallowed_methods,
         reason = "paired with monotonic time once, so that no step moves it"
@@ -97,43 +103,44 @@
         instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// That long ago; perhaps before the node's start.
+    /// The time this long ago; negative if before the node's start.
     fn ago(&self, span: Duration) -> Millis {
         (self.start.elapsed().as_secs_f64() - span.as_secs_f64()) * 1000.0
     }
 }
 
-/// When a server has started by the module's time, `None` for long ago: `born` is the date that the list has by the same
-/// offset, `before` what was taken of it at its last start. A date that can't be, as its clock or this node's was
-/// stepped, counts as the moment when it is heard of: no server stays cold for longer than after a start just then, and
-/// one that was seen to start anew is not warm at once.
-fn started(born: Option<Millis>, before: Option<Option<Millis>>, now: Millis) -> Option<Millis> {
-    let earliest = before.flatten().unwrap_or(f64::NEG_INFINITY);
-    born.map(|born| if born > now || born < earliest { now } else { born })
+/// When a server's process started, in the decision module's time; `None` for long ago. `listed` is the date in the
+/// list by the same clock, and `previous` the result for the server's last process. A date in the future, or before
+/// the previous start, is wrong because the server's clock or this node's was stepped; it is replaced by the
+/// present. So no server stays cold for longer than after a start just now, and one that was seen to restart is not
+/// warm at once.
+fn start_time(listed: Option<Millis>, previous: Option<Option<Millis>>, now: Millis) -> Option<Millis> {
+    let earliest = previous.flatten().unwrap_or(f64::NEG_INFINITY);
+    listed.map(|date| if date > now || date < earliest { now } else { date })
 }
 
-/// A request that is open, or has attempts out.
-struct Open {
-    asked: Rc<Asked>,
-    /// Where the final answer goes; taken when there is one, or when none is owed any more.
-    answer: Option<oneshot::Sender<Answer>>,
-    attempts: Vec<Try>,
+/// A request that awaits its final response, or has attempts in flight.
+struct OpenRequest {
+    request: Rc<ForwardedRequest>,
+    /// Where the final response goes; `None` once it was sent or is no longer needed.
+    response: Option<oneshot::Sender<FinalResponse>>,
+    attempts: Vec<OpenAttempt>,
 }
 
-struct Try {
+struct OpenAttempt {
     server: ServerId,
-    sent: Instant,
-    /// `None` once it has ended.
+    started: Instant,
+    /// `None` once the attempt has ended.
     task: Option<AbortHandle>,
 }
 
-/// What is known of a server besides what the module knows.
-struct Host {
+/// What the node knows about a server in addition to the decision module.
+struct ServerInfo {
     name: String,
-    dial: SocketAddr,
+    addr: SocketAddr,
     born_ms: f64,
     started: Option<Millis>,
-    /// The name of its zone, where there is a control group.
+    /// The name of its zone, if there is a control group.
     zone: Option<Box<str>>,
     state: Listed,
 }
@@ -141,125 +148,125 @@
 struct State {
     balancer: Balancer,
     events: VecDeque<Event>,
-    feeding: bool,
-    requests: HashMap<RequestId, Open>,
+    handling_event: bool,
+    requests: HashMap<RequestId, OpenRequest>,
     last_id: u64,
-    /// When the module wants to be woken.
+    /// When the decision module wants to be called.
     timer: Option<Instant>,
-    hosts: HashMap<ServerId, Host>,
+    servers: HashMap<ServerId, ServerInfo>,
     bans: Bans,
     follower: Follower,
-    /// The calls to discovery that are out.
+    /// The open calls to discovery.
     calls: BTreeMap<CallId, AbortHandle>,
-    /// The servers that the agreed policy takes out, by name.
+    /// The names of the servers that the agreed policy bans.
     policy_bans: BTreeSet<String>,
-    /// What the control group says of servers, while the agreed policy has votes.
-    word: Option<Word>,
+    /// The control group's verdicts on servers, while the agreed policy has votes.
+    votes: Option<VoteState>,
 }
 
 impl State {
-    /// Is a server out, by operators' calls or by the agreed policy?
-    fn out(&self, name: &str) -> bool {
-        self.bans.hold(name) || self.policy_bans.contains(name)
+    /// Whether a server is banned, by operators or by the agreed policy.
+    fn is_banned(&self, name: &str) -> bool {
+        self.bans.is_banned(name) || self.policy_bans.contains(name)
     }
 
-    /// Is a server of that name in the list?
+    /// Whether the list has a server of that name.
     fn lists(&self, name: &str) -> bool {
-        self.hosts.get(&ServerId(number_of(name))).is_some_and(|h| h.name == name)
+        self.servers.get(&ServerId(number_of(name))).is_some_and(|h| h.name == name)
     }
 }
 
 /// One node.
 pub struct Node {
-    /// Its configuration.
+    /// The configuration.
     pub config: Config,
-    /// Its connections to servers.
+    /// The connections to servers.
     pub pool: Pool,
-    /// The bytes that bodies may take: two thirds of the memory; the rest is for connections and all else.
-    pub budget: Budget,
-    /// What it counts.
+    /// The memory for bodies: two thirds of the limit. The rest is for connections and everything else.
+    pub body_budget: MemoryBudget,
+    /// The metrics.
     pub metrics: Rc<Metrics>,
-    /// Since when the node is to end: answers then close their connections.
-    pub closing: Cell<Option<Instant>>,
-    /// Where discovery is now.
-    pub discovery: Cell<SocketAddr>,
-    /// Whether requests may be taken, where there is a control group.
-    gate: Option<Rc<Gate>>,
+    /// Since when the node has been shutting down; responses then close their connections.
+    pub stopping_since: Cell<Option<Instant>>,
+    /// The current address of discovery.
+    pub discovery_addr: Cell<SocketAddr>,
+    /// Whether requests may be taken, if there is a control group.
+    admission: Option<Rc<Admission>>,
     /// The most requests that may be open.
     open_cap: Cell<usize>,
-    /// The longest that clients heed when they are told to stay away.
+    /// The longest `Retry-After` that clients honour.
     max_retry_after: Cell<Millis>,
-    hands: Box<dyn Hands>,
+    io: Box<dyn NodeIo>,
     clock: Clock,
-    informed: Cell<bool>,
+    discovery_answered: Cell<bool>,
     state: RefCell<State>,
-    rearmed: Notify,
+    timer_changed: Notify,
 }
 
-/// The same number for a name at every node and after every restart.
+/// The number that stands for a name: the same at every node and after every restart.
 fn number_of(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
 impl Node {
-    /// A node that knows the saved list and has not asked discovery yet.
+    /// A node that knows the saved list and has not called discovery yet.
     ///
     /// # Errors
-    /// Where the module refuses the settings.
+    /// [`SettingsError`] if the decision module refuses the settings.
     pub fn new(
         mut config: Config,
-        gate: Option<Rc<Gate>>,
-        hands: Box<dyn Hands>,
+        admission: Option<Rc<Admission>>,
+        io: Box<dyn NodeIo>,
     ) -> Result<Rc<Self>, SettingsError> {
-        let balancer = Balancer::new(settings(&config.told), config.seed)?;
-        // What is saved is all that there was, whatever form it says that it has.
-        let known = config.known.take().map(|saved| Update { whole: true, ..saved });
-        let mode = match config.told.settings.discovery {
+        let balancer = Balancer::new(module_settings(&config.node_settings), config.seed)?;
+        // A saved list is complete, whatever its `whole` field says.
+        let saved_list = config.saved_list.take().map(|saved| Update { whole: true, ..saved });
+        let mode = match config.node_settings.settings.discovery {
             Discovery::Pushed => Mode::Pushed,
             Discovery::Asked => Mode::Asked,
         };
-        let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
-        let cold = span(config.told.settings.rules.warm_within);
+        let temp_dir = std::env::var_os("TMPDIR").map(PathBuf::from);
+        let cold_period = to_duration(config.node_settings.settings.rules.warm_within);
         let state = State {
             balancer,
             events: VecDeque::new(),
-            feeding: false,
+            handling_event: false,
             requests: HashMap::new(),
             last_id: 0,
             timer: None,
-            hosts: HashMap::new(),
-            bans: Bans::new(folder, &config.name, cold),
-            follower: Follower::new(mode, known.as_ref(), 0),
+            servers: HashMap::new(),
+            bans: Bans::new(temp_dir, &config.name, cold_period),
+            follower: Follower::new(mode, saved_list.as_ref(), 0),
             calls: BTreeMap::new(),
             policy_bans: BTreeSet::new(),
-            word: None,
+            votes: None,
         };
         let node = Rc::new(Self {
             pool: Pool::new(&config),
-            budget: Budget::new(config.memory / 3 * 2),
-            metrics: Metrics::new(config.told.classes.len()),
-            discovery: Cell::new(config.discovery),
-            open_cap: Cell::new(config.told.open_cap),
-            max_retry_after: Cell::new(config.told.settings.limits.max_retry_after),
+            body_budget: MemoryBudget::new(config.memory_bytes / 3 * 2),
+            metrics: Metrics::new(config.node_settings.classes.len()),
+            discovery_addr: Cell::new(config.discovery),
+            open_cap: Cell::new(config.node_settings.open_cap),
+            max_retry_after: Cell::new(config.node_settings.settings.limits.max_retry_after),
             config,
-            closing: Cell::new(None),
-            gate,
-            hands,
+            stopping_since: Cell::new(None),
+            admission,
+            io,
             clock: Clock::new(),
-            informed: Cell::new(false),
+            discovery_answered: Cell::new(false),
             state: RefCell::new(state),
-            rearmed: Notify::new(),
+            timer_changed: Notify::new(),
         });
-        let saved = known.unwrap_or(Update { version: 0, whole: true, hosts: Vec::new() });
-        node.take_list(saved, true);
-        node.ban(node.config.told.bans.iter().cloned().collect());
-        node.look_at_bans();
+        let saved_list = saved_list.unwrap_or(Update { version: 0, whole: true, hosts: Vec::new() });
+        node.apply_list(saved_list, true);
+        node.set_policy_bans(node.config.node_settings.bans.iter().cloned().collect());
+        node.poll_bans();
         node.share_memory();
-        node.discover(endpoints::Event::Tick);
+        node.handle_discovery(endpoints::Event::Tick);
         Ok(node)
     }
 
-    /// Runs the timers of the module and of the list's follower; never ends.
+    /// Runs the timers of the decision module and of the list follower; never returns.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let (module, list) = {
@@ -268,90 +275,93 @@
                 (state.timer, list)
             };
             let Some(due) = module.into_iter().chain(list).min() else {
-                self.rearmed.notified().await;
+                self.timer_changed.notified().await;
                 continue;
             };
             tokio::select! {
                 () = tokio::time::sleep_until(due.into()) => {}
-                () = self.rearmed.notified() => continue,
+                () = self.timer_changed.notified() => continue,
             }
             if module.is_some_and(|at| at <= due) {
                 self.state.borrow_mut().timer = None;
-                self.feed(Event::Timer);
+                self.handle_event(Event::Timer);
             }
             if list.is_some_and(|at| at <= due) {
-                // A process that stood still first reads what has come meanwhile: nobody was silent.
-                for _ in 0..READ_FIRST {
+                // After the process was stopped it first reads what has arrived meanwhile, so that nothing is taken
+                // for silent by mistake.
+                for _ in 0..READ_TURNS {
                     tokio::task::yield_now().await;
                 }
-                self.discover(endpoints::Event::Tick);
+                self.handle_discovery(endpoints::Event::Tick);
             }
         }
     }
 
-    /// Can the node serve? Once discovery has answered, or soon with a saved list, and while its gate is open.
+    /// Whether the node can serve: once discovery has answered, or after [`DISCOVERY_TIMEOUT`] with a saved list,
+    /// and while requests may be taken.
     pub fn ready(&self) -> bool {
-        if self.closing.get().is_some() || self.admit().is_err() {
+        if self.stopping_since.get().is_some() || self.admit().is_err() {
             return false;
         }
-        let late = self.clock.start.elapsed() >= READY_WITHIN;
-        self.informed.get() || (late && !self.state.borrow().hosts.is_empty())
+        let late = self.clock.start.elapsed() >= DISCOVERY_TIMEOUT;
+        self.discovery_answered.get() || (late && !self.state.borrow().servers.is_empty())
     }
 
     /// Returns once the node can serve.
     pub async fn until_ready(&self) {
         while !self.ready() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// Leaves half of the memory for bodies to the other process while there may be one. To be called at the start
-    /// and the end, and now and then.
+    /// Leaves half of the memory for bodies to the other process while there may be one. To be called at the start,
+    /// at the end, and from time to time.
     pub fn share_memory(&self) {
-        self.budget.share(self.part() != Part::Whole);
+        self.body_budget.set_shared(self.role() != ProcessRole::Sole);
     }
 
-    /// Which part of the node this process is now.
-    fn part(&self) -> Part {
-        if self.config.inherited.is_none() {
-            Part::Whole
-        } else if self.closing.get().is_some() {
-            Part::Old
-        } else if self.clock.start.elapsed() < OVERLAP {
-            Part::New
+    /// The current role of this process.
+    fn role(&self) -> ProcessRole {
+        if self.config.inherited_fd.is_none() {
+            ProcessRole::Sole
+        } else if self.stopping_since.get().is_some() {
+            ProcessRole::Predecessor
+        } else if self.clock.start.elapsed() < MAX_OVERLAP {
+            ProcessRole::Successor
         } else {
-            Part::Whole
+            ProcessRole::Sole
         }
     }
 
     /// How many descriptors clients and servers may take together.
-    fn descriptors(&self) -> usize {
-        self.config.sockets - ASIDE.min(self.config.sockets / 4)
-    }
-
-    /// How many connections clients may have: at a new process no fewer than they hold, which is a third of all
-    /// descriptors. What a new and an old process may have together, to servers as well, is no more than the whole.
-    pub fn client_connections(&self) -> usize {
-        let most = self.descriptors() * 4 / 7;
-        match self.part() {
-            Part::Whole => most,
-            Part::New => most * 3 / 4,
-            Part::Old => most / 4,
+    fn usable_descriptors(&self) -> usize {
+        self.config.max_sockets - RESERVED_DESCRIPTORS.min(self.config.max_sockets / 4)
+    }
+
+    /// How many connections clients may have. A new process takes at least as many as the clients hold together, which
+    /// is a third of all descriptors. What a new and an old process may have together, to servers as well, is no more
+    /// than the whole.
+    pub fn max_client_connections(&self) -> usize {
+        let max = self.usable_descriptors() * 4 / 7;
+        match self.role() {
+            ProcessRole::Sole => max,
+            ProcessRole::Successor => max * 3 / 4,
+            ProcessRole::Predecessor => max / 4,
         }
     }
 
-    /// How many connections there may be to servers.
-    pub fn server_connections(&self) -> usize {
-        let most = self.descriptors() * 3 / 7;
-        match self.part() {
-            Part::Whole => most,
-            Part::New => most / 2,
-            Part::Old => most / 4,
+    /// How many connections to servers there may be.
+    pub fn max_server_connections(&self) -> usize {
+        let max = self.usable_descriptors() * 3 / 7;
+        match self.role() {
+            ProcessRole::Sole => max,
+            ProcessRole::Successor => max / 2,
+            ProcessRole::Predecessor => max / 4,
         }
     }
 
-    /// Can the node serve, as the status of an answer?
-    pub fn readiness(&self) -> StatusCode {
+    /// Whether the node can serve, as the status of a response.
+    pub fn ready_status(&self) -> StatusCode {
         if self.ready() {
             StatusCode::OK
         } else {
@@ -361,59 +371,61 @@
 
     // ---- Policy ----
 
-    /// Whether a request may be taken right now, and under which epoch; none where there is no control group.
+    /// The epoch under which a request may be taken right now; `None` if there is no control group.
     ///
     /// # Errors
-    /// Why not.
-    pub fn admit(&self) -> Result<Option<Epoch>, Stop> {
-        self.gate.as_ref().map(|gate| gate.admit()).transpose()
+    /// A [`HoldReason`] if none may be taken.
+    pub fn admit(&self) -> Result<Option<Epoch>, HoldReason> {
+        self.admission.as_ref().map(|admission| admission.admit()).transpose()
     }
 
-    /// How long a client should stay away that was refused because of the gate.
-    pub fn held_away(&self) -> Millis {
-        self.max_retry_after.get().min(HELD_AWAY)
+    /// The `Retry-After` of a request refused by [`Self::admit`], in milliseconds.
+    pub fn held_retry_after(&self) -> Millis {
+        self.max_retry_after.get().min(HELD_RETRY_AFTER_MS)
     }
 
-    /// How many open requests a policy may ask this process to hold: each has a connection, and some memory of what
-    /// bodies leave; what its own settings ask for is borne.
-    pub fn room(&self) -> usize {
-        let connections = self.descriptors() * 4 / 7;
-        connections.min(self.config.memory / 3 / OPEN_BYTES).max(self.config.told.open_cap)
+    /// How many open requests a policy may allow at this process: each takes a connection, and memory that bodies
+    /// leave. What its own settings allow is always within it.
+    pub fn open_request_capacity(&self) -> usize {
+        let connections = self.usable_descriptors() * 4 / 7;
+        connections
+            .min(self.config.memory_bytes / 3 / OPEN_REQUEST_BYTES)
+            .max(self.config.node_settings.open_cap)
     }
 
-    /// Judges by a policy from now on; what has been taken goes on under that by which it was.
-    pub fn judge_by(self: &Rc<Self>, told: Told) {
-        self.open_cap.set(told.open_cap);
-        self.max_retry_after.set(told.settings.limits.max_retry_after);
+    /// Applies a policy. Requests that were taken before keep to the policy under which they were taken.
+    pub fn apply_policy(self: &Rc<Self>, settings: Told) {
+        self.open_cap.set(settings.open_cap);
+        self.max_retry_after.set(settings.settings.limits.max_retry_after);
         {
-            let word = &mut self.state.borrow_mut().word;
-            *word = told.settings.votes.is_some().then(|| word.take().unwrap_or_default());
+            let votes = &mut self.state.borrow_mut().votes;
+            *votes = settings.settings.votes.is_some().then(|| votes.take().unwrap_or_default());
         }
-        self.feed(Event::Policy(Box::new(settings(&told))));
-        self.ban(told.bans.into_iter().collect());
+        self.handle_event(Event::Policy(Box::new(module_settings(&settings))));
+        self.set_policy_bans(settings.bans.into_iter().collect());
     }
 
-    /// Has those servers out, and no other ones but those that operators' calls took out.
-    fn ban(self: &Rc<Self>, bans: BTreeSet<String>) {
+    /// Bans exactly these servers by policy. Operators' bans stay.
+    fn set_policy_bans(self: &Rc<Self>, bans: BTreeSet<String>) {
         let before = std::mem::replace(&mut self.state.borrow_mut().policy_bans, bans.clone());
-        for name in bans.difference(&before).filter(|name| !self.state.borrow().bans.hold(name)) {
-            self.out(name, ServerId(number_of(name)));
+        for name in bans.difference(&before).filter(|name| !self.state.borrow().bans.is_banned(name)) {
+            self.take_out_of_use(name, ServerId(number_of(name)));
         }
-        for name in before.difference(&bans).filter(|name| !self.state.borrow().bans.hold(name)) {
-            self.back(name, ServerId(number_of(name)), Duration::ZERO);
+        for name in before.difference(&bans).filter(|name| !self.state.borrow().bans.is_banned(name)) {
+            self.put_back(name, ServerId(number_of(name)), Duration::ZERO);
         }
     }
 
     // ---- Votes ----
 
-    /// What the next beat says of servers, and the version of the verdicts that are known; `None` while the agreed
-    /// policy has no votes. `zone` is the node's own.
-    pub fn votes(&self, zone: Option<&str>) -> Option<(Votes, u64)> {
+    /// The votes of the next heartbeat, and the version of the known verdicts; `None` while the agreed policy has
+    /// no votes. `zone` is the node's own.
+    pub fn heartbeat_votes(&self, zone: Option<&str>) -> Option<(Votes, u64)> {
         let state = self.state.borrow();
-        let word = state.word.as_ref()?;
+        let votes = state.votes.as_ref()?;
         let own = state.balancer.ballots();
         let ballots = own.ballots.into_iter().filter_map(|own| {
-            let host = state.hosts.get(&own.server)?;
+            let host = state.servers.get(&own.server)?;
             Some(Ballot {
                 server: host.name.clone(),
                 born_ms: host.born_ms,
@@ -422,203 +434,217 @@
                 evidence: own.evidence,
             })
         });
-        let up = |host: &&Host| host.state == Listed::Up && !state.policy_bans.contains(&host.name);
-        let up = state.hosts.values().filter(up).map(|host| host.zone.as_deref().unwrap_or_default());
-        Some((word.votes(zone, up, own.doubts, ballots.collect()), word.version()))
+        let up = |host: &&ServerInfo| host.state == Listed::Up && !state.policy_bans.contains(&host.name);
+        let up = state.servers.values().filter(up).map(|host| host.zone.as_deref().unwrap_or_default());
+        Some((votes.heartbeat_votes(zone, up, own.doubts, ballots.collect()), votes.version()))
     }
 
-    /// A leader has answered a beat that had votes: its word on servers is fresh, changed or not.
-    pub fn answered(self: &Rc<Self>, zone: Option<&str>, asked: Vec<String>, verdicts: Option<Verdicts>) {
+    /// A leader has answered a heartbeat that had votes. This counts as contact with the group even if no verdict
+    /// changed.
+    pub fn leader_answered(
+        self: &Rc<Self>,
+        zone: Option<&str>,
+        wanted: Vec<String>,
+        verdicts: Option<Verdicts>,
+    ) {
         let now = self.clock.at(Instant::now());
-        let known = match &mut self.state.borrow_mut().word {
-            Some(word) => {
-                word.answered(asked, verdicts, now);
+        let known = match &mut self.state.borrow_mut().votes {
+            Some(votes) => {
+                votes.leader_answered(wanted, verdicts, now);
                 true
             }
             None => false,
         };
         if known {
-            self.rule(zone);
+            self.apply_verdicts(zone);
         }
     }
 
-    /// A replica's watch has told what is in force for servers.
-    pub fn news(self: &Rc<Self>, zone: Option<&str>, verdicts: Verdicts) {
-        let newer = self.state.borrow_mut().word.as_mut().is_some_and(|word| word.news(verdicts));
+    /// A replica's watch has reported the verdicts in force.
+    pub fn verdicts_reported(self: &Rc<Self>, zone: Option<&str>, verdicts: Verdicts) {
+        let newer = self.state.borrow_mut().votes.as_mut().is_some_and(|votes| votes.update(verdicts));
         if newer {
-            self.rule(zone);
+            self.apply_verdicts(zone);
         }
     }
 
-    /// Has the module heed the verdicts that hold here.
-    fn rule(self: &Rc<Self>, zone: Option<&str>) {
+    /// Passes the verdicts that apply here to the decision module, and logs changes.
+    fn apply_verdicts(self: &Rc<Self>, zone: Option<&str>) {
         let rulings = {
             let state = &mut *self.state.borrow_mut();
-            let Some(word) = &mut state.word else { return };
-            let hosts = &state.hosts;
+            let Some(votes) = &mut state.votes else { return };
+            let servers = &state.servers;
             let born = |name: &str| {
-                hosts.get(&ServerId(number_of(name))).filter(|h| h.name == name).map(|h| h.born_ms)
+                servers.get(&ServerId(number_of(name))).filter(|h| h.name == name).map(|h| h.born_ms)
             };
-            let held: BTreeMap<String, bool> = word
-                .rulings(&self.config.name, zone, born)
+            let applying: BTreeMap<String, bool> = votes
+                .verdicts_here(&self.config.name, zone, born)
                 .map(|(server, probe)| (server.to_owned(), probe))
                 .collect();
-            let ruling =
+            let to_ruling =
                 |(name, &probe): (&String, &bool)| Ruling { server: ServerId(number_of(name)), probe };
-            let rulings = held.iter().map(ruling).collect();
-            for (name, turn) in word.note(held) {
+            let rulings = applying.iter().map(to_ruling).collect();
+            for (name, change) in votes.set_applying(applying) {
                 let server = ServerId(number_of(&name));
                 let own = state.balancer.ballots().ballots.into_iter().find(|own| own.server == server);
-                let words =
-                    own.map_or("too few attempts of late".to_owned(), |own| votes::words(own.evidence));
-                log::line(format!("{name} {turn} (version {}); from here: {words}", word.version()));
+                let evidence = own.map_or("too few attempts of late".to_owned(), |own| {
+                    votes::describe_evidence(own.evidence)
+                });
+                log::line(format!("{name} {change} (version {}); from here: {evidence}", votes.version()));
             }
             rulings
         };
-        self.feed(Event::Verdicts(rulings));
+        self.handle_event(Event::Verdicts(rulings));
     }
 
-    /// What operators are shown of votes.
-    fn voting(&self) -> Option<Voting> {
+    /// The state of the votes for the metrics.
+    fn voting_status(&self) -> Option<VotingStatus> {
         let state = self.state.borrow();
-        let word = state.word.as_ref()?;
+        let votes = state.votes.as_ref()?;
         let own = state.balancer.ballots();
-        Some(Voting {
+        Some(VotingStatus {
             suspects: own.suspects,
-            removed: word.held(),
-            panic: own.panic,
-            alone: own.alone,
-            doubts: own.doubts,
-            word_age_ms: word.age(self.clock.at(Instant::now())).map(|age| age as u64),
+            removed: votes.applying(),
+            panic_mode: own.panic,
+            standalone: own.alone,
+            abstains: own.doubts,
+            last_contact_ms: votes.last_contact(self.clock.at(Instant::now())).map(|age| age as u64),
         })
     }
 
     // ---- Events ----
 
-    /// Hands an event to the module and does what it says. Events that come of that wait their turn.
-    fn feed(self: &Rc<Self>, event: Event) {
+    /// Passes an event to the decision module and performs its actions. Events that arise meanwhile are queued.
+    fn handle_event(self: &Rc<Self>, event: Event) {
         {
             let mut state = self.state.borrow_mut();
             state.events.push_back(event);
-            if state.feeding {
+            if state.handling_event {
                 return;
             }
-            state.feeding = true;
+            state.handling_event = true;
         }
         let mut actions = Vec::new();
         loop {
             {
                 let mut state = self.state.borrow_mut();
                 let Some(event) = state.events.pop_front() else {
-                    state.feeding = false;
+                    state.handling_event = false;
                     return;
                 };
                 let now = self.clock.at(Instant::now());
                 state.balancer.handle(now, event, &mut actions);
             }
             for action in actions.drain(..) {
-                self.act(action);
+                self.perform(action);
             }
         }
     }
 
-    /// Takes in a client's request; the final answer comes from the receiver. `deadline` is when the answer
-    /// must be on its way.
-    pub fn request(
+    /// Takes a client's request; the receiver gets the final response. By `deadline` the response must be on its
+    /// way.
+    pub fn start_request(
         self: &Rc<Self>,
-        asked: Asked,
+        request: ForwardedRequest,
         deadline: Instant,
-    ) -> (RequestId, oneshot::Receiver<Answer>) {
-        let (answer, answered) = oneshot::channel();
-        let (class, tenant, again, work) = (asked.class, asked.tenant, asked.again, asked.work);
-        let coming = asked.body.passage().is_some();
+    ) -> (RequestId, oneshot::Receiver<FinalResponse>) {
+        let (sender, receiver) = oneshot::channel();
+        let (class, tenant, resent, work) =
+            (request.class, request.tenant, request.resent, request.estimated_work);
+        let streaming = request.body.monitor().is_some();
         let id = {
             let mut state = self.state.borrow_mut();
             state.last_id += 1;
             let id = RequestId(state.last_id);
-            let open = Open { asked: Rc::new(asked), answer: Some(answer), attempts: Vec::new() };
+            let open =
+                OpenRequest { request: Rc::new(request), response: Some(sender), attempts: Vec::new() };
             state.requests.insert(id, open);
             id
         };
-        self.feed(Event::Request {
+        self.handle_event(Event::Request {
             id,
             class,
             tenant,
             deadline: self.clock.at(deadline),
-            coming,
-            again,
+            coming: streaming,
+            again: resent,
             work,
         });
-        (id, answered)
+        (id, receiver)
     }
 
-    /// A request that was coming is whole; its answer must be on its way at `deadline`.
-    pub fn whole(self: &Rc<Self>, id: RequestId, deadline: Instant) {
+    /// The body of a streamed request has arrived completely; its response must be on its way by `deadline`.
+    pub fn body_complete(self: &Rc<Self>, id: RequestId, deadline: Instant) {
         if let Some(open) = self.state.borrow_mut().requests.get_mut(&id) {
-            for out in open.attempts.iter_mut().filter(|t| t.task.is_some()) {
-                out.sent = Instant::now();
+            for attempt in open.attempts.iter_mut().filter(|t| t.task.is_some()) {
+                attempt.started = Instant::now();
             }
         }
-        self.feed(Event::Whole { id, deadline: self.clock.at(deadline) });
+        self.handle_event(Event::Whole { id, deadline: self.clock.at(deadline) });
     }
 
-    /// Does a request still await its final answer?
-    pub fn awaits(&self, id: RequestId) -> bool {
-        self.state.borrow().requests.get(&id).is_some_and(|r| r.answer.is_some())
+    /// Whether a request still awaits its final response.
+    pub fn awaits_response(&self, id: RequestId) -> bool {
+        self.state.borrow().requests.get(&id).is_some_and(|r| r.response.is_some())
     }
 
-    /// How many requests await their final answer.
+    /// How many requests await their final response.
     pub fn open_requests(&self) -> usize {
-        self.state.borrow().requests.values().filter(|r| r.answer.is_some()).count()
+        self.state.borrow().requests.values().filter(|r| r.response.is_some()).count()
     }
 
-    /// What it holds, for the log.
+    /// A summary of the node's state for the log.
     pub fn status(&self) -> String {
-        let (connections, state) = (self.pool.held(), self.state.borrow());
+        let (connections, state) = (self.pool.open_connections(), self.state.borrow());
         let version = state.follower.version();
-        let heard = state.follower.heard().map_or("never heard".into(), |at| {
+        let last_contact = state.follower.heard().map_or("never heard".into(), |at| {
             format!("heard {:.1} s ago", self.clock.ms().saturating_sub(at) as f64 / 1000.0)
         });
         let policy = match self.admit() {
             Ok(None) => String::new(),
             Ok(Some(epoch)) => format!(", epoch {epoch}"),
-            Err(stop) => format!(", held: {}", stop.words()),
+            Err(reason) => format!(", held: {}", reason.description()),
         };
         let (requests, module) = (state.requests.len(), state.balancer.status());
-        format!("{requests} requests, {connections} to servers, list {version} {heard}, {module}{policy}")
+        format!(
+            "{requests} requests, {connections} to servers, list {version} {last_contact}, {module}{policy}"
+        )
     }
 
-    /// The figures.
-    pub fn figures(&self) -> String {
-        let (voting, state) = (self.voting(), self.state.borrow());
-        let policy = self.gate.as_ref().map(|gate| (gate.member.borrow().active(), gate.admit().is_err()));
-        let (targets, avoided) = (state.hosts.len(), state.balancer.avoided());
-        self.metrics.text(&self.config.told.classes, targets, avoided, policy, voting)
+    /// The metrics as text.
+    pub fn metrics_text(&self) -> String {
+        let (voting, state) = (self.voting_status(), self.state.borrow());
+        let policy = self
+            .admission
+            .as_ref()
+            .map(|admission| (admission.member.borrow().active(), admission.admit().is_err()));
+        let (targets, avoided) = (state.servers.len(), state.balancer.avoided());
+        self.metrics.render(&self.config.node_settings.classes, targets, avoided, policy, voting)
     }
 
-    /// Fails all that is still open: the node ends, and an answer is better than a reset.
-    pub fn fail_open(self: &Rc<Self>) {
+    /// Fails all open requests before the node exits: a response is better than a reset.
+    pub fn fail_open_requests(self: &Rc<Self>) {
         let open: Vec<RequestId> = self.state.borrow().requests.keys().copied().collect();
         for id in open {
-            self.answer(id, Answer::Failed);
+            self.respond(id, FinalResponse::Failed);
             self.client_gone(id);
         }
     }
 
-    /// May one more request be taken in?
-    pub fn has_room(&self) -> bool {
+    /// Whether one more request may be taken.
+    pub fn has_request_capacity(&self) -> bool {
         self.state.borrow().requests.len() < self.open_cap.get()
     }
 
-    /// Nothing is owed any more: the client left, or has been answered in the module's place.
+    /// A request needs no response any more: its client left, or was answered without the decision module.
     pub fn client_gone(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
             let Some(open) = state.requests.get_mut(&id) else { return };
-            open.answer = None;
+            open.response = None;
         }
-        self.feed(Event::ClientGone(id));
-        self.drop_if_over(id);
+        self.handle_event(Event::ClientGone(id));
+        self.remove_if_ended(id);
     }
 
     /// An attempt has ended.
@@ -627,112 +653,112 @@
         id: RequestId,
         attempt: usize,
         outcome: Outcome,
-        reply: Option<Reply>,
+        response: Option<ServerResponse>,
     ) {
         let event = {
             let state = &mut *self.state.borrow_mut();
             let Some(open) = state.requests.get_mut(&id) else { return };
             let Some(ended) = open.attempts.get_mut(attempt) else { return };
-            // Cancelled before: that was its one outcome.
+            // It was cancelled before, which was its one outcome.
             if ended.task.take().is_none() {
                 return;
             }
-            let (server, took) = (ended.server, ended.sent.elapsed().as_secs_f64() * 1000.0);
+            let (server, took) = (ended.server, ended.started.elapsed().as_secs_f64() * 1000.0);
             if outcome != Outcome::Done {
-                let host = state.hosts.get(&server).map_or("an unlisted server", |h| h.name.as_str());
-                log::trouble(|| {
-                    format!("{}: attempt {attempt} at {host}: {outcome:?}, {took:.1} ms", open.asked.txn())
+                let host = state.servers.get(&server).map_or("an unlisted server", |h| h.name.as_str());
+                log::limited(|| {
+                    format!("{}: attempt {attempt} at {host}: {outcome:?}, {took:.1} ms", open.request.txn())
                 });
             }
-            match reply {
-                Some(reply) => give(open, Answer::Served(Box::new(reply))),
-                // Its server called it off: a request that is at fault.
-                None if outcome == Outcome::Cancelled => give(open, Answer::Failed),
+            match response {
+                Some(response) => send_response(open, FinalResponse::Served(Box::new(response))),
+                // The server refused the request as faulty.
+                None if outcome == Outcome::Cancelled => send_response(open, FinalResponse::Failed),
                 None => {}
             }
-            let finished = open.answer.is_none();
+            let finished = open.response.is_none();
             Event::Ended { id, attempt, server, outcome, took, finished }
         };
-        self.feed(event);
-        self.drop_if_over(id);
+        self.handle_event(event);
+        self.remove_if_ended(id);
     }
 
-    /// A probe came back.
-    pub fn probed(self: &Rc<Self>, server: ServerId, outcome: Outcome, took: Duration) {
-        self.feed(Event::Probed { server, outcome, took: took.as_secs_f64() * 1000.0 });
+    /// A probe has ended.
+    pub fn probe_ended(self: &Rc<Self>, server: ServerId, outcome: Outcome, took: Duration) {
+        self.handle_event(Event::Probed { server, outcome, took: took.as_secs_f64() * 1000.0 });
     }
 
-    fn drop_if_over(&self, id: RequestId) {
+    fn remove_if_ended(&self, id: RequestId) {
         let mut state = self.state.borrow_mut();
-        let over = |r: &Open| r.answer.is_none() && r.attempts.iter().all(|a| a.task.is_none());
-        if state.requests.get(&id).is_some_and(over) {
+        let ended = |r: &OpenRequest| r.response.is_none() && r.attempts.iter().all(|a| a.task.is_none());
+        if state.requests.get(&id).is_some_and(ended) {
             state.requests.remove(&id);
         }
     }
 
     // ---- Actions ----
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn perform(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Send { id, server, timeout } => self.send(id, server, timeout),
-            Action::Cancel { id, attempt } => self.cancel(id, attempt),
-            Action::Refuse { id, stay_away } => self.answer(id, Answer::Refused(stay_away)),
-            Action::Fail(id) => self.answer(id, Answer::Failed),
+            Action::Send { id, server, timeout } => self.start_attempt(id, server, timeout),
+            Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
+            Action::Refuse { id, stay_away } => self.respond(id, FinalResponse::Refused(stay_away)),
+            Action::Fail(id) => self.respond(id, FinalResponse::Failed),
             Action::SetTimer(after) => self.set_timer(after),
-            Action::Subscribe => self.discover(endpoints::Event::Ask),
-            Action::Probe(server) => self.hands.probe(self.clone(), server),
+            Action::Subscribe => self.handle_discovery(endpoints::Event::Ask),
+            Action::Probe(server) => self.io.start_probe(self.clone(), server),
         }
     }
 
-    fn send(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: Option<Millis>) {
+    fn start_attempt(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: Option<Millis>) {
         let mut state = self.state.borrow_mut();
         let Some(open) = state.requests.get_mut(&id) else { return };
         let now = Instant::now();
-        let end = now + span(timeout.unwrap_or(f64::INFINITY));
+        let deadline = now + to_duration(timeout.unwrap_or(f64::INFINITY));
         let attempt = open.attempts.len();
-        let to = To { id, attempt, server, end };
-        let task = self.hands.attempt(self.clone(), to, open.asked.clone());
-        open.attempts.push(Try { server, sent: now, task: Some(task) });
+        let target = AttemptTarget { id, attempt, server, deadline };
+        let task = self.io.start_attempt(self.clone(), target, open.request.clone());
+        open.attempts.push(OpenAttempt { server, started: now, task: Some(task) });
     }
 
-    /// Ending the task closes its connection.
-    fn cancel(self: &Rc<Self>, id: RequestId, attempt: usize) {
+    /// Aborting the task closes its connection.
+    fn cancel_attempt(self: &Rc<Self>, id: RequestId, attempt: usize) {
         let ended = {
             let mut state = self.state.borrow_mut();
             let Some(open) = state.requests.get_mut(&id) else { return };
-            let finished = open.answer.is_none();
+            let finished = open.response.is_none();
             let Some(ended) = open.attempts.get_mut(attempt) else { return };
             let Some(task) = ended.task.take() else { return };
             task.abort();
-            let took = ended.sent.elapsed().as_secs_f64() * 1000.0;
+            let took = ended.started.elapsed().as_secs_f64() * 1000.0;
             Event::Ended { id, attempt, server: ended.server, outcome: Outcome::Cancelled, took, finished }
         };
-        self.feed(ended);
-        self.drop_if_over(id);
+        self.handle_event(ended);
+        self.remove_if_ended(id);
     }
 
-    fn answer(&self, id: RequestId, answer: Answer) {
+    fn respond(&self, id: RequestId, response: FinalResponse) {
         if let Some(open) = self.state.borrow_mut().requests.get_mut(&id) {
-            let words = if matches!(answer, Answer::Refused(_)) { "refused" } else { "failed" };
-            log::trouble(|| format!("{}: {words}, attempts {}", open.asked.txn(), open.attempts.len()));
-            give(open, answer);
+            let result = if matches!(response, FinalResponse::Refused(_)) { "refused" } else { "failed" };
+            log::limited(|| format!("{}: {result}, attempts {}", open.request.txn(), open.attempts.len()));
+            send_response(open, response);
         }
-        self.drop_if_over(id);
+        self.remove_if_ended(id);
     }
 
     fn set_timer(&self, after: Millis) {
-        let at = Instant::now() + span(after);
+        let at = Instant::now() + to_duration(after);
         let mut state = self.state.borrow_mut();
         if state.timer.is_none_or(|due| at < due) {
             state.timer = Some(at);
-            self.rearmed.notify_one();
+            self.timer_changed.notify_one();
         }
     }
 
     // ---- The list ----
 
-    /// Tells the follower of the list what happened, and does what it says.
-    pub fn discover(self: &Rc<Self>, event: endpoints::Event<'_>) {
+    /// Passes an event to the list follower and performs its actions.
+    pub fn handle_discovery(self: &Rc<Self>, event: endpoints::Event<'_>) {
         let actions = {
             let state = &mut *self.state.borrow_mut();
             if let endpoints::Event::Ended(id) | endpoints::Event::Broke(id, _) = event {
@@ -741,95 +767,107 @@
             let due = state.follower.next();
             let actions = state.follower.handle(self.clock.ms(), event);
             if state.follower.next().is_some_and(|at| due.is_none_or(|due| at < due)) {
-                self.rearmed.notify_one();
+                self.timer_changed.notify_one();
             }
             actions
         };
         for action in actions {
             match action {
-                Do::Call(id, path) => {
-                    let call = self.hands.call(self.clone(), id, path);
+                ListAction::Call(id, path) => {
+                    let call = self.io.start_discovery_call(self.clone(), id, path);
                     self.state.borrow_mut().calls.insert(id, call);
                 }
-                Do::Drop(id) => {
+                ListAction::Drop(id) => {
                     if let Some(call) = self.state.borrow_mut().calls.remove(&id) {
                         call.abort();
                     }
                 }
-                Do::Take(update) => {
+                ListAction::Take(update) => {
                     let whole = update.whole;
-                    self.take_list(update, false);
-                    self.inform(whole);
+                    self.apply_list(update, false);
+                    self.record_discovery_answer(whole);
                 }
-                Do::Alive => {
-                    self.inform(false);
-                    self.feed(Event::ListChange(Vec::new()));
+                ListAction::Alive => {
+                    self.record_discovery_answer(false);
+                    self.handle_event(Event::ListChange(Vec::new()));
                 }
-                Do::Failed(why) => {
-                    log::trouble(|| format!("discovery: {why}"));
-                    self.feed(Event::ListFailed);
+                ListAction::Failed(reason) => {
+                    log::limited(|| format!("discovery: {reason}"));
+                    self.handle_event(Event::ListFailed);
                 }
             }
         }
     }
 
-    /// Discovery has spoken. No news is no list: who has none by then is not ready by it.
-    fn inform(&self, whole: bool) {
-        let listed = whole || !self.state.borrow().hosts.is_empty();
-        self.informed.set(self.informed.get() || listed);
+    /// Discovery has answered. An answer without servers does not make a node ready that has none.
+    fn record_discovery_answer(&self, whole: bool) {
+        let listed = whole || !self.state.borrow().servers.is_empty();
+        self.discovery_answered.set(self.discovery_answered.get() || listed);
     }
 
-    /// Discovery is there from now on: what is followed ends, also where the address is the same. It may have been
-    /// another one in between, and from the signal on there is one clock for all that it has to tell.
-    pub fn move_discovery(self: &Rc<Self>, to: SocketAddr) {
-        let from = self.discovery.replace(to);
+    /// Changes the address of discovery and drops the calls in progress, also if the address is the same: another
+    /// service may have been there in between. The time after which an older list counts runs from this call.
+    pub fn change_discovery(self: &Rc<Self>, to: SocketAddr) {
+        let from = self.discovery_addr.replace(to);
         log::line(format!("discovery: {} {to}", if from == to { "asked anew at" } else { "moved to" }));
-        self.discover(endpoints::Event::Moved);
+        self.handle_discovery(endpoints::Event::Moved);
     }
 
-    fn take_list(self: &Rc<Self>, update: Update, saved: bool) {
+    fn apply_list(self: &Rc<Self>, update: Update, saved: bool) {
         let entries = {
             let mut state = self.state.borrow_mut();
             let state = &mut *state;
             if update.whole {
-                for host in state.hosts.values_mut() {
+                for host in state.servers.values_mut() {
                     host.state = Listed::Gone;
                 }
             }
-            let entries = update.hosts.into_iter().filter_map(|h| self.enter(&mut state.hosts, h)).collect();
-            for (server, _) in state.hosts.iter().filter(|(_, h)| h.state == Listed::Gone) {
-                self.pool.forget(*server);
+            let entries =
+                update.hosts.into_iter().filter_map(|h| self.update_server(&mut state.servers, h)).collect();
+            for (server, _) in state.servers.iter().filter(|(_, h)| h.state == Listed::Gone) {
+                self.pool.close_idle(*server);
             }
-            state.hosts.retain(|_, h| h.state != Listed::Gone);
+            state.servers.retain(|_, h| h.state != Listed::Gone);
             entries
         };
-        self.feed(if update.whole { Event::List { entries, saved } } else { Event::ListChange(entries) });
+        self.handle_event(if update.whole {
+            Event::List { entries, saved }
+        } else {
+            Event::ListChange(entries)
+        });
     }
 
-    /// Notes what a line says of a server. It holds from now on, also for sends on their way.
-    fn enter(&self, hosts: &mut HashMap<ServerId, Host>, host: endpoints::Host) -> Option<Entry> {
+    /// Stores a list entry. It takes effect at once, also for attempts that are being started.
+    fn update_server(
+        &self,
+        servers: &mut HashMap<ServerId, ServerInfo>,
+        host: endpoints::Host,
+    ) -> Option<Entry> {
         let server = ServerId(number_of(&host.host));
-        let state = listed(host.health);
-        let before = hosts.get(&server);
+        let state = listed_state(host.health);
+        let before = servers.get(&server);
         if let Some(other) = before.filter(|b| b.name != host.host) {
             log::line(format!("discovery: {} and {} have one number, left out", other.name, host.host));
             return None;
         }
-        let dial = host.dial.or(before.map(|b| b.dial));
-        if before.is_some_and(|b| b.born_ms != host.born_ms || Some(b.dial) != dial) {
-            // Its connections ended with the old process.
-            self.pool.forget(server);
+        let addr = host.dial.or(before.map(|b| b.addr));
+        if before.is_some_and(|b| b.born_ms != host.born_ms || Some(b.addr) != addr) {
+            // Its connections ended with its old process.
+            self.pool.close_idle(server);
         }
         let started = match before {
             Some(before) if before.born_ms == host.born_ms => before.started,
             _ => {
-                let born = (host.born_ms > 0.0).then_some(host.born_ms - self.clock.unix_start);
-                started(born, before.map(|before| before.started), self.clock.ago(Duration::ZERO))
+                let listed = (host.born_ms > 0.0).then_some(host.born_ms - self.clock.unix_start);
+                start_time(listed, before.map(|before| before.started), self.clock.ago(Duration::ZERO))
             }
         };
-        if let Some(dial) = dial {
-            let zone = self.gate.is_some().then(|| host.zone.as_str().into());
-            hosts.insert(server, Host { name: host.host, dial, born_ms: host.born_ms, started, zone, state });
+        if let Some(addr) = addr {
+            let zone = self.admission.is_some().then(|| host.zone.as_str().into());
+            servers.insert(
+                server,
+                ServerInfo { name: host.host, addr, born_ms: host.born_ms, started, zone, state },
+            );
         }
         Some(Entry {
             server,
@@ -844,81 +882,81 @@
 
     // ---- Maintenance ----
 
-    /// Takes a server out until it is given back, whatever the list says; false where nobody has that name.
+    /// Bans a server until the ban is lifted, whatever the list says; false if no such server is known.
     pub fn disable(self: &Rc<Self>, name: &str) -> bool {
-        self.look_at_bans();
+        self.poll_bans();
         let server = ServerId(number_of(name));
         {
             let mut state = self.state.borrow_mut();
-            if !state.lists(name) && !state.out(name) {
+            if !state.lists(name) && !state.is_banned(name) {
                 return false;
             }
-            state.bans.take_out(name);
+            state.bans.ban(name);
         }
-        self.out(name, server);
+        self.take_out_of_use(name, server);
         true
     }
 
-    /// Gives a server back; false where nobody has that name.
+    /// Lifts the ban on a server; false if no such server is known.
     ///
     /// # Errors
-    /// Where its ban can't be lifted.
+    /// [`BanError::NotLifted`].
     pub fn enable(self: &Rc<Self>, name: &str) -> Result<bool, BanError> {
-        self.look_at_bans();
+        self.poll_bans();
         let server = ServerId(number_of(name));
-        let (listed, was_out) = {
+        let (listed, was_banned) = {
             let mut state = self.state.borrow_mut();
-            (state.lists(name), state.bans.give_back(name)?)
+            (state.lists(name), state.bans.unban(name)?)
         };
-        if was_out {
-            self.unless_banned(name, server, Duration::ZERO);
+        if was_banned {
+            self.put_back_unless_banned(name, server, Duration::ZERO);
         }
-        Ok(listed || was_out || self.state.borrow().out(name))
+        Ok(listed || was_banned || self.state.borrow().is_banned(name))
     }
 
     /// Follows the bans that another process of this node has made or lifted.
-    pub fn look_at_bans(self: &Rc<Self>) {
-        let changes = self.state.borrow_mut().bans.changes();
+    pub fn poll_bans(self: &Rc<Self>) {
+        let changes = self.state.borrow_mut().bans.poll_changes();
         for (name, change) in changes {
             let server = ServerId(number_of(&name));
             match change {
-                Change::Out => self.out(&name, server),
-                Change::Back(ago) => self.unless_banned(&name, server, ago),
+                BanChange::Banned => self.take_out_of_use(&name, server),
+                BanChange::Lifted(ago) => self.put_back_unless_banned(&name, server, ago),
             }
         }
     }
 
-    fn out(self: &Rc<Self>, name: &str, server: ServerId) {
+    fn take_out_of_use(self: &Rc<Self>, name: &str, server: ServerId) {
         log::line(format!("{name} is out of use"));
-        // It may be started anew before it comes back.
-        self.pool.forget(server);
-        self.feed(Event::Disable(server));
+        // It may be restarted before it is enabled again.
+        self.pool.close_idle(server);
+        self.handle_event(Event::Disable(server));
     }
 
-    /// It is back where only operators' calls had it out: a ban of the agreed policy holds until a policy lifts it.
-    fn unless_banned(self: &Rc<Self>, name: &str, server: ServerId, ago: Duration) {
+    /// Puts a server back in use, unless the agreed policy bans it as well; that ban holds until a policy lifts it.
+    fn put_back_unless_banned(self: &Rc<Self>, name: &str, server: ServerId, ago: Duration) {
         if self.state.borrow().policy_bans.contains(name) {
             log::line(format!("{name} stays out of use: the agreed policy bans it"));
         } else {
-            self.back(name, server, ago);
+            self.put_back(name, server, ago);
         }
     }
 
-    fn back(self: &Rc<Self>, name: &str, server: ServerId, ago: Duration) {
+    fn put_back(self: &Rc<Self>, name: &str, server: ServerId, ago: Duration) {
         log::line(format!("{name} is back in use"));
-        self.feed(Event::Enable { server, returned: self.clock.ago(ago) });
+        self.handle_event(Event::Enable { server, returned: self.clock.ago(ago) });
     }
 
-    /// Where a server listens, if something new may be sent to it.
-    pub fn dial(&self, server: ServerId) -> Option<SocketAddr> {
+    /// The address of a server, if requests may be sent to it.
+    pub fn server_addr(&self, server: ServerId) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        let may = |h: &&Host| h.state == Listed::Up && !state.out(&h.name);
-        state.hosts.get(&server).filter(may).map(|h| h.dial)
+        let usable = |h: &&ServerInfo| h.state == Listed::Up && !state.is_banned(&h.name);
+        state.servers.get(&server).filter(usable).map(|h| h.addr)
     }
 }
 
-/// What the list's word for a state means to the module.
-fn listed(health: Health) -> Listed {
+/// The list's health of a server in the decision module's terms.
+fn listed_state(health: Health) -> Listed {
     match health {
         Health::Active => Listed::Up,
         Health::Leaving => Listed::Draining,
@@ -926,21 +964,21 @@
     }
 }
 
-/// The module's part of the settings, which knows servers by their numbers.
-fn settings(told: &Told) -> Settings {
-    let weights = told.weights.iter().map(|(name, factor)| (ServerId(number_of(name)), *factor));
-    Settings { server_weights: weights.collect(), ..told.settings.clone() }
+/// The decision module's settings, which refer to servers by number.
+fn module_settings(settings: &Told) -> Settings {
+    let weights = settings.weights.iter().map(|(name, factor)| (ServerId(number_of(name)), *factor));
+    Settings { server_weights: weights.collect(), ..settings.settings.clone() }
 }
 
-fn give(open: &mut Open, answer: Answer) {
-    if let Some(to) = open.answer.take() {
-        // A client that has just left needs no answer.
-        let _ = to.send(answer);
+fn send_response(open: &mut OpenRequest, response: FinalResponse) {
+    if let Some(sender) = open.response.take() {
+        // A client that has just left needs no response.
+        let _ = sender.send(response);
     }
 }
 
-/// A span of the module's as one of the runtime's, within what clocks can hold.
-fn span(ms: Millis) -> Duration {
+/// A duration of the decision module, clamped to what clocks can represent.
+fn to_duration(ms: Millis) -> Duration {
     Duration::from_secs_f64(ms.clamp(0.0, 86_400_000.0) / 1000.0)
 }
 
@@ -949,16 +987,16 @@
     use super::*;
 
     #[test]
-    fn a_clock_that_was_stepped_by_an_hour_keeps_no_server_cold_and_makes_none_warm_at_once() {
+    fn a_stepped_clock_keeps_no_server_cold_and_makes_none_warm_at_once() {
         const HOUR: Millis = 3_600_000.0;
         let now = 50_000.0;
-        // As it should be: a start before this node's, and one a moment ago.
-        assert_eq!(started(Some(-9000.0), None, now), Some(-9000.0));
-        assert_eq!(started(Some(now - 400.0), Some(Some(-9000.0)), now), Some(now - 400.0));
-        assert_eq!(started(None, Some(Some(-9000.0)), now), None);
-        // The server's clock was put forward, or this node's back before it started.
-        assert_eq!(started(Some(now - 400.0 + HOUR), Some(Some(-9000.0)), now), Some(now));
-        // The other way round, at a start that was seen.
-        assert_eq!(started(Some(now - 400.0 - HOUR), Some(Some(-9000.0)), now), Some(now));
+        // Plausible dates: a start before this node's, and one a moment ago.
+        assert_eq!(start_time(Some(-9000.0), None, now), Some(-9000.0));
+        assert_eq!(start_time(Some(now - 400.0), Some(Some(-9000.0)), now), Some(now - 400.0));
+        assert_eq!(start_time(None, Some(Some(-9000.0)), now), None);
+        // The server's clock was set forward, or this node's was set back before it started.
+        assert_eq!(start_time(Some(now - 400.0 + HOUR), Some(Some(-9000.0)), now), Some(now));
+        // The opposite, at a restart that was seen.
+        assert_eq!(start_time(Some(now - 400.0 - HOUR), Some(Some(-9000.0)), now), Some(now));
     }
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to servers, kept between requests.
+//! Connections to servers, kept open between requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,60 +12,60 @@
 use tokio::time::timeout;
 use tulipmount::{Outcome, ServerId};
 
-use super::bodies::Outgoing;
+use super::bodies::OutgoingBody;
 use super::config::Config;
 use super::log;
-use super::sock::{Io, Sock};
-
-/// The largest head of an answer.
-const HEAD_MOST: usize = 32 * 1024;
-/// The part of the servers' keep-alive after which a connection is not used any more: one that is written to
-/// when its server closes it ends as a reset, and fails what must not be repeated.
-const IDLE_SHARE: f64 = 0.5;
-/// How long a connection rests behind an answer: a second one that comes late would be taken for the answer to the next
-/// request, and nothing tells the two apart.
-const REST: Duration = Duration::from_millis(20);
-
-/// What a connect fails with through no fault of the server: ENFILE, EMFILE, EADDRNOTAVAIL, ENOBUFS, ENOMEM.
-const OWN_ERRORS: [i32; 5] = [23, 24, 99, 105, 12];
-
-/// A connection between requests. It is not polled meanwhile: what happened to it is looked up before use.
-pub struct Link {
-    /// Its socket.
-    pub sock: Rc<Sock>,
-    /// Where requests go in.
-    pub send: SendRequest<Outgoing>,
-    /// What drives it.
-    pub conn: Connection<Io, Outgoing>,
-    /// When it was made, or kept.
-    pub since: Instant,
-    _held: Held,
+use super::socket::{HyperIo, TrackedSocket};
+
+/// The largest head of a response.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// The fraction of the servers' keep-alive time after which a connection is not used any more: one that is written
+/// to while its server closes it ends in a reset, which fails requests that must not be repeated.
+const KEEPALIVE_FRACTION: f64 = 0.5;
+/// How long a connection is not reused after a response. A second response that arrives late would be taken for the
+/// response to the next request, and nothing tells the two apart.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
+
+/// Errors of a connect that are not the server's fault: ENFILE, EMFILE, EADDRNOTAVAIL, ENOBUFS, ENOMEM.
+const LOCAL_ERRNOS: [i32; 5] = [23, 24, 99, 105, 12];
+
+/// A connection to a server. Between requests it is not polled; its state is checked before it is used.
+pub struct ServerConnection {
+    /// The socket.
+    pub socket: Rc<TrackedSocket>,
+    /// Sends requests on it.
+    pub sender: SendRequest<OutgoingBody>,
+    /// The future that drives it.
+    pub driver: Connection<HyperIo, OutgoingBody>,
+    /// When the connection was made, or last put into the pool.
+    pub idle_since: Instant,
+    _slot: Slot,
 }
 
-/// How many connections the pool holds, and a word to whoever waits for one of them.
+/// How many connections are open, and a notification for tasks that wait for one.
 #[derive(Default)]
-struct Count {
-    held: Cell<usize>,
-    freed: Notify,
+struct ConnectionCount {
+    open: Cell<usize>,
+    released: Notify,
 }
 
-/// One of the descriptors that the pool may hold.
-struct Held(Rc<Count>);
+/// The place of one open connection in the count.
+struct Slot(Rc<ConnectionCount>);
 
-impl Drop for Held {
+impl Drop for Slot {
     fn drop(&mut self) {
-        self.0.held.set(self.0.held.get() - 1);
-        self.0.freed.notify_one();
+        self.0.open.set(self.0.open.get() - 1);
+        self.0.released.notify_one();
     }
 }
 
-/// Connections to servers.
+/// The connections to all servers.
 pub struct Pool {
-    idle: RefCell<HashMap<ServerId, Vec<Link>>>,
-    count: Rc<Count>,
-    idle_most: Duration,
-    /// How long a connection may take to come about.
-    pub connect: Duration,
+    idle: RefCell<HashMap<ServerId, Vec<ServerConnection>>>,
+    count: Rc<ConnectionCount>,
+    max_idle: Duration,
+    /// How long a connect may take.
+    pub connect_timeout: Duration,
 }
 
 impl Pool {
@@ -75,95 +75,102 @@
         Self {
             idle: RefCell::default(),
             count: Rc::default(),
-            idle_most: ms(config.told.keepalive * IDLE_SHARE),
-            connect: ms(config.told.settings.limits.connect_timeout),
+            max_idle: ms(config.node_settings.keepalive * KEEPALIVE_FRACTION),
+            connect_timeout: ms(config.node_settings.settings.limits.connect_timeout),
         }
     }
 
-    /// How many connections there are.
-    pub fn held(&self) -> usize {
-        self.count.held.get()
+    /// How many connections are open, idle or in use.
+    pub fn open_connections(&self) -> usize {
+        self.count.open.get()
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: ServerId) {
+    pub fn close_idle(&self, server: ServerId) {
         self.idle.borrow_mut().remove(&server);
     }
 
-    /// Closes what has been idle for long or was closed by its server; its descriptor is held for nothing.
+    /// Closes connections that have been idle for too long or were closed by their server, to free their
+    /// descriptors.
     pub fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
-        for links in idle.values_mut() {
-            links.retain(|l| l.since.elapsed() < self.idle_most && l.sock.quiet());
+        for connections in idle.values_mut() {
+            connections.retain(|c| c.idle_since.elapsed() < self.max_idle && c.socket.is_quiet());
         }
-        idle.retain(|_, links| !links.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Of the connections that have rested, the one that was used last, if any still stands.
-    pub fn take(&self, server: ServerId) -> Option<Link> {
+    /// Takes the idle connection to a server that was used last, among those past [`REUSE_DELAY`], if one is still
+    /// usable.
+    pub fn take(&self, server: ServerId) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&server)?;
-        while let Some(place) = links.iter().rposition(|l| l.since.elapsed() >= REST) {
-            let link = links.remove(place);
-            if link.since.elapsed() < self.idle_most && link.sock.quiet() {
-                return Some(link);
+        let connections = idle.get_mut(&server)?;
+        while let Some(index) = connections.iter().rposition(|c| c.idle_since.elapsed() >= REUSE_DELAY) {
+            let connection = connections.remove(index);
+            if connection.idle_since.elapsed() < self.max_idle && connection.socket.is_quiet() {
+                return Some(connection);
             }
         }
         None
     }
 
-    /// Keeps a connection.
-    pub fn put(&self, server: ServerId, mut link: Link) {
-        link.since = Instant::now();
-        self.idle.borrow_mut().entry(server).or_default().push(link);
-        self.count.freed.notify_one();
+    /// Returns a connection to the pool.
+    pub fn put(&self, server: ServerId, mut connection: ServerConnection) {
+        connection.idle_since = Instant::now();
+        self.idle.borrow_mut().entry(server).or_default().push(connection);
+        self.count.released.notify_one();
     }
 
-    /// Closes idle connections until it holds no more than `most`, or none is idle.
-    pub fn shrink(&self, most: usize) {
-        while self.held() > most && self.evict() {}
+    /// Closes idle connections until no more than `limit` are open, or none is idle.
+    pub fn shrink(&self, limit: usize) {
+        while self.open_connections() > limit && self.evict() {}
     }
 
-    /// Closes the connection that has been idle for longest; false where none is.
+    /// Closes the connection that has been idle for longest; false if none is idle.
     pub fn evict(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let Some(links) =
-            idle.values_mut().filter(|l| !l.is_empty()).min_by_key(|links| links.first().map(|l| l.since))
+        let Some(connections) = idle
+            .values_mut()
+            .filter(|c| !c.is_empty())
+            .min_by_key(|connections| connections.first().map(|c| c.idle_since))
         else {
             return false;
         };
-        links.remove(0);
+        connections.remove(0);
         true
     }
 
-    /// A new connection, or how the attempt ends without one. A node that has no descriptor or port left has
-    /// sent nothing, but that says nothing of the server: as a failed connect it would eject a good one.
-    pub async fn connect(&self, dial: SocketAddr, most: usize) -> Result<Link, Outcome> {
-        let room = async {
-            while self.held() >= most && !self.evict() {
-                self.count.freed.notified().await;
+    /// Opens a connection, or returns the outcome of the attempt without one. If this node has run out of
+    /// descriptors or ports, nothing was sent, but it is not the server's fault: as a failed connect it would count
+    /// towards the ejection of a healthy server.
+    pub async fn connect(&self, addr: SocketAddr, limit: usize) -> Result<ServerConnection, Outcome> {
+        let has_room = async {
+            while self.open_connections() >= limit && !self.evict() {
+                self.count.released.notified().await;
             }
         };
-        // All are busy: one may be free soon, and to report the attempt at once would only use up the others.
-        timeout(self.connect, room).await.map_err(|_| Outcome::NotSent)?;
-        self.count.held.set(self.held() + 1);
-        let held = Held(self.count.clone());
-        let stream = match timeout(self.connect, TcpStream::connect(dial)).await {
+        // All connections are in use and one may be free soon. Ending the attempt at once would only use up the
+        // request's other attempts.
+        timeout(self.connect_timeout, has_room).await.map_err(|_| Outcome::NotSent)?;
+        self.count.open.set(self.open_connections() + 1);
+        let slot = Slot(self.count.clone());
+        let stream = match timeout(self.connect_timeout, TcpStream::connect(addr)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) if OWN_ERRORS.contains(&error.raw_os_error().unwrap_or(0)) => {
+            Ok(Err(error)) if LOCAL_ERRNOS.contains(&error.raw_os_error().unwrap_or(0)) => {
                 self.evict();
                 return Err(Outcome::NotSent);
             }
             Ok(Err(error)) => {
-                log::trouble(|| format!("connect to {dial}: {error}"));
+                log::limited(|| format!("connect to {addr}: {error}"));
                 return Err(Outcome::ConnectFailed);
             }
             Err(_) => return Err(Outcome::ConnectFailed),
         };
-        let failed = Outcome::ConnectFailed;
-        let sock = Sock::new(stream).map_err(|_| failed)?;
-        let builder = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(Io(sock.clone())).await;
-        let (send, conn) = builder.map_err(|_| failed)?;
-        Ok(Link { sock, send, conn, since: Instant::now(), _held: held })
+        let connect_failed = Outcome::ConnectFailed;
+        let socket = TrackedSocket::new(stream).map_err(|_| connect_failed)?;
+        let handshake =
+            http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(HyperIo(socket.clone())).await;
+        let (sender, driver) = handshake.map_err(|_| connect_failed)?;
+        Ok(ServerConnection { socket, sender, driver, idle_since: Instant::now(), _slot: slot })
     }
 }
--- a/src/net/replica.rs
+++ b/src/net/replica.rs
@@ -1,4 +1,4 @@
-//! Calls to the control group's replicas: one kept connection for beats, one for a watch.
+//! Calls to the replicas of the control group: one kept connection for heartbeats, one for a watch.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,75 +16,75 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
-use super::fault::Advice;
-use super::sock::{Io, Sock};
+use super::advice::Advice;
+use super::socket::{HyperIo, TrackedSocket};
 
-/// How long a connection for a watch may take, and its answer to begin.
-const PATIENCE: Duration = Duration::from_millis(1000);
-/// A watch brings a line every 2 s: a longer silence is a dead link, which TCP alone would not notice.
-const SILENCE: Duration = Duration::from_millis(3200);
-/// The longest answer to a beat.
-const ANSWER_MOST: usize = 1 << 20;
-/// The longest words of a refusal that are passed on.
-const WORDS_MOST: usize = 200;
+/// How long connecting for a watch may take, and how long its response head.
+const WATCH_START_TIMEOUT: Duration = Duration::from_millis(1000);
+/// A watch sends a line every 2 s. A longer silence is a dead link, which TCP alone would not detect.
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3200);
+/// The longest response to a heartbeat.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
+/// The longest reason of a refusal that is logged, in characters.
+const MAX_REASON_CHARS: usize = 200;
 
-/// Why a call to a replica has brought nothing.
+/// Why a call to a replica failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// There is no connection.
+    /// The connection could not be made.
     #[error("control: {at}: not reached: {error}")]
-    Unreached {
+    ConnectFailed {
         /// The replica.
         at: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// It did not answer in time, or its watch fell silent.
+    /// There was no response in time, or the watch stopped sending.
     #[error("control: {at}: silent")]
-    Silent {
+    TimedOut {
         /// The replica.
         at: SocketAddr,
     },
-    /// The connection broke.
-    #[error("control: {at}: broke off: {words}")]
-    Broken {
+    /// The connection failed during the call.
+    #[error("control: {at}: broke off: {reason}")]
+    ConnectionFailed {
         /// The replica.
         at: SocketAddr,
-        /// What hyper says.
-        words: String,
+        /// hyper's error.
+        reason: String,
     },
-    /// Another replica leads.
+    /// The replica is not the leader.
     #[error("control: {at}: does not lead, {leader} should")]
     NotLeader {
         /// The replica.
         at: SocketAddr,
-        /// Where the leader is, as far as it knows.
+        /// The address of the leader, as far as the replica knows.
         leader: SocketAddr,
     },
-    /// It refused the call.
-    #[error("control: {at}: status {status}: {words}")]
+    /// The replica refused the call.
+    #[error("control: {at}: status {status}: {reason}")]
     Refused {
         /// The replica.
         at: SocketAddr,
         /// The status.
         status: StatusCode,
-        /// What it says.
-        words: String,
+        /// The reason that it gave.
+        reason: String,
     },
-    /// What it said is not as agreed.
-    #[error("control: {at}: not understood: {words}")]
+    /// The response does not follow the protocol.
+    #[error("control: {at}: not understood: {reason}")]
     Unreadable {
         /// The replica.
         at: SocketAddr,
         /// What is wrong with it.
-        words: String,
+        reason: String,
     },
 }
 
 impl Advice for CallError {
     fn advice(&self) -> String {
         match self {
-            Self::Unreached { .. } | Self::Silent { .. } | Self::Broken { .. } => {
+            Self::ConnectFailed { .. } | Self::TimedOut { .. } | Self::ConnectionFailed { .. } => {
                 "see whether that replica runs and can be reached; others are tried".into()
             }
             Self::NotLeader { .. } => {
@@ -99,118 +99,125 @@
     }
 }
 
-fn broken(at: SocketAddr, error: &hyper::Error) -> CallError {
-    CallError::Broken { at, words: error.to_string() }
+fn connection_failed(at: SocketAddr, error: &hyper::Error) -> CallError {
+    CallError::ConnectionFailed { at, reason: error.to_string() }
 }
 
 /// A connection to a replica.
-pub struct Line {
+pub struct ReplicaConnection {
     at: SocketAddr,
-    send: SendRequest<Full<Bytes>>,
+    sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
-impl Drop for Line {
+impl Drop for ReplicaConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-impl Line {
-    /// Connects; takes as long as the caller lets it.
+impl ReplicaConnection {
+    /// Connects. The caller sets the timeout.
     ///
     /// # Errors
-    /// Where there is no connection.
-    pub async fn to(at: SocketAddr) -> Result<Self, CallError> {
-        let sock = TcpStream::connect(at).await.and_then(Sock::new);
-        let sock = sock.map_err(|error| CallError::Unreached { at, error })?;
-        let handshake = http1::handshake(Io(sock)).await;
-        let (send, conn) = handshake.map_err(|e| broken(at, &e))?;
+    /// [`CallError::ConnectFailed`] or [`CallError::ConnectionFailed`].
+    pub async fn connect(at: SocketAddr) -> Result<Self, CallError> {
+        let socket = TcpStream::connect(at).await.and_then(TrackedSocket::new);
+        let socket = socket.map_err(|error| CallError::ConnectFailed { at, error })?;
+        let handshake = http1::handshake(HyperIo(socket)).await;
+        let (sender, connection) = handshake.map_err(|e| connection_failed(at, &e))?;
         let driver = spawn_local(async move {
-            // What breaks the connection breaks the call too, and is seen there.
-            let _ = conn.await;
+            // An error of the connection also fails the call, and is reported there.
+            let _ = connection.await;
         });
-        Ok(Self { at, send, driver })
+        Ok(Self { at, sender, driver })
     }
 
-    /// Where it leads to.
+    /// The address of the replica.
     pub fn at(&self) -> SocketAddr {
         self.at
     }
 
-    /// Sends one beat; takes as long as the caller lets it.
+    /// Sends one heartbeat. The caller sets the timeout.
     ///
     /// # Errors
-    /// Where no answer to it has come. The line is then of no further use, unless the replica has refused.
-    pub async fn beat(&mut self, beat: &Beat) -> Result<Answer, CallError> {
+    /// A [`CallError`] if no valid answer has arrived. The connection cannot be used any more then, unless the
+    /// replica has refused the call.
+    pub async fn send_heartbeat(&mut self, heartbeat: &Beat) -> Result<Answer, CallError> {
         let at = self.at;
-        let unreadable = |words: String| CallError::Unreadable { at, words };
-        let body = serde_json::to_vec(beat).map_err(|e| unreadable(e.to_string()))?;
+        let unreadable = |reason: String| CallError::Unreadable { at, reason };
+        let body = serde_json::to_vec(heartbeat).map_err(|e| unreadable(e.to_string()))?;
         let request = Request::post("/v1/session").header(CONTENT_TYPE, "application/json");
         let request = request.header(HOST, at.to_string()).body(Full::new(Bytes::from(body)));
-        let answer = self.call(request.map_err(|e| unreadable(e.to_string()))?).await?;
-        if answer.status() != StatusCode::OK {
-            return Err(self.refused(answer).await);
+        let response = self.call(request.map_err(|e| unreadable(e.to_string()))?).await?;
+        if response.status() != StatusCode::OK {
+            return Err(self.refusal(response).await);
         }
-        let body = Limited::new(answer.into_body(), ANSWER_MOST).collect().await;
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
         let body = body.map_err(|e| unreadable(e.to_string()))?.to_bytes();
         serde_json::from_slice(&body).map_err(|e| unreadable(e.to_string()))
     }
 
-    async fn refused(&self, answer: Response<Incoming>) -> CallError {
-        let (at, status) = (self.at, answer.status());
-        let body = Limited::new(answer.into_body(), ANSWER_MOST).collect().await;
-        let said = body.ok().and_then(|body| serde_json::from_slice(&body.to_bytes()).ok());
-        match said {
+    async fn refusal(&self, response: Response<Incoming>) -> CallError {
+        let (at, status) = (self.at, response.status());
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
+        let refusal = body.ok().and_then(|body| serde_json::from_slice(&body.to_bytes()).ok());
+        match refusal {
             Some(NotLeader { leader: Some(leader), .. }) => CallError::NotLeader { at, leader },
             Some(NotLeader { error, .. }) => {
-                CallError::Refused { at, status, words: error.chars().take(WORDS_MOST).collect() }
+                CallError::Refused { at, status, reason: error.chars().take(MAX_REASON_CHARS).collect() }
             }
-            None => CallError::Refused { at, status, words: "no words".into() },
+            None => CallError::Refused { at, status, reason: "no words".into() },
         }
     }
 
     async fn call(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
-        self.send.ready().await.map_err(|e| broken(self.at, &e))?;
-        self.send.send_request(request).await.map_err(|e| broken(self.at, &e))
+        self.sender.ready().await.map_err(|e| connection_failed(self.at, &e))?;
+        self.sender.send_request(request).await.map_err(|e| connection_failed(self.at, &e))
     }
 }
 
-/// A watch that stands.
+/// An open watch.
 pub struct Watch {
-    line: Line,
+    connection: ReplicaConnection,
     body: Incoming,
     lines: Lines,
 }
 
 impl Watch {
-    /// Begins one from what is known.
+    /// Opens a watch for what is newer than version `from`.
     ///
     /// # Errors
-    /// Where it does not stand within [`PATIENCE`] for the connection and for the answer.
-    pub async fn begin(at: SocketAddr, from: u64) -> Result<Self, CallError> {
-        let silent = |_| CallError::Silent { at };
-        let mut line = timeout(PATIENCE, Line::to(at)).await.map_err(silent)??;
+    /// A [`CallError`] if the replica refuses, or if connecting or the response takes longer than
+    /// [`WATCH_START_TIMEOUT`].
+    pub async fn open(at: SocketAddr, from: u64) -> Result<Self, CallError> {
+        let timed_out = |_| CallError::TimedOut { at };
+        let mut connection =
+            timeout(WATCH_START_TIMEOUT, ReplicaConnection::connect(at)).await.map_err(timed_out)??;
         let request = Request::get(format!("/v1/watch?from={from}")).header(HOST, at.to_string());
         let request = request.body(Full::default());
-        let request = request.map_err(|e| CallError::Unreadable { at, words: e.to_string() })?;
-        let answer = timeout(PATIENCE, line.call(request)).await.map_err(silent)??;
-        if answer.status() != StatusCode::OK {
-            return Err(timeout(PATIENCE, line.refused(answer)).await.unwrap_or(CallError::Silent { at }));
+        let request = request.map_err(|e| CallError::Unreadable { at, reason: e.to_string() })?;
+        let response = timeout(WATCH_START_TIMEOUT, connection.call(request)).await.map_err(timed_out)??;
+        if response.status() != StatusCode::OK {
+            return Err(timeout(WATCH_START_TIMEOUT, connection.refusal(response))
+                .await
+                .unwrap_or(CallError::TimedOut { at }));
         }
-        Ok(Self { line, body: answer.into_body(), lines: Lines::default() })
+        Ok(Self { connection, body: response.into_body(), lines: Lines::default() })
     }
 
-    /// The next news; `None` where the watch has ended in order.
+    /// The next update; `None` once the replica has ended the watch regularly.
     ///
     /// # Errors
-    /// Where it broke, fell silent, or brought what can't be read.
+    /// A [`CallError`] if the connection failed, nothing arrived in time, or a line is invalid.
     pub async fn next(&mut self) -> Result<Option<News>, CallError> {
-        let at = self.line.at;
-        let unreadable = |words: String| CallError::Unreadable { at, words };
+        let at = self.connection.at;
+        let unreadable = |reason: String| CallError::Unreadable { at, reason };
         loop {
-            // The bytes of a line that does not end show no life.
-            let line = timeout(SILENCE, self.line()).await.map_err(|_| CallError::Silent { at })??;
+            // The timeout is for whole lines: bytes of a line that never ends do not show that the replica works.
+            let line = timeout(WATCH_SILENCE_TIMEOUT, self.next_line())
+                .await
+                .map_err(|_| CallError::TimedOut { at })??;
             let Some(line) = line else { return Ok(None) };
             if !line.is_empty() {
                 return serde_json::from_slice(&line).map(Some).map_err(|e| unreadable(e.to_string()));
@@ -218,16 +225,16 @@
         }
     }
 
-    async fn line(&mut self) -> Result<Option<Vec<u8>>, CallError> {
-        let at = self.line.at;
+    async fn next_line(&mut self) -> Result<Option<Vec<u8>>, CallError> {
+        let at = self.connection.at;
         loop {
             if let Some(line) = self.lines.next() {
                 return Ok(Some(line));
             }
             let Some(frame) = self.body.frame().await else { return Ok(None) };
-            if let Ok(data) = frame.map_err(|e| broken(at, &e))?.into_data() {
+            if let Ok(data) = frame.map_err(|e| connection_failed(at, &e))?.into_data() {
                 let pushed = self.lines.push(&data);
-                pushed.map_err(|e| CallError::Unreadable { at, words: e.to_string() })?;
+                pushed.map_err(|e| CallError::Unreadable { at, reason: e.to_string() })?;
             }
         }
     }
@@ -235,25 +242,25 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::fault::tests::each_has_its_advice;
+    use super::super::advice::tests::assert_each_has_advice;
     use super::*;
 
     #[test]
     fn each_error_has_its_advice() {
         use CallError::*;
         let at = SocketAddr::from(([127, 0, 0, 1], 9301));
-        each_has_its_advice(|before| match before {
-            None => Some(Unreached { at, error: std::io::ErrorKind::ConnectionRefused.into() }),
-            Some(Unreached { .. }) => Some(Silent { at }),
-            Some(Silent { .. }) => Some(Broken { at, words: "closed".into() }),
-            Some(Broken { .. }) => Some(NotLeader { at, leader: at }),
+        assert_each_has_advice(|before| match before {
+            None => Some(ConnectFailed { at, error: std::io::ErrorKind::ConnectionRefused.into() }),
+            Some(ConnectFailed { .. }) => Some(TimedOut { at }),
+            Some(TimedOut { .. }) => Some(ConnectionFailed { at, reason: "closed".into() }),
+            Some(ConnectionFailed { .. }) => Some(NotLeader { at, leader: at }),
             Some(NotLeader { .. }) => {
-                Some(Refused { at, status: StatusCode::BAD_REQUEST, words: "no such name".into() })
+                Some(Refused { at, status: StatusCode::BAD_REQUEST, reason: "no such name".into() })
             }
             Some(Refused { status, .. }) if status.is_client_error() => {
-                Some(Refused { at, status: StatusCode::SERVICE_UNAVAILABLE, words: "no leader".into() })
+                Some(Refused { at, status: StatusCode::SERVICE_UNAVAILABLE, reason: "no leader".into() })
             }
-            Some(Refused { .. }) => Some(Unreadable { at, words: "not JSON".into() }),
+            Some(Refused { .. }) => Some(Unreadable { at, reason: "not JSON".into() }),
             Some(Unreadable { .. }) => None,
         });
     }
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -1,4 +1,5 @@
-//! What clients, the node and the way to the servers hand each other: a request, one attempt at it, its final answer.
+//! What the client side, the node and the server side pass to each other: a request, one attempt at it, its final
+//! response.
 
 use std::cell::RefCell;
 use std::time::Instant;
@@ -8,73 +9,73 @@
 use hyper::{HeaderMap, Method, Uri};
 use tulipmount::{Millis, RequestId, ServerId};
 
-use super::bodies::{Coming, Gathered, Kept, Outgoing, Passage};
+use super::bodies::{BodyMonitor, BufferedBody, OutgoingBody, ReceivedBody, StreamingBody};
 
-/// A request's id.
+/// The header with a request's id.
 pub const TXN: HeaderName = HeaderName::from_static("x-txn");
-/// The time that is left.
-pub const REMAINING: HeaderName = HeaderName::from_static("x-remaining-ms");
+/// The header with the milliseconds that are left for a request.
+pub const REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
 
-/// A request as it goes on to a server.
-pub struct Asked {
-    /// Index of its class.
+/// A request in the form that is sent to a server.
+pub struct ForwardedRequest {
+    /// The index of its class.
     pub class: usize,
-    /// Index of its tenant.
+    /// The index of its tenant, if it has a known one.
     pub tenant: Option<usize>,
-    /// Its client marks it as a repeat.
-    pub again: bool,
-    /// Its client's guess at its work.
-    pub work: Option<Millis>,
-    /// Its method.
+    /// Whether its client marked it as resent.
+    pub resent: bool,
+    /// Its client's estimate of its work.
+    pub estimated_work: Option<Millis>,
+    /// The method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
-    /// Its body.
-    pub body: AskedBody,
+    /// The body.
+    pub body: RequestBody,
 }
 
 /// The body of a request.
-pub enum AskedBody {
-    /// Held whole, for as many attempts as it takes.
-    Kept(Kept),
-    /// Passed on as it comes, in one attempt.
-    Coming(RefCell<Option<Coming>>, Passage),
+pub enum RequestBody {
+    /// Held in memory, for any number of attempts.
+    Buffered(BufferedBody),
+    /// Streamed from the client, for a single attempt.
+    Streaming(RefCell<Option<StreamingBody>>, BodyMonitor),
 }
 
-impl AskedBody {
-    /// What one attempt sends; `None` where an earlier one has taken it.
-    pub fn outgoing(&self) -> Option<Outgoing> {
+impl RequestBody {
+    /// The body for one attempt; `None` if an earlier attempt has used a streamed one.
+    pub fn outgoing(&self) -> Option<OutgoingBody> {
         match self {
-            Self::Kept(kept) => Some(Outgoing::held(kept.bytes.clone())),
-            Self::Coming(coming, _) => coming.take().map(Outgoing::Coming),
+            Self::Buffered(buffered) => Some(OutgoingBody::buffered(buffered.bytes.clone())),
+            Self::Streaming(streaming, _) => streaming.take().map(OutgoingBody::Streaming),
         }
     }
 
-    /// Where the fate of one that is coming can be seen.
-    pub fn passage(&self) -> Option<&Passage> {
+    /// Observes a streamed body; `None` for a buffered one.
+    pub fn monitor(&self) -> Option<&BodyMonitor> {
         match self {
-            Self::Kept(..) => None,
-            Self::Coming(_, passage) => Some(passage),
+            Self::Buffered(..) => None,
+            Self::Streaming(_, monitor) => Some(monitor),
         }
     }
 }
 
-impl From<Gathered> for AskedBody {
-    fn from(body: Gathered) -> Self {
+impl From<ReceivedBody> for RequestBody {
+    fn from(body: ReceivedBody) -> Self {
         match body {
-            Gathered::Whole(kept) => Self::Kept(kept),
-            Gathered::Coming(coming) => {
-                let passage = coming.passage();
-                Self::Coming(RefCell::new(Some(coming)), passage)
+            ReceivedBody::Buffered(buffered) => Self::Buffered(buffered),
+            ReceivedBody::Streaming(streaming) => {
+                let monitor = streaming.monitor();
+                Self::Streaming(RefCell::new(Some(streaming)), monitor)
             }
         }
     }
 }
 
-impl Asked {
-    /// The request of a probe.
+impl ForwardedRequest {
+    /// The request that probes a server.
     pub fn probe() -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(HOST, HeaderValue::from_static("service.internal"));
@@ -82,12 +83,12 @@
         Self {
             class: 0,
             tenant: None,
-            again: false,
-            work: None,
+            resent: false,
+            estimated_work: None,
             method: Method::GET,
             uri,
             headers,
-            body: AskedBody::Kept(Bytes::new().into()),
+            body: RequestBody::Buffered(Bytes::new().into()),
         }
     }
 
@@ -97,9 +98,9 @@
     }
 }
 
-/// The headers that are not about one connection alone.
+/// The headers without those that concern one connection only (RFC 9110, section 7.6.1).
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    const HOP: [&str; 10] = [
+    const HOP_BY_HOP: [&str; 10] = [
         "connection",
         "content-length",
         "expect",
@@ -118,37 +119,38 @@
         .flat_map(|v| v.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let goes = |name: &HeaderName| !HOP.contains(&name.as_str()) && !named.iter().any(|n| n == name.as_str());
-    headers.iter().filter(|(name, _)| goes(name)).map(|(n, v)| (n.clone(), v.clone())).collect()
+    let forwarded =
+        |name: &HeaderName| !HOP_BY_HOP.contains(&name.as_str()) && !named.iter().any(|n| n == name.as_str());
+    headers.iter().filter(|(name, _)| forwarded(name)).map(|(n, v)| (n.clone(), v.clone())).collect()
 }
 
-/// The final answer of a request.
-pub enum Answer {
-    /// A server's answer.
-    Served(Box<Reply>),
-    /// Refused: trying again is harmless, after this time.
+/// The final response of a request.
+pub enum FinalResponse {
+    /// A server's response.
+    Served(Box<ServerResponse>),
+    /// Refused: the client may safely retry after this many milliseconds.
     Refused(Millis),
     /// Failed.
     Failed,
 }
 
-/// A server's answer.
-pub struct Reply {
-    /// Its headers.
+/// A server's response.
+pub struct ServerResponse {
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
-    /// Its body.
-    pub body: Gathered,
+    /// The body.
+    pub body: ReceivedBody,
 }
 
-/// Which attempt, where to, and until when.
+/// The server, number and deadline of one attempt.
 #[derive(Clone, Copy)]
-pub struct To {
+pub struct AttemptTarget {
     /// The request.
     pub id: RequestId,
-    /// The attempt's number.
+    /// The number of the attempt, from 0.
     pub attempt: usize,
     /// The server.
     pub server: ServerId,
-    /// When it is given up.
-    pub end: Instant,
+    /// When the attempt times out.
+    pub deadline: Instant,
 }
--- a/src/net/servers.rs
+++ b/src/net/servers.rs
@@ -1,4 +1,4 @@
-//! The way to the servers: attempts and probes, and how each ended.
+//! The server side: attempts and probes, and the outcome of each.
 
 use std::error::Error;
 use std::future::Future;
@@ -16,285 +16,314 @@
 use tokio::time::{timeout, timeout_at};
 use tulipmount::{Outcome, RequestId, ServerId};
 
-use super::bodies::{gather, Cut, Fate, Gathered, Outgoing, Pace, Paced, Passage, Side};
+use super::bodies::{
+    receive, BodyError, BodyKind, BodyLimits, BodyMonitor, BodyState, LimitedBody, OutgoingBody, ReceivedBody,
+};
 use super::log;
 use super::node::Node;
-use super::pool::Link;
-use super::request::{end_to_end, Asked, Reply, To, REMAINING};
-use super::sock::{Io, Length, Sock};
+use super::pool::ServerConnection;
+use super::request::{end_to_end, AttemptTarget, ForwardedRequest, ServerResponse, REMAINING_MS};
+use super::socket::{BodyLength, HyperIo, TrackedSocket};
 
-/// How slowly the body of an answer may come: whoever sends nothing for so long is taken for dead.
-const ANSWERING: Pace =
-    Pace { wait: Duration::from_secs(10), per_kib: Duration::from_millis(125), most: usize::MAX };
-/// The part of an attempt's time for which an answer without a length is held after its first bytes, in case
-/// it is a short one that breaks.
-const HOLD_SHARE: u32 = 4;
-/// How long a server may take nothing of a request that is coming.
-const STALL: Duration = Duration::from_secs(10);
+/// How slowly the body of a response may arrive: a server that sends nothing for that long counts as dead.
+const RESPONSE_BODY_LIMITS: BodyLimits = BodyLimits {
+    max_wait: Duration::from_secs(10),
+    extra_per_kib: Duration::from_millis(125),
+    max_bytes: usize::MAX,
+};
+/// A response of unknown length is buffered after its first bytes for this fraction of the attempt's time, 1 / n,
+/// in case it is a short one that breaks off.
+const BUFFER_TIME_DIVISOR: u32 = 4;
+/// How long a server may accept nothing of a streamed request.
+const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Turned away unseen.
+/// Marks a response to a request that the server rejected without reading it.
 const TURNED_AWAY: HeaderName = HeaderName::from_static("x-turned-away");
 
-/// Makes one attempt and tells the node how it ended. What is left of an answer that has begun is passed on.
-pub async fn attempt(node: Rc<Node>, to: To, asked: Rc<Asked>) {
-    let (outcome, reply, rest) = exchange(&node, to.server, to.end, &asked, Some(to.id)).await;
-    drop(asked);
-    node.attempt_ended(to.id, to.attempt, outcome, reply);
+/// Makes one attempt and reports its outcome to the node. The rest of a streamed response is then passed on.
+pub async fn attempt(node: Rc<Node>, target: AttemptTarget, request: Rc<ForwardedRequest>) {
+    let (outcome, response, rest) =
+        exchange(&node, target.server, target.deadline, &request, Some(target.id)).await;
+    drop(request);
+    node.attempt_ended(target.id, target.attempt, outcome, response);
     if let Some(rest) = rest {
-        rest.pass_on(&node, to.server).await;
+        rest.pass_on(&node, target.server).await;
     }
 }
 
-/// Probes a server and tells the node how it ended.
+/// Probes a server and reports the outcome to the node.
 pub async fn probe(node: Rc<Node>, server: ServerId) {
-    let sent = Instant::now();
-    // As long as a connection may take, and as long again for the answer.
-    let end = sent + 2 * node.pool.connect;
-    let (outcome, ..) = exchange(&node, server, end, &Asked::probe(), None).await;
-    node.probed(server, outcome, sent.elapsed());
+    let started = Instant::now();
+    // As long as a connect may take, and as long again for the response.
+    let deadline = started + 2 * node.pool.connect_timeout;
+    let (outcome, ..) = exchange(&node, server, deadline, &ForwardedRequest::probe(), None).await;
+    node.probe_ended(server, outcome, started.elapsed());
 }
 
-/// An answer that has begun, on its connection.
-struct Rest {
-    link: Link,
-    dial: SocketAddr,
-    passage: Passage,
+/// A response that is being streamed, and its connection.
+struct StreamingResponse {
+    connection: ServerConnection,
+    addr: SocketAddr,
+    monitor: BodyMonitor,
     length: Option<u64>,
-    keep: bool,
+    reusable: bool,
 }
 
-impl Rest {
-    /// Has the connection go on until its answer has ended.
+impl StreamingResponse {
+    /// Drives the connection until the response has ended.
     async fn pass_on(mut self, node: &Node, server: ServerId) {
-        let fate = drive(&mut self.link.conn, self.passage.ended()).await;
-        if fate == Fate::Whole && self.keep && !over(&mut self.link.conn).await {
-            keep(node, server, self.dial, self.link, self.length);
+        let state = drive(&mut self.connection.driver, self.monitor.ended()).await;
+        if state == BodyState::Complete && self.reusable && !has_ended(&mut self.connection.driver).await {
+            return_to_pool(node, server, self.addr, self.connection, self.length);
         }
     }
 }
 
-/// Keeps a connection for the next request. One that has more to read than the answer would answer the next
-/// request with it; one to where the server is no more would bring it what is meant for it elsewhere.
-fn keep(node: &Node, server: ServerId, dial: SocketAddr, link: Link, length: Option<u64>) {
-    let sock = &link.sock;
-    if sock.whole() && node.dial(server) == Some(dial) && sock.heard_just(length) && sock.quiet() {
-        node.pool.put(server, link);
+/// Returns a connection to the pool, unless it has more to read than the response, which would be taken for the
+/// response to the next request, or the server is no longer at its address, where it would bring requests meant for
+/// another one.
+fn return_to_pool(
+    node: &Node,
+    server: ServerId,
+    addr: SocketAddr,
+    connection: ServerConnection,
+    length: Option<u64>,
+) {
+    let socket = &connection.socket;
+    if socket.all_sent()
+        && node.server_addr(server) == Some(addr)
+        && socket.received_exactly(length)
+        && socket.is_quiet()
+    {
+        node.pool.put(server, connection);
     }
 }
 
-/// One request to a server, and how it ended; with what is still to come of an answer that has begun. `id` is that
-/// of the request, `None` for a probe.
+/// Sends one request to a server; returns the outcome, the response, and what is still to be streamed of it. `id`
+/// is `None` for a probe.
 async fn exchange(
     node: &Rc<Node>,
     server: ServerId,
-    end: Instant,
-    asked: &Asked,
+    deadline: Instant,
+    request: &ForwardedRequest,
     id: Option<RequestId>,
-) -> (Outcome, Option<Reply>, Option<Rest>) {
-    let over = |outcome| (outcome, None, None);
-    let time = end.saturating_duration_since(Instant::now());
+) -> (Outcome, Option<ServerResponse>, Option<StreamingResponse>) {
+    let ended_with = |outcome| (outcome, None, None);
+    let time = deadline.saturating_duration_since(Instant::now());
     let mut pooled = node.pool.take(server);
     loop {
-        // A drain holds from the moment it is told, also for what waited on a connection until now.
-        let Some(dial) = node.dial(server) else { return over(Outcome::NotSent) };
+        // A drain takes effect at once, also for attempts that have been waiting for a connection.
+        let Some(addr) = node.server_addr(server) else { return ended_with(Outcome::NotSent) };
         let reused = pooled.is_some();
-        let link = match pooled.take() {
-            Some(link) => Ok(link),
+        let connection = match pooled.take() {
+            Some(connection) => Ok(connection),
             None => {
-                let connecting = node.pool.connect(dial, node.server_connections());
-                timeout_at(end.into(), connecting).await.unwrap_or(Err(Outcome::NotSent))
+                let connecting = node.pool.connect(addr, node.max_server_connections());
+                timeout_at(deadline.into(), connecting).await.unwrap_or(Err(Outcome::NotSent))
             }
         };
-        let mut link = match link {
-            Ok(link) => link,
-            Err(outcome) => return over(outcome),
+        let mut connection = match connection {
+            Ok(connection) => connection,
+            Err(outcome) => return ended_with(outcome),
         };
-        // The connection may have come up late: where the server drains by now, or nobody waits for the answer any
-        // more.
-        let unwanted = id.is_some_and(|id| !node.awaits(id));
-        if node.dial(server) != Some(dial) || unwanted {
-            return over(Outcome::NotSent);
+        // Connecting may have taken a while: the server may be draining by now, or the response may not be needed
+        // any more.
+        let unwanted = id.is_some_and(|id| !node.awaits_response(id));
+        if node.server_addr(server) != Some(addr) || unwanted {
+            return ended_with(Outcome::NotSent);
         }
-        let Some(body) = asked.body.outgoing() else { return over(Outcome::NotSent) };
-        let (sock, passage, idle) = (link.sock.clone(), body.passage(), link.since.elapsed());
-        sock.begin(Length::of(&body), id.map(|_| node.metrics.dispatches()));
-        let given_up = async {
-            match &passage {
-                None => tokio::time::sleep_until(end.into()).await,
-                Some(passage) => {
-                    handed_on(passage, &sock).await;
+        let Some(body) = request.body.outgoing() else { return ended_with(Outcome::NotSent) };
+        let (socket, monitor, idle) =
+            (connection.socket.clone(), body.monitor(), connection.idle_since.elapsed());
+        socket.begin_message(BodyLength::of(&body), id.map(|_| node.metrics.dispatches()));
+        let timed_out = async {
+            match &monitor {
+                None => tokio::time::sleep_until(deadline.into()).await,
+                Some(monitor) => {
+                    until_passed_on(monitor, &socket).await;
                     tokio::time::sleep(time).await;
                 }
             }
         };
-        let ended = tokio::select! {
+        let result = tokio::select! {
             biased;
-            heard = converse(node, &mut link, || request(asked, body, end), time / HOLD_SHARE) => Some(heard),
-            () = given_up => None,
+            response = send_request(node, &mut connection, || build_request(request, body, deadline), time / BUFFER_TIME_DIVISOR) => Some(response),
+            () = timed_out => None,
         };
-        let (any, whole) = (sock.any(), sock.whole());
-        return match ended {
-            // A kept connection that was closed before the first byte was written: nothing was sent, so this
-            // is still the same attempt.
-            Some(Err(_)) if reused && !any => continue,
-            Some(Ok(heard)) => heard.judge(node, server, dial, link),
-            // The request broke off, not the server.
-            Some(Err(_)) if passage.is_some_and(|p| p.fate() == Fate::Cut) => over(Outcome::NotSent),
-            Some(Err(Broken::Link)) if whole => {
+        let (any_sent, all_sent) = (socket.any_sent(), socket.all_sent());
+        return match result {
+            // A pooled connection was closed before anything was written to it, so the attempt can start again.
+            Some(Err(_)) if reused && !any_sent => continue,
+            Some(Ok(response)) => response.into_outcome(node, server, addr, connection),
+            // The client's request broke off; the server is not at fault.
+            Some(Err(_)) if monitor.is_some_and(|m| m.state() == BodyState::Failed) => {
+                ended_with(Outcome::NotSent)
+            }
+            Some(Err(ExchangeError::Connection)) if all_sent => {
                 let kind = if reused { "kept" } else { "new" };
-                log::trouble(|| format!("{kind} connection to {dial}, {idle:.1?} idle, broke"));
-                over(Outcome::Reset)
+                log::limited(|| format!("{kind} connection to {addr}, {idle:.1?} idle, broke"));
+                ended_with(Outcome::Reset)
             }
-            Some(Err(Broken::Garbled)) if whole => over(Outcome::Error),
-            // It may have run, and its server is not to blame.
-            Some(Err(Broken::NoRoom)) if whole => over(Outcome::Cancelled),
-            Some(Err(_)) => over(Outcome::ConnectFailed),
-            None if whole => over(Outcome::TimedOut),
-            None => over(Outcome::NotSent),
+            Some(Err(ExchangeError::Malformed)) if all_sent => ended_with(Outcome::Error),
+            // The request may have been executed, and the server is not at fault.
+            Some(Err(ExchangeError::NoMemory)) if all_sent => ended_with(Outcome::Cancelled),
+            Some(Err(_)) => ended_with(Outcome::ConnectFailed),
+            None if all_sent => ended_with(Outcome::TimedOut),
+            None => ended_with(Outcome::NotSent),
         };
     }
 }
 
-/// Waits until a request that is coming has been handed on, for as long as its server takes any of it.
-async fn handed_on(passage: &Passage, sock: &Sock) {
-    while timeout(STALL, passage.ended()).await.is_err() {
-        if sock.stalled() >= STALL {
+/// Waits until a streamed request has been passed on, for as long as the server keeps accepting bytes.
+async fn until_passed_on(monitor: &BodyMonitor, socket: &TrackedSocket) {
+    while timeout(UPLOAD_STALL_TIMEOUT, monitor.ended()).await.is_err() {
+        if socket.write_stalled_for() >= UPLOAD_STALL_TIMEOUT {
             return;
         }
     }
 }
 
-fn request(asked: &Asked, body: Outgoing, end: Instant) -> Request<Outgoing> {
-    let left = end.saturating_duration_since(Instant::now()).as_millis() as u64;
+fn build_request(
+    forwarded: &ForwardedRequest,
+    body: OutgoingBody,
+    deadline: Instant,
+) -> Request<OutgoingBody> {
+    let left = deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
     let mut request = Request::new(body);
-    *request.method_mut() = asked.method.clone();
-    *request.uri_mut() = asked.uri.clone();
-    *request.headers_mut() = asked.headers.clone();
-    request.headers_mut().insert(REMAINING, HeaderValue::from(left));
+    *request.method_mut() = forwarded.method.clone();
+    *request.uri_mut() = forwarded.uri.clone();
+    *request.headers_mut() = forwarded.headers.clone();
+    request.headers_mut().insert(REMAINING_MS, HeaderValue::from(left));
     request
 }
 
-/// What a server answered.
-struct Heard {
+/// A server's response.
+struct ExchangeResponse {
     status: StatusCode,
     headers: HeaderMap,
-    /// `None` where it did not come.
-    body: Option<Gathered>,
-    /// Its length; `None` for chunks.
+    /// `None` if it did not arrive.
+    body: Option<ReceivedBody>,
+    /// Its length; `None` if it is chunked.
     length: Option<u64>,
-    keep: bool,
+    reusable: bool,
 }
 
-impl Heard {
-    fn judge(
+impl ExchangeResponse {
+    fn into_outcome(
         self,
         node: &Node,
         server: ServerId,
-        dial: SocketAddr,
-        link: Link,
-    ) -> (Outcome, Option<Reply>, Option<Rest>) {
-        let Self { status, headers, body, length, keep: keeps } = self;
-        let away = headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
+        addr: SocketAddr,
+        connection: ServerConnection,
+    ) -> (Outcome, Option<ServerResponse>, Option<StreamingResponse>) {
+        let Self { status, headers, body, length, reusable } = self;
+        let turned_away = headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
         let rest = match &body {
-            Some(Gathered::Coming(coming)) => {
-                link.sock.narrow();
-                Some(Rest { link, dial, passage: coming.passage(), length, keep: keeps })
+            Some(ReceivedBody::Streaming(streaming)) => {
+                connection.socket.shrink_kernel_buffers();
+                Some(StreamingResponse { connection, addr, monitor: streaming.monitor(), length, reusable })
             }
             body => {
-                if keeps && body.is_some() {
-                    keep(node, server, dial, link, length);
+                if reusable && body.is_some() {
+                    return_to_pool(node, server, addr, connection, length);
                 }
                 None
             }
         };
         match (status, body) {
-            (StatusCode::OK, Some(body)) => (Outcome::Done, Some(Reply { headers, body }), rest),
-            (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if away => {
+            (StatusCode::OK, Some(body)) => (Outcome::Done, Some(ServerResponse { headers, body }), rest),
+            (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if turned_away => {
                 (Outcome::Full, None, None)
             }
             (status, _) => {
-                log::trouble(|| format!("answered {status}"));
-                // A request with an id that no client sent: no server would take it, and none is to blame.
-                let at_fault = status == StatusCode::BAD_REQUEST;
-                (if at_fault { Outcome::Cancelled } else { Outcome::Error }, None, None)
+                log::limited(|| format!("answered {status}"));
+                // The request has an id that no client sent. No server would accept it, and none is at fault.
+                let request_at_fault = status == StatusCode::BAD_REQUEST;
+                (if request_at_fault { Outcome::Cancelled } else { Outcome::Error }, None, None)
             }
         }
     }
 }
 
-enum Broken {
+/// Why a request got no complete response.
+enum ExchangeError {
     /// The connection ended.
-    Link,
-    /// What came can't be read.
-    Garbled,
-    /// There was no room here to pass it on.
-    NoRoom,
+    Connection,
+    /// The response is malformed.
+    Malformed,
+    /// The memory budget had no room to stream it.
+    NoMemory,
 }
 
-impl From<hyper::Error> for Broken {
+impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> Self {
-        log::trouble(|| format!("answer not read: {error:?}"));
-        // Chunks that can't be read come as an I/O error of hyper's own making; the server still runs.
+        log::limited(|| format!("answer not read: {error:?}"));
+        // hyper reports invalid chunks as an I/O error of its own; the server is still running.
         let invalid =
             |e: &io::Error| matches!(e.kind(), io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData);
         if error.is_parse() || error.source().and_then(|e| e.downcast_ref()).is_some_and(invalid) {
-            Self::Garbled
+            Self::Malformed
         } else {
-            Self::Link
+            Self::Connection
         }
     }
 }
 
-impl From<Cut> for Broken {
-    fn from(cut: Cut) -> Self {
-        match cut {
-            Cut::Broken(error) => error.into(),
-            Cut::Slow | Cut::Long => Self::Garbled,
-            Cut::NoRoom => Self::NoRoom,
+impl From<BodyError> for ExchangeError {
+    fn from(error: BodyError) -> Self {
+        match error {
+            BodyError::Connection(error) => error.into(),
+            BodyError::TooSlow | BodyError::TooLong => Self::Malformed,
+            BodyError::NoMemory => Self::NoMemory,
         }
     }
 }
 
-/// Writes a request and reads the answer, whole or up to its first bytes. A second request on the connection is
-/// never begun here, and nothing is sent again.
-async fn converse(
+/// Writes a request and reads the response, completely or up to its first bytes. Sends one request only, and
+/// nothing twice.
+async fn send_request(
     node: &Node,
-    link: &mut Link,
-    request: impl FnOnce() -> Request<Outgoing>,
-    hold: Duration,
-) -> Result<Heard, Broken> {
-    let Link { sock, send, conn, .. } = link;
-    let talk = async {
-        send.ready().await?;
-        // What has come before the request is no answer to it.
-        if !sock.quiet() {
-            return Err(Broken::Link);
+    connection: &mut ServerConnection,
+    make_request: impl FnOnce() -> Request<OutgoingBody>,
+    buffer_time: Duration,
+) -> Result<ExchangeResponse, ExchangeError> {
+    let ServerConnection { socket, sender, driver, .. } = connection;
+    let exchange = async {
+        sender.ready().await?;
+        // Data that arrived before the request cannot be its response.
+        if !socket.is_quiet() {
+            return Err(ExchangeError::Connection);
         }
-        let (parts, body) = send.send_request(request()).await?.into_parts();
-        // A server begins once it has the last byte: what says sooner that it is done is another's answer.
-        let early = parts.status == StatusCode::OK && !sock.whole();
-        if early || !framed(&parts.headers) {
-            return Err(Broken::Garbled);
+        let (parts, body) = sender.send_request(make_request()).await?.into_parts();
+        // A server responds only after it has received the last byte. An earlier success is the response to another
+        // request.
+        let premature = parts.status == StatusCode::OK && !socket.all_sent();
+        if premature || !has_clear_framing(&parts.headers) {
+            return Err(ExchangeError::Malformed);
         }
         let length = body.size_hint().exact();
-        let body = gather(Paced::new(body, ANSWERING), &node.budget, Side::Answer(hold));
-        // What any other answer says is in its head.
+        let body = receive(
+            LimitedBody::new(body, RESPONSE_BODY_LIMITS),
+            &node.body_budget,
+            BodyKind::Response(buffer_time),
+        );
+        // Of any other response only the head matters.
         let body = match parts.status {
             StatusCode::OK => Some(body.await?),
-            _ => timeout(hold, body).await.ok().transpose()?,
+            _ => timeout(buffer_time, body).await.ok().transpose()?,
         };
         Ok((parts, length, body))
     };
-    let (parts, length, body) = drive(conn, talk).await?;
-    let closes = parts.headers.get(CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
+    let (parts, length, body) = drive(driver, exchange).await?;
+    let closing = parts.headers.get(CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
     let headers: HeaderMap = end_to_end(&parts.headers);
-    let keep = !closes && !over(conn).await;
-    Ok(Heard { status: parts.status, headers, body, length, keep })
+    let reusable = !closing && !has_ended(driver).await;
+    Ok(ExchangeResponse { status: parts.status, headers, body, length, reusable })
 }
 
-/// Can the end of an answer with these headers be read in one way alone? hyper takes any encoding that ends with
-/// chunks, and a length beside it, and else reads to the end of the connection.
-fn framed(headers: &HeaderMap) -> bool {
+/// Whether the end of a response with these headers is unambiguous. hyper accepts any encoding that ends with
+/// chunks, also beside a length, and otherwise reads to the end of the connection.
+fn has_clear_framing(headers: &HeaderMap) -> bool {
     let mut encodings = headers.get_all(TRANSFER_ENCODING).iter();
     encodings.next().is_none_or(|encoding| {
         let chunked = encoding.as_bytes().eq_ignore_ascii_case(b"chunked");
@@ -302,20 +331,20 @@
     })
 }
 
-/// Has the connection come to its end? hyper sees bytes behind the answer, and closes, only when polled.
-async fn over(conn: &mut Connection<Io, Outgoing>) -> bool {
-    let mut conn = pin!(conn);
-    std::future::poll_fn(|cx| Poll::Ready(conn.as_mut().poll(cx).is_ready())).await
+/// Whether the connection has ended. Only when polled does hyper see bytes behind the response and close.
+async fn has_ended(driver: &mut Connection<HyperIo, OutgoingBody>) -> bool {
+    let mut driver = pin!(driver);
+    std::future::poll_fn(|cx| Poll::Ready(driver.as_mut().poll(cx).is_ready())).await
 }
 
-/// Polls the connection for as long as what goes on over it lasts.
-async fn drive<T>(conn: &mut Connection<Io, Outgoing>, talk: impl Future<Output = T>) -> T {
-    let mut talk = pin!(talk);
+/// Drives the connection while `exchange` runs on it.
+async fn drive<T>(driver: &mut Connection<HyperIo, OutgoingBody>, exchange: impl Future<Output = T>) -> T {
+    let mut exchange = pin!(exchange);
     tokio::select! {
         biased;
-        done = &mut talk => return done,
-        _ = conn => {}
+        result = &mut exchange => return result,
+        _ = driver => {}
     }
-    // The connection is over; what it had to say has been handed on.
-    talk.await
+    // The connection has ended; what it received has been passed on.
+    exchange.await
 }
--- a/src/net/votes.rs
+++ b/src/net/votes.rs
@@ -1,6 +1,6 @@
-//! What this node tells of servers with its beats, and what the group's word on servers means to it. Pure.
+//! What this node reports about servers with its heartbeats, and which of the group's verdicts apply to it. No I/O.
 //!
-//! Nothing of it is there unless the agreed policy has the figures of the votes.
+//! None of it exists unless the agreed policy has votes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,45 +10,45 @@
 };
 use member::Millis;
 
-/// What the control group has said of servers, as far as this process knows.
+/// What the control group has said about servers, as far as this process knows.
 #[derive(Debug, Default)]
-pub struct Word {
-    /// What is in force.
+pub struct VoteState {
+    /// The verdicts in force.
     verdicts: Verdicts,
-    /// Servers that the leader would hear good of, too.
-    asked: Vec<String>,
-    /// When a leader answered last.
-    heard: Option<Millis>,
-    /// What held here last, and whether this node probes.
-    held: BTreeMap<String, bool>,
+    /// Servers about which the leader also wants ballots against removal.
+    wanted: Vec<String>,
+    /// When a leader last answered.
+    last_answer: Option<Millis>,
+    /// The removed servers that apply here, and whether this node probes them.
+    applying: BTreeMap<String, bool>,
 }
 
-/// What has changed for a server here.
+/// A change in how verdicts apply to a server here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum VerdictChange {
     /// It is removed.
     Removed,
-    /// It is removed, and this node sends it a little.
+    /// It is removed, and this node probes it with a few requests.
     Probed,
-    /// No verdict holds any more.
-    Back,
+    /// No verdict applies to it any more.
+    Lifted,
 }
 
-impl fmt::Display for Turn {
+impl fmt::Display for VerdictChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Removed => "is removed by votes",
             Self::Probed => "is removed by votes, and probed from here",
-            Self::Back => "is back: no verdict on it holds any more",
+            Self::Lifted => "is back: no verdict on it holds any more",
         })
     }
 }
 
-impl Word {
-    /// What the next beat says: all that this node is for, and what it is against where the leader asks, or where a
-    /// verdict is about an earlier process of the server; the worst first where there is too much. `up` are the zones of
-    /// the servers that are listed as up, one for each.
-    pub fn votes<'a>(
+impl VoteState {
+    /// The votes of the next heartbeat: all ballots for removal, and those against it if the leader asks for them
+    /// or if a verdict is about an earlier process of the server. If there are too many, those with the most
+    /// failures are kept. `up` has the zone of each server that is listed as up.
+    pub fn heartbeat_votes<'a>(
         &self,
         zone: Option<&str>,
         up: impl Iterator<Item = &'a str>,
@@ -64,15 +64,17 @@
             zones.sort_by_key(|(_, up)| std::cmp::Reverse(*up));
             zones.truncate(ZONES_MOST);
         }
-        let short = |ballot: &Ballot| ballot.server.len() <= SERVER_MOST && ballot.zone.len() <= SERVER_MOST;
-        let anew = |ballot: &Ballot| {
+        let fits = |ballot: &Ballot| ballot.server.len() <= SERVER_MOST && ballot.zone.len() <= SERVER_MOST;
+        let about_earlier_process = |ballot: &Ballot| {
             let mut verdicts = self.verdicts.verdicts.iter();
             verdicts.any(|verdict| verdict.server == ballot.server && verdict.born_ms != ballot.born_ms)
         };
-        let told = |ballot: &Ballot| {
-            ballot.stand == Stand::For || self.asked.contains(&ballot.server) || anew(ballot)
+        let wanted = |ballot: &Ballot| {
+            ballot.stand == Stand::For
+                || self.wanted.contains(&ballot.server)
+                || about_earlier_process(ballot)
         };
-        ballots.retain(|ballot| short(ballot) && told(ballot));
+        ballots.retain(|ballot| fits(ballot) && wanted(ballot));
         ballots.sort_by(|a, b| {
             let order = |ballot: &Ballot| (ballot.stand, std::cmp::Reverse(ballot.evidence.failed()));
             order(a).cmp(&order(b)).then_with(|| a.server.cmp(&b.server))
@@ -81,23 +83,23 @@
         Votes { zone: zone.map(str::to_owned), up: zones, doubts, ballots }
     }
 
-    /// The version of what is known to be in force.
+    /// The version of the verdicts in force.
     pub fn version(&self) -> u64 {
         self.verdicts.version
     }
 
-    /// A leader has answered. What it says of verdicts holds, also where it is older than what was known: the group
-    /// was then set up again.
-    pub fn answered(&mut self, asked: Vec<String>, verdicts: Option<Verdicts>, now: Millis) {
-        self.heard = Some(now);
-        self.asked = asked;
+    /// Applies a leader's answer. Its verdicts replace the known ones even if they are older: then the group was
+    /// set up anew.
+    pub fn leader_answered(&mut self, wanted: Vec<String>, verdicts: Option<Verdicts>, now: Millis) {
+        self.last_answer = Some(now);
+        self.wanted = wanted;
         if let Some(verdicts) = verdicts {
             self.verdicts = verdicts;
         }
     }
 
-    /// A replica's watch has told of verdicts; whether that is newer than what was known.
-    pub fn news(&mut self, verdicts: Verdicts) -> bool {
+    /// Applies verdicts from a replica's watch if they are newer than the known ones; returns whether they are.
+    pub fn update(&mut self, verdicts: Verdicts) -> bool {
         let newer = verdicts.version > self.verdicts.version;
         if newer {
             self.verdicts = verdicts;
@@ -105,14 +107,14 @@
         newer
     }
 
-    /// How long ago a leader answered.
-    pub fn age(&self, now: Millis) -> Option<Millis> {
-        self.heard.map(|heard| now - heard)
+    /// How long ago a leader last answered.
+    pub fn last_contact(&self, now: Millis) -> Option<Millis> {
+        self.last_answer.map(|at| now - at)
     }
 
-    /// The verdicts that hold for this node, and whether it is to probe the server: `born` tells when a listed server's
-    /// process started, and one about another process is not meant.
-    pub fn rulings<'a>(
+    /// The verdicts that apply to this node, with whether it is to probe the server. `born` gives the start date of
+    /// a listed server's process; a verdict about another process does not apply.
+    pub fn verdicts_here<'a>(
         &'a self,
         me: &'a str,
         zone: Option<&'a str>,
@@ -123,32 +125,32 @@
             (zones.is_empty() || zone.is_some_and(|zone| zones.iter().any(|z| z == zone)))
                 && born(&verdict.server) == Some(verdict.born_ms)
         };
-        let ruling = move |verdict: &'a Verdict| {
+        let with_probing = move |verdict: &'a Verdict| {
             (verdict.server.as_str(), verdict.probers.iter().any(|prober| prober == me))
         };
-        self.verdicts.verdicts.iter().filter(here).map(ruling)
+        self.verdicts.verdicts.iter().filter(here).map(with_probing)
     }
 
-    /// Notes what holds now; what has changed by that.
-    pub fn note(&mut self, held: BTreeMap<String, bool>) -> Vec<(String, Turn)> {
-        let before = std::mem::replace(&mut self.held, held);
-        let turn = |probe: bool| if probe { Turn::Probed } else { Turn::Removed };
-        let come = self.held.iter().filter(|(server, probe)| before.get(*server) != Some(probe));
-        let mut turns: Vec<(String, Turn)> =
-            come.map(|(server, probe)| (server.clone(), turn(*probe))).collect();
-        let gone = before.into_keys().filter(|server| !self.held.contains_key(server));
-        turns.extend(gone.map(|server| (server, Turn::Back)));
-        turns
+    /// Sets which verdicts apply, and returns what changed.
+    pub fn set_applying(&mut self, applying: BTreeMap<String, bool>) -> Vec<(String, VerdictChange)> {
+        let before = std::mem::replace(&mut self.applying, applying);
+        let change = |probe: bool| if probe { VerdictChange::Probed } else { VerdictChange::Removed };
+        let added = self.applying.iter().filter(|(server, probe)| before.get(*server) != Some(probe));
+        let mut changes: Vec<(String, VerdictChange)> =
+            added.map(|(server, probe)| (server.clone(), change(*probe))).collect();
+        let lifted = before.into_keys().filter(|server| !self.applying.contains_key(server));
+        changes.extend(lifted.map(|server| (server, VerdictChange::Lifted)));
+        changes
     }
 
-    /// How many verdicts hold here.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    /// How many verdicts apply.
+    pub fn applying(&self) -> usize {
+        self.applying.len()
     }
 }
 
-/// Evidence in words, for the log.
-pub fn words(evidence: Evidence) -> String {
+/// A description of the evidence for the log.
+pub fn describe_evidence(evidence: Evidence) -> String {
     let Evidence { attempts, connects, breaks, timeouts, errors } = evidence;
     format!(
         "{attempts} attempts, {} failed ({connects} not connected, {breaks} broke, {timeouts} late, {errors} errors)",
@@ -171,30 +173,30 @@
     }
 
     #[test]
-    fn a_beat_tells_the_worst_first_and_good_only_where_asked() {
-        let mut word = Word::default();
-        let told = |word: &Word, ballots: Vec<Ballot>| {
-            let votes = word.votes(Some("a"), ["a", "b", "a"].into_iter(), false, ballots);
+    fn a_heartbeat_has_the_worst_ballots_and_those_against_removal_only_on_request() {
+        let mut state = VoteState::default();
+        let reported = |state: &VoteState, ballots: Vec<Ballot>| {
+            let votes = state.heartbeat_votes(Some("a"), ["a", "b", "a"].into_iter(), false, ballots);
             assert_eq!(votes.up, [("a".to_owned(), 2), ("b".to_owned(), 1)]);
             votes.ballots.into_iter().map(|ballot| ballot.server).collect::<Vec<_>>()
         };
-        let three =
+        let three_ballots =
             || vec![ballot("x", Stand::For, 11), ballot("y", Stand::Against, 0), ballot("z", Stand::For, 19)];
-        assert_eq!(told(&word, three()), ["z", "x"]);
-        word.answered(vec!["y".into(), "x".into()], None, 5.0);
-        assert_eq!(told(&word, three()), ["z", "x", "y"]);
+        assert_eq!(reported(&state, three_ballots()), ["z", "x"]);
+        state.leader_answered(vec!["y".into(), "x".into()], None, 5.0);
+        assert_eq!(reported(&state, three_ballots()), ["z", "x", "y"]);
         let earlier = Verdict { born_ms: 0.5, ..verdict("y", &[], &[]) };
-        word.answered(Vec::new(), Some(Verdicts { version: 3, verdicts: vec![earlier] }), 6.0);
-        assert_eq!(told(&word, three()), ["z", "x", "y"]);
+        state.leader_answered(Vec::new(), Some(Verdicts { version: 3, verdicts: vec![earlier] }), 6.0);
+        assert_eq!(reported(&state, three_ballots()), ["z", "x", "y"]);
         let mut many: Vec<Ballot> = (0..100).map(|n| ballot(&format!("s{n}"), Stand::For, 11)).collect();
         many.extend([ballot("worst", Stand::For, 20), ballot(&"s".repeat(SERVER_MOST + 1), Stand::For, 20)]);
-        let told = told(&word, many);
-        assert_eq!((told.len(), told[0].as_str()), (BALLOTS_MOST, "worst"));
+        let sent = reported(&state, many);
+        assert_eq!((sent.len(), sent[0].as_str()), (BALLOTS_MOST, "worst"));
     }
 
     #[test]
-    fn a_verdict_holds_for_its_zones_and_its_process() {
-        let mut word = Word::default();
+    fn a_verdict_applies_to_its_zones_and_its_process() {
+        let mut state = VoteState::default();
         let all = vec![
             verdict("all", &[], &["n1"]),
             verdict("in-a", &["a"], &["n0"]),
@@ -202,35 +204,35 @@
             verdict("anew", &[], &[]),
             verdict("unlisted", &[], &[]),
         ];
-        word.answered(Vec::new(), Some(Verdicts { version: 7, verdicts: all }), 5.0);
+        state.leader_answered(Vec::new(), Some(Verdicts { version: 7, verdicts: all }), 5.0);
         let born = |server: &str| match server {
             "unlisted" => None,
             "anew" => Some(2.0),
             _ => Some(1.0),
         };
-        let held = |zone| word.rulings("n0", zone, born).collect::<Vec<_>>();
-        assert_eq!(held(Some("a")), [("all", false), ("in-a", true)]);
-        assert_eq!(held(None), [("all", false)]);
+        let applying = |zone| state.verdicts_here("n0", zone, born).collect::<Vec<_>>();
+        assert_eq!(applying(Some("a")), [("all", false), ("in-a", true)]);
+        assert_eq!(applying(None), [("all", false)]);
     }
 
     #[test]
-    fn each_change_is_told_once() {
-        let mut word = Word::default();
-        let held =
+    fn each_change_is_reported_once() {
+        let mut state = VoteState::default();
+        let applying =
             |of: &[(&str, bool)]| of.iter().map(|(server, probe)| ((*server).to_owned(), *probe)).collect();
-        assert_eq!(word.note(held(&[("x", false)])), [("x".to_owned(), Turn::Removed)]);
-        assert_eq!(word.note(held(&[("x", false)])), []);
-        assert_eq!(word.note(held(&[("x", true)])), [("x".to_owned(), Turn::Probed)]);
-        assert_eq!(word.note(held(&[])), [("x".to_owned(), Turn::Back)]);
+        assert_eq!(state.set_applying(applying(&[("x", false)])), [("x".to_owned(), VerdictChange::Removed)]);
+        assert_eq!(state.set_applying(applying(&[("x", false)])), []);
+        assert_eq!(state.set_applying(applying(&[("x", true)])), [("x".to_owned(), VerdictChange::Probed)]);
+        assert_eq!(state.set_applying(applying(&[])), [("x".to_owned(), VerdictChange::Lifted)]);
     }
 
     #[test]
-    fn a_watch_brings_what_is_newer_and_a_leader_what_holds() {
-        let mut word = Word::default();
+    fn a_watch_adds_newer_verdicts_and_a_leader_replaces_them() {
+        let mut state = VoteState::default();
         let at = |version| Verdicts { version, verdicts: Vec::new() };
-        assert!(word.news(at(7)) && !word.news(at(7)) && !word.news(at(6)));
-        word.answered(Vec::new(), Some(at(3)), 5.0);
-        assert!(word.news(at(4)));
-        assert_eq!((word.age(9.0), Word::default().age(9.0)), (Some(4.0), None));
+        assert!(state.update(at(7)) && !state.update(at(7)) && !state.update(at(6)));
+        state.leader_answered(Vec::new(), Some(at(3)), 5.0);
+        assert!(state.update(at(4)));
+        assert_eq!((state.last_contact(9.0), VoteState::default().last_contact(9.0)), (Some(4.0), None));
     }
 }
