--- a/crates/stoneshift/tests/hard.rs
+++ b/crates/stoneshift/tests/hard.rs
@@ -351,7 +351,7 @@
         Some((newer, ended.as_ref().and_then(epoch).filter(|_| under_way)?))
     });
     let by = |node: &Node, epoch: u64| {
-        until("it judges by that epoch", || node.logged(&format!("judges by epoch {epoch}")).then_some(()));
+        until("it judges by that epoch", || node.logged(&format!("applies epoch {epoch}")).then_some(()));
     };
     ready(&newer);
     by(&older, new);
--- a/src/main.rs
+++ b/src/main.rs
@@ -64,7 +64,7 @@
         match self {
             Self::Config(error) => error.advice(),
             Self::Listen(error) => error.advice(),
-            Self::Settings(_) => "mend it under \"settings\" in the configuration file".into(),
+            Self::Settings(_) => "correct it under \"settings\" in the configuration file".into(),
             Self::Runtime(_) | Self::Signal(_) => "allow the process more descriptors".into(),
         }
     }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -54,7 +54,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => self.serve(stream),
                 Err(error) => {
-                    log::limited(|| format!("accept at the second address: {error}"));
+                    log::limited(|| format!("accept at the operators' address: {error}"));
                     tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -25,7 +25,7 @@
     pub fn description(self) -> &'static str {
         match self {
             Self::Member(held) => held.words(),
-            Self::UnusablePolicy => "the agreed policy can't be borne here",
+            Self::UnusablePolicy => "the agreed policy cannot be applied on this node",
         }
     }
 }
--- a/src/net/bans.rs
+++ b/src/net/bans.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Error)]
 pub enum BanError {
     /// A ban could not be saved.
-    #[error("the ban of {name} holds in this process alone: {error}")]
+    #[error("the ban of {name} is not saved and holds in this process only: {error}")]
     BanNotSaved {
         /// The server.
         name: String,
@@ -41,7 +41,7 @@
         error: io::Error,
     },
     /// The lifting of a ban could not be saved.
-    #[error("that {name} came back is known to this process alone: {error}")]
+    #[error("the return of {name} is not saved and known to this process only: {error}")]
     ReturnNotSaved {
         /// The server.
         name: String,
@@ -49,7 +49,7 @@
         error: io::Error,
     },
     /// A ban could not be lifted.
-    #[error("{name} stays out of use: {error}")]
+    #[error("the ban of {name} cannot be lifted: {error}")]
     NotLifted {
         /// The server.
         name: String,
@@ -57,7 +57,7 @@
         error: io::Error,
     },
     /// The folder could not be read.
-    #[error("bans can't be read, those known hold: {error}")]
+    #[error("bans cannot be read, known ones stay in force: {error}")]
     FolderUnreadable {
         /// The system's error.
         error: io::Error,
@@ -67,8 +67,8 @@
 impl Advice for BanError {
     fn advice(&self) -> String {
         match self {
-            Self::BanNotSaved { .. } => "ban it again after an upgrade, or make room under TMPDIR".into(),
-            Self::ReturnNotSaved { .. } => "give it back at the other process as well".into(),
+            Self::BanNotSaved { .. } => "ban it again after an upgrade, or free space under TMPDIR".into(),
+            Self::ReturnNotSaved { .. } => "enable it at the other process as well".into(),
             Self::NotLifted { .. } => {
                 "remove its file from the node's folder under TMPDIR, or call again".into()
             }
--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -30,7 +30,7 @@
 /// Why a body ended early.
 #[derive(Debug)]
 pub enum BodyError {
-    /// It came too slowly.
+    /// It arrived too slowly.
     TooSlow,
     /// It exceeds its limit.
     TooLong,
@@ -43,9 +43,9 @@
 impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooSlow => write!(f, "came too slowly"),
-            Self::TooLong => write!(f, "longer than it may be"),
-            Self::NoMemory => write!(f, "no room to pass it on"),
+            Self::TooSlow => write!(f, "arrived too slowly"),
+            Self::TooLong => write!(f, "longer than the limit"),
+            Self::NoMemory => write!(f, "no memory left to stream it"),
             Self::Connection(error) => write!(f, "{error}"),
         }
     }
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -332,7 +332,7 @@
                 socket.enter(Phase::Serving);
                 let arrival = started.elapsed();
                 if arrival >= SLOW_ARRIVAL {
-                    log::limited(|| format!("{}: took {arrival:.1?} to come", request.txn()));
+                    log::limited(|| format!("{}: request took {arrival:.1?} to arrive", request.txn()));
                 }
                 admit_and_serve(&node, request, remaining, socket.last_received()).await
             }
@@ -381,7 +381,9 @@
     fn drop(&mut self) {
         if !self.answered {
             let after = self.since.elapsed();
-            log::limited(|| format!("{}: left by its client, or out of time, after {after:.1?}", self.txn));
+            log::limited(|| {
+                format!("{}: client disconnected, or deadline passed, after {after:.1?}", self.txn)
+            });
             self.node.client_gone(self.id);
         }
     }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -129,19 +129,19 @@
             Self::FileUnreadable { .. } => {
                 "put the file there, readable for the node's user, or set another path".into()
             }
-            Self::NotJson(_) => "write the file anew, as one JSON object".into(),
+            Self::NotJson(_) => "rewrite the file as one JSON object".into(),
             Self::Field { field, .. } => match FIELD_VARIABLES.iter().find(|(_, v)| v == field) {
-                Some((name, _)) => format!("mend the variable, or unset it to have the file's {name:?}"),
+                Some((name, _)) => format!("correct the variable, or unset it to use the file's {name:?}"),
                 None if field == INHERITED_FD_VARIABLE => {
                     "pass on the listening socket that is open at that number".into()
                 }
-                None => "mend it in the configuration file".into(),
+                None => "correct it in the configuration file".into(),
             },
             Self::Missing { field } => match FIELD_VARIABLES.iter().find(|(name, _)| name == field) {
                 Some((_, variable)) => format!("add it to the configuration file, or set {variable}"),
                 None => "add it to the configuration file".into(),
             },
-            Self::Settings(_) => "mend it under \"settings\" in the configuration file".into(),
+            Self::Settings(_) => "correct it under \"settings\" in the configuration file".into(),
         }
     }
 }
@@ -362,7 +362,7 @@
 
 fn parse_sockets(count: u64) -> Result<usize, ConfigError> {
     if count < MIN_SOCKETS {
-        return Err(field_error("limits.sockets", format!("{MIN_SOCKETS} are needed at least, not {count}")));
+        return Err(field_error("limits.sockets", format!("{MIN_SOCKETS} or more expected, not {count}")));
     }
     Ok(count.min(MAX_SOCKETS) as usize)
 }
--- a/src/net/epoch_file.rs
+++ b/src/net/epoch_file.rs
@@ -35,7 +35,7 @@
         error: io::Error,
     },
     /// Its content is not what was written.
-    #[error("state_dir: {path}: damaged, left out: {reason}")]
+    #[error("state_dir: {path}: damaged, ignored: {reason}")]
     Damaged {
         /// The file.
         path: PathBuf,
@@ -43,7 +43,7 @@
         reason: &'static str,
     },
     /// It belongs to another node.
-    #[error("state_dir: {path}: of node {node:?}, left out")]
+    #[error("state_dir: {path}: of node {node:?}, ignored")]
     OtherNode {
         /// The file.
         path: PathBuf,
@@ -51,7 +51,7 @@
         node: String,
     },
     /// A newer version of the program wrote it.
-    #[error("state_dir: {path}: of form {format}, newer than {FORMAT_VERSION}, left out")]
+    #[error("state_dir: {path}: format {format} is newer than {FORMAT_VERSION}, ignored")]
     NewerFormat {
         /// The file.
         path: PathBuf,
@@ -72,9 +72,7 @@
     fn advice(&self) -> String {
         match self {
             Self::Unreadable { .. } => "let the node's user read it".into(),
-            Self::Damaged { .. } => {
-                "nothing need be done, the next epoch replaces it; look at the disk".into()
-            }
+            Self::Damaged { .. } => "nothing to do, the next epoch replaces it; check the disk".into(),
             Self::OtherNode { .. } => {
                 "give each node a state_dir of its own; nothing is saved until then".into()
             }
@@ -83,13 +81,13 @@
             }
             Self::WriteFailed { error, .. } => {
                 let remedy = match error.kind() {
-                    io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => "make room there",
+                    io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => "free space there",
                     io::ErrorKind::PermissionDenied | io::ErrorKind::ReadOnlyFilesystem => {
                         "let the node's user write there"
                     }
-                    _ => "look at the folder and its disk",
+                    _ => "check the folder and its disk",
                 };
-                format!("{remedy}; the node serves on and tries again")
+                format!("{remedy}; the node keeps serving and tries again")
             }
         }
     }
@@ -167,10 +165,10 @@
             Some(format) if format > FORMAT_VERSION => {
                 return Err(EpochFileError::NewerFormat { path: path(), format })
             }
-            _ => return Err(damaged("of no form")),
+            _ => return Err(damaged("no known format")),
         }
         if head.next() != Some(&format!("{:016x}", xxh3_64(json.as_bytes()))) {
-            return Err(damaged("its hash is another"));
+            return Err(damaged("hash mismatch"));
         }
         let content: Content = serde_json::from_str(json).map_err(|_| damaged("not JSON as expected"))?;
         if content.node != self.node {
@@ -261,7 +259,7 @@
         let temp = folder.join(format!("{TEMP_PREFIX}{}", std::process::id()));
         std::os::unix::fs::symlink("/dev/full", temp).expect("a link");
         let error = epoch_file.write(&saved(2)).expect_err("no room");
-        assert!(error.line().contains("make room"), "{}", error.line());
+        assert!(error.line().contains("free space"), "{}", error.line());
         assert_eq!(epoch_file.read().expect("whole"), Some(saved(1)));
     }
 
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -48,9 +48,11 @@
     fn advice(&self) -> String {
         match self {
             Self::Bind { error, .. } if error.kind() == io::ErrorKind::AddrInUse => {
-                "end what listens there, or name another port".into()
+                "stop the process that listens there, or name another port".into()
+            }
+            Self::Bind { .. } => {
+                "name an address of this machine and a port that the node's user may bind".into()
             }
-            Self::Bind { .. } => "name an address of this machine and a port that its user may have".into(),
             Self::Inherited { .. } => "pass on the listening socket that is open at that number".into(),
             Self::Runtime { .. } => "allow the process more descriptors".into(),
         }
--- a/src/net/membership.rs
+++ b/src/net/membership.rs
@@ -51,7 +51,7 @@
     #[error("policy: {0}")]
     Policy(#[from] PolicyError),
     /// It allows more open requests than this process has capacity for.
-    #[error("Limits.OpenCap: {requested} is more than the {capacity} that this node has room for")]
+    #[error("Limits.OpenCap: {requested} is more than this node's capacity of {capacity}")]
     OpenCap {
         /// The limit in the policy.
         requested: usize,
@@ -64,7 +64,9 @@
     fn advice(&self) -> String {
         match self {
             Self::Policy(error) => error.advice().into(),
-            Self::OpenCap { .. } => "propose less, or give the node more descriptors and memory".into(),
+            Self::OpenCap { .. } => {
+                "propose a lower limit, or give the node more descriptors and memory".into()
+            }
         }
     }
 }
@@ -309,7 +311,7 @@
                 }
                 // The policy of a check is read again when its change takes effect.
                 Effect::Discard(change) => {
-                    log::line(format!("change {} was aborted, it takes hold nowhere", change.0))
+                    log::line(format!("change {} was aborted and takes effect on no node", change.0))
                 }
                 Effect::BeatNow => self.heartbeat_due.notify_one(),
                 Effect::Tell(text) => log::line(text),
@@ -336,11 +338,14 @@
                 }
                 Err(error) => {
                     self.admission.policy_unusable.set(true);
-                    return log::line(format!("epoch {epoch} can't be judged by: {}", error.line()));
+                    return log::line(format!(
+                        "epoch {epoch} cannot be applied on this node: {}",
+                        error.line()
+                    ));
                 }
             }
         }
-        log::line(format!("judges by epoch {epoch}"));
+        log::line(format!("applies epoch {epoch}"));
     }
 
     // ---- The disk ----
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -490,7 +490,10 @@
                 let evidence = own.map_or("too few attempts of late".to_owned(), |own| {
                     votes::describe_evidence(own.evidence)
                 });
-                log::line(format!("{name} {change} (version {}); from here: {evidence}", votes.version()));
+                log::line(format!(
+                    "{name} {change} (version {}); this node counted {evidence}",
+                    votes.version()
+                ));
             }
             rulings
         };
@@ -809,7 +812,10 @@
     /// service may have been there in between. The time after which an older list counts runs from this call.
     pub fn change_discovery(self: &Rc<Self>, to: SocketAddr) {
         let from = self.discovery_addr.replace(to);
-        log::line(format!("discovery: {} {to}", if from == to { "asked anew at" } else { "moved to" }));
+        log::line(format!(
+            "discovery: {} {to}",
+            if from == to { "subscribing again at" } else { "moved to" }
+        ));
         self.handle_discovery(endpoints::Event::Moved);
     }
 
@@ -847,7 +853,10 @@
         let state = listed_state(host.health);
         let before = servers.get(&server);
         if let Some(other) = before.filter(|b| b.name != host.host) {
-            log::line(format!("discovery: {} and {} have one number, left out", other.name, host.host));
+            log::line(format!(
+                "discovery: {} and {} have the same number, the second is ignored",
+                other.name, host.host
+            ));
             return None;
         }
         let addr = host.dial.or(before.map(|b| b.addr));
--- a/src/net/replica.rs
+++ b/src/net/replica.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Error)]
 pub enum CallError {
     /// The connection could not be made.
-    #[error("control: {at}: not reached: {error}")]
+    #[error("control: {at}: cannot connect: {error}")]
     ConnectFailed {
         /// The replica.
         at: SocketAddr,
@@ -40,13 +40,13 @@
         error: std::io::Error,
     },
     /// There was no response in time, or the watch stopped sending.
-    #[error("control: {at}: silent")]
+    #[error("control: {at}: no response in time")]
     TimedOut {
         /// The replica.
         at: SocketAddr,
     },
     /// The connection failed during the call.
-    #[error("control: {at}: broke off: {reason}")]
+    #[error("control: {at}: connection failed: {reason}")]
     ConnectionFailed {
         /// The replica.
         at: SocketAddr,
@@ -54,7 +54,7 @@
         reason: String,
     },
     /// The replica is not the leader.
-    #[error("control: {at}: does not lead, {leader} should")]
+    #[error("control: {at}: not the leader, names {leader} as leader")]
     NotLeader {
         /// The replica.
         at: SocketAddr,
@@ -72,7 +72,7 @@
         reason: String,
     },
     /// The response does not follow the protocol.
-    #[error("control: {at}: not understood: {reason}")]
+    #[error("control: {at}: unreadable response: {reason}")]
     Unreadable {
         /// The replica.
         at: SocketAddr,
@@ -85,16 +85,16 @@
     fn advice(&self) -> String {
         match self {
             Self::ConnectFailed { .. } | Self::TimedOut { .. } | Self::ConnectionFailed { .. } => {
-                "see whether that replica runs and can be reached; others are tried".into()
+                "check whether that replica runs and can be reached; others are tried".into()
             }
             Self::NotLeader { .. } => {
-                "the leader is sought; if this goes on, see whether that replica runs".into()
+                "the node looks for the leader; if this goes on, check whether that replica runs".into()
             }
             Self::Refused { status, .. } if status.is_server_error() => {
-                "see whether most replicas run; others are tried".into()
+                "check whether a majority of replicas runs; others are tried".into()
             }
             Self::Refused { .. } => "do what it says; the node tries again".into(),
-            Self::Unreadable { .. } => "see whether a replica of the same version listens there".into(),
+            Self::Unreadable { .. } => "check whether a replica of the same version listens there".into(),
         }
     }
 }
@@ -167,7 +167,7 @@
             Some(NotLeader { error, .. }) => {
                 CallError::Refused { at, status, reason: error.chars().take(MAX_REASON_CHARS).collect() }
             }
-            None => CallError::Refused { at, status, reason: "no words".into() },
+            None => CallError::Refused { at, status, reason: "no reason given".into() },
         }
     }
 
--- a/src/net/servers.rs
+++ b/src/net/servers.rs
@@ -160,8 +160,8 @@
                 ended_with(Outcome::NotSent)
             }
             Some(Err(ExchangeError::Connection)) if all_sent => {
-                let kind = if reused { "kept" } else { "new" };
-                log::limited(|| format!("{kind} connection to {addr}, {idle:.1?} idle, broke"));
+                let kind = if reused { "reused" } else { "new" };
+                log::limited(|| format!("{kind} connection to {addr} broke after {idle:.1?} idle"));
                 ended_with(Outcome::Reset)
             }
             Some(Err(ExchangeError::Malformed)) if all_sent => ended_with(Outcome::Error),
@@ -236,7 +236,7 @@
                 (Outcome::Full, None, None)
             }
             (status, _) => {
-                log::limited(|| format!("answered {status}"));
+                log::limited(|| format!("server responded with status {status}"));
                 // The request has an id that no client sent. No server would accept it, and none is at fault.
                 let request_at_fault = status == StatusCode::BAD_REQUEST;
                 (if request_at_fault { Outcome::Cancelled } else { Outcome::Error }, None, None)
@@ -257,7 +257,7 @@
 
 impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> Self {
-        log::limited(|| format!("answer not read: {error:?}"));
+        log::limited(|| format!("response not read: {error:?}"));
         // hyper reports invalid chunks as an I/O error of its own; the server is still running.
         let invalid =
             |e: &io::Error| matches!(e.kind(), io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData);
--- a/src/net/votes.rs
+++ b/src/net/votes.rs
@@ -39,7 +39,7 @@
         f.write_str(match self {
             Self::Removed => "is removed by votes",
             Self::Probed => "is removed by votes, and probed from here",
-            Self::Lifted => "is back: no verdict on it holds any more",
+            Self::Lifted => "is back: no verdict applies to it any more",
         })
     }
 }
@@ -153,7 +153,7 @@
 pub fn describe_evidence(evidence: Evidence) -> String {
     let Evidence { attempts, connects, breaks, timeouts, errors } = evidence;
     format!(
-        "{attempts} attempts, {} failed ({connects} not connected, {breaks} broke, {timeouts} late, {errors} errors)",
+        "{attempts} attempts, {} failed ({connects} failed connects, {breaks} broken connections, {timeouts} timeouts, {errors} errors)",
         evidence.failed()
     )
 }
--- a/tests/agreed.rs
+++ b/tests/agreed.rs
@@ -87,7 +87,7 @@
     assert_eq!((heard.status(), heard.header("x-policy-epoch")), (200, Some("0")), "it was tried again");
     group.stage(json!({"Limits": {"AttemptsCap": 2}}));
     group.end(false);
-    until("the abort is known", || node.logged("takes hold nowhere"));
+    until("the abort is known", || node.logged("takes effect on no node"));
     assert_eq!(ask(&node, "t2"), (200, Some(1)));
     assert_eq!(figure(&node, "policy.epoch"), 1);
 }
@@ -120,7 +120,7 @@
     group.end(true);
     let (_registry, config) = member(&group);
     let node = Node::listening(&config, None);
-    until("it says why", || node.logged("epoch 1 can't be judged by: ") && node.logged("nobody"));
+    until("it says why", || node.logged("epoch 1 cannot be applied on this node: ") && node.logged("nobody"));
     assert_eq!((ask(&node, "t1"), node.call("GET /ready").0), ((503, None), 503));
     group.change(json!({}));
     until_served(&node, 2);
@@ -248,7 +248,7 @@
     std::fs::write(&file, saved().replace("\"epoch\":1", "\"epoch\":7")).expect("spoilt");
     let start = Instant::now();
     let node = Node::listening(&config, None);
-    until("it is named", || node.logged("damaged, left out"));
+    until("it is named", || node.logged("damaged, ignored"));
     until("the saved epoch would be due", || start.elapsed() > Duration::from_millis(800));
     assert_eq!(ask(&node, "t1"), (503, None));
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -57,7 +57,7 @@
 fn leaves(node: &Node, client: Client, way: Leave, txn: &str) {
     let left = Instant::now();
     let rest = client.leave(way);
-    until("the node knows", || node.logged(&format!("{txn}: left by its client")));
+    until("the node knows", || node.logged(&format!("{txn}: client disconnected")));
     assert!(left.elapsed() < Duration::from_secs(5) + node.withheld(), "{:?}", left.elapsed());
     if let Some(mut rest) = rest {
         assert_eq!(rest.rest().0, b"", "{txn} {way:?}: there is no answer for who has gone");
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -617,7 +617,7 @@
     /// The epochs that it has judged by, in their order.
     pub fn epochs(&self) -> Vec<u64> {
         let lines = self.log.lock().expect("no panic");
-        let epoch = |l: &String| l.split_once("judges by epoch ")?.1.parse().ok();
+        let epoch = |l: &String| l.split_once("applies epoch ")?.1.parse().ok();
         lines.iter().filter_map(epoch).collect()
     }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -217,7 +217,7 @@
             let (code, words) = run(settings);
             let named = words.starts_with(&format!("glenwood: settings: {field}"));
             assert!(
-                code == Some(1) && named && words.contains("; mend it under"),
+                code == Some(1) && named && words.contains("; correct it under"),
                 "{field} {bad}: {code:?} {words}"
             );
             assert_eq!(words.trim().lines().count(), 1, "{words}");
