--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -309,7 +309,7 @@
                 }
             }
         }
-        // It was evicted meanwhile.
+        // The descriptor is needed at once.
         socket.close_now();
     }
 }
