--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -2,12 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use endpoints::{Book, Health, Update};
+use endpoints::{Health, ListState, Update};
 use member::Stamp;
 use serde_json::Value;
-use tulipmount::wire::{told, Told};
+use tulipmount::wire::{parse_settings, NodeSettings};
 use tulipmount::{
-    Action, Balancer, Ballots, Entry, Event, Listed, Outcome, RequestId, Ruling, ServerId, Status,
+    Action, Balancer, BallotReport, Entry, Event, Outcome, RequestId, ServerId, ServerState, ServerVerdict,
+    Status,
 };
 
 use crate::draw::ms;
@@ -75,7 +76,7 @@
 
 /// A node.
 pub struct Node {
-    told: Told,
+    told: NodeSettings,
     balancer: Balancer,
     requests: BTreeMap<RequestId, Open>,
     /// Kept connections by server, each with its life and since when it has been idle.
@@ -84,7 +85,7 @@
     /// The newest answer of the control group: its stamp, and the servers that it asks about.
     pub answer: Option<(Stamp, Vec<String>)>,
     zones: Vec<String>,
-    book: Book,
+    list: ListState,
     /// The calls for the list that were begun.
     calls: u64,
     watching: bool,
@@ -107,7 +108,7 @@
     /// # Errors
     /// Where the settings are refused.
     pub fn new(settings: &Value, seed: u64, zones: &[String]) -> Result<Self, ModelError> {
-        let told = told(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
+        let told = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
         let balancer =
             Balancer::new(told.settings.clone(), seed).map_err(|e| ModelError::Settings(e.to_string()))?;
         Ok(Self {
@@ -118,7 +119,7 @@
             servers: BTreeMap::new(),
             answer: None,
             zones: zones.to_vec(),
-            book: Book::new(None),
+            list: ListState::new(None),
             calls: 0,
             watching: false,
             ready: false,
@@ -148,12 +149,12 @@
 
     /// The newest version of its list that counts.
     pub fn version(&self) -> u64 {
-        self.book.version()
+        self.list.version()
     }
 
     /// When an older list that stays is to be asked for again.
     pub fn confirm_at(&self) -> Option<Us> {
-        self.book.confirm_at().map(|at| at * 1000)
+        self.list.rollback_confirm_at().map(|at| at * 1000)
     }
 
     /// Is anything open?
@@ -188,8 +189,8 @@
                             events.push_back(ended);
                         }
                     }
-                    Action::Refuse { id, stay_away } => {
-                        let after = (stay_away > 0.0).then(|| ms(stay_away));
+                    Action::Refuse { id, retry_after } => {
+                        let after = (retry_after > 0.0).then(|| ms(retry_after));
                         wants.extend(self.answer(id, 503, after, None));
                     }
                     Action::Fail(id) => wants.extend(self.answer(id, 502, None, None)),
@@ -235,7 +236,14 @@
         finished: bool,
     ) -> Option<Event> {
         let out = self.requests.get(&id)?.tries.get(attempt)?;
-        Some(Event::Ended { id, attempt, server: out.id, outcome, took: millis(now - out.sent), finished })
+        Some(Event::AttemptEnded {
+            id,
+            attempt,
+            server: out.id,
+            outcome,
+            elapsed: millis(now - out.sent),
+            answered: finished,
+        })
     }
 
     /// A client's request.
@@ -252,9 +260,9 @@
                 class: asked.class,
                 tenant: None,
                 deadline,
-                coming: false,
-                again: asked.again,
-                work: Some(asked.guess / 1e3),
+                streaming_body: false,
+                is_retry: asked.again,
+                estimated_work: Some(asked.guess / 1e3),
             },
         )
     }
@@ -287,7 +295,7 @@
 
     /// An attempt ended, if it was still out.
     pub fn ended(&mut self, now: Us, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Want> {
-        if matches!(outcome, Outcome::Done | Outcome::Full | Outcome::Error) {
+        if matches!(outcome, Outcome::Success | Outcome::Rejected | Outcome::Error) {
             return self.heard(now, id, attempt, outcome);
         }
         let Some((closed, ended)) = self.close(now, id, attempt, outcome) else { return Vec::new() };
@@ -305,7 +313,7 @@
         let mut wants = Vec::new();
         if let Some((number, (server, life))) = written {
             self.idle.entry(server).or_default().push((life, now));
-            if outcome == Outcome::Done {
+            if outcome == Outcome::Success {
                 wants.extend(self.answer(id, 200, None, Some(number)));
             }
         }
@@ -319,7 +327,7 @@
     // ---- The control group ----
 
     /// What it holds of its servers, by their numbers.
-    pub fn ballots(&self) -> (Ballots, &BTreeMap<ServerId, usize>) {
+    pub fn ballots(&self) -> (BallotReport, &BTreeMap<ServerId, usize>) {
         (self.balancer.ballots(), &self.servers)
     }
 
@@ -328,14 +336,14 @@
     /// # Errors
     /// Where the settings are refused.
     pub fn agreed(&mut self, now: Us, settings: &Value) -> Result<Vec<Want>, ModelError> {
-        self.told = told(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
+        self.told = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
         let settings = self.told.settings.clone();
         Ok(self.feed(now, Event::Policy(Box::new(settings))))
     }
 
     /// The group's word: servers that are removed for this node, and whether it probes them.
     pub fn ruled<'a>(&mut self, now: Us, of: impl Iterator<Item = (&'a str, bool)>) -> Vec<Want> {
-        let rulings = of.map(|(name, probe)| Ruling { server: number(name), probe }).collect();
+        let rulings = of.map(|(name, probe)| ServerVerdict { server: number(name), probe }).collect();
         self.feed(now, Event::Verdicts(rulings))
     }
 
@@ -400,19 +408,19 @@
 
     /// The whole list at its start.
     pub fn begin(&mut self, now: Us, saved: Update) -> Vec<Want> {
-        self.book = Book::new(Some(&saved));
+        self.list = ListState::new(Some(&saved));
         self.ready = true;
         self.news(now, saved, true)
     }
 
     /// A list or its changes come; true where only the whole list shows what was left out of them.
     pub fn told(&mut self, now: Us, update: Update) -> (Vec<Want>, bool) {
-        let taken = self.book.take(update, self.calls, now / 1000);
-        let wants = match taken.news {
+        let outcome = self.list.apply(update, self.calls, now / 1000);
+        let wants = match outcome.accepted {
             Some(news) => self.news(now, news, false),
             None => self.alive(now),
         };
-        (wants, taken.ask_whole)
+        (wants, outcome.needs_full_list)
     }
 
     /// What is to be believed of the list. Connections of a process that is gone have ended with it.
@@ -420,16 +428,16 @@
         let entries = update.hosts.iter().map(|host| {
             let server = number(&host.host);
             let state = match host.health {
-                Health::Active => Listed::Up,
-                Health::Leaving => Listed::Draining,
-                Health::Left => Listed::Gone,
+                Health::Active => ServerState::Up,
+                Health::Leaving => ServerState::Draining,
+                Health::Left => ServerState::Gone,
             };
             if let Some(dial) = host.dial {
                 self.servers.insert(server, usize::from(dial.port()) - 1);
             }
             let zone = self.zones.iter().position(|z| *z == host.zone).unwrap_or(0) as u64;
             let started = (host.born_ms > 0.0).then_some(host.born_ms);
-            Entry { server, zone, cell: host.cell, kind: 0, state, weight: host.weight, started }
+            Entry { server, zone, cell: host.cell, kind: 0, state, weight: host.weight, started_at: started }
         });
         let entries = entries.collect();
         self.feed(now, if update.whole { Event::List { entries, saved } } else { Event::ListChange(entries) })
--- a/src/main.rs
+++ b/src/main.rs
@@ -181,7 +181,7 @@
     let stop_requested = Instant::now();
     node.stopping_since.set(Some(stop_requested));
     let max_deadline =
-        Duration::try_from_secs_f64(node.config.node_settings.longest / 1000.0).unwrap_or(MAX_DEADLINE);
+        Duration::try_from_secs_f64(node.config.node_settings.max_deadline / 1000.0).unwrap_or(MAX_DEADLINE);
     let kill_at = stop_requested + max_deadline.min(MAX_DEADLINE) + KILL_MARGIN;
     let mut close_idle_at = stop_requested;
     clients.serve_waiting();
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-use member::{Epoch, Held, Member, MemberConfig, Millis, Process, Saved, Start};
+use member::{AdmissionError, Epoch, Member, MemberConfig, Millis, Process, SavedEpoch, StartMode};
 
 use super::config::Config;
 use super::listen::{self, ListenError};
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
     /// This process may not, as a member of its fleet.
-    Member(Held),
+    Member(AdmissionError),
     /// The agreed policy does not fit this process, which started after the change with other settings.
     UnusablePolicy,
 }
@@ -24,7 +24,7 @@
     /// The reason in a few words, for the log.
     pub fn description(self) -> &'static str {
         match self {
-            Self::Member(held) => held.words(),
+            Self::Member(error) => error.description(),
             Self::UnusablePolicy => "the agreed policy cannot be applied on this node",
         }
     }
@@ -43,12 +43,16 @@
 }
 
 impl Admission {
-    /// A process that has just started. `saved` is what its disk holds, and `start` how it comes to its first
+    /// A process that has just started. `saved` is what its disk holds, and `start_mode` how it comes to its first
     /// epoch.
     ///
     /// # Errors
     /// A [`ListenError`] if no other port of its address can be listened at.
-    pub fn new(config: &Config, first_epoch: Start, saved: Option<Saved>) -> Result<Self, ListenError> {
+    pub fn new(
+        config: &Config,
+        start_mode: StartMode,
+        saved: Option<SavedEpoch>,
+    ) -> Result<Self, ListenError> {
         let liveness = listen::bind("control", SocketAddr::new(config.listen.ip(), 0))?;
         let liveness_addr =
             liveness.local_addr().map_err(|error| ListenError::Runtime { field: "control", error })?;
@@ -57,9 +61,9 @@
         let boot = RandomState::new().hash_one((config.seed, std::process::id(), started));
         let member = MemberConfig {
             process: Process { name: config.name.clone(), boot },
-            life: liveness_addr,
-            beside: config.inherited_fd.is_some(),
-            start: first_epoch,
+            liveness_addr,
+            coexists_with_previous: config.inherited_fd.is_some(),
+            start_mode,
         };
         let member = RefCell::new(Member::new(member, saved, 0.0));
         Ok(Self { member, policy_unusable: Cell::new(false), started, _liveness_listener: liveness })
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -22,7 +22,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, Notify};
 use tokio::time::timeout;
-use tulipmount::{Effect, Millis, RequestId};
+use tulipmount::{Idempotency, Millis, RequestId};
 
 use super::bodies::{
     receive, BodyError, BodyKind, BodyLimits, BodyState, LimitedBody, OutgoingBody, ReceivedBody,
@@ -356,7 +356,8 @@
 /// Whether the request asks for the node's readiness. A class may have the same name; its requests have an id.
 fn asks_readiness(node: &Node, request: &Request<Incoming>) -> bool {
     let for_class = || {
-        request.headers().contains_key(TXN) && node.config.node_settings.classes.iter().any(|c| c == "ready")
+        request.headers().contains_key(TXN)
+            && node.config.node_settings.class_names.iter().any(|c| c == "ready")
     };
     request.uri().path() == "/ready" && !for_class()
 }
@@ -552,15 +553,16 @@
     }
     // The class name is literal or percent-encoded; no class has an empty name.
     let name = parts.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let class = |name: &str| settings.classes.iter().position(|c| c == name);
+    let class = |name: &str| settings.class_names.iter().position(|c| c == name);
     let decoded = || class(&percent_decode_str(name).decode_utf8().ok()?);
     let class = class(name).or_else(decoded).ok_or_else(|| reject_unread(StatusCode::NOT_FOUND))?;
-    let checked = check_headers(&parts.method, &parts.headers, settings.settings.classes[class].effect);
+    let checked = check_headers(&parts.method, &parts.headers, settings.settings.classes[class].idempotency);
     let remaining = checked.map_err(|rejection| reject_unread(rejection.status))?;
     // A tenant's name may have non-ASCII letters. A repeated header counts as none.
     let mut orgs = parts.headers.get_all(&TENANT).iter();
     let org = orgs.next().filter(|_| orgs.next().is_none());
-    let tenant = org.and_then(|org| settings.tenants.iter().position(|t| t.as_bytes() == org.as_bytes()));
+    let tenant =
+        org.and_then(|org| settings.tenant_names.iter().position(|t| t.as_bytes() == org.as_bytes()));
     let mut uri = Uri::builder();
     if let Some(path) = parts.uri.path_and_query() {
         uri = uri.path_and_query(path.clone());
@@ -603,15 +605,19 @@
 }
 
 /// Checks the headers that a request must have, and returns the time that it has left.
-fn check_headers(method: &Method, headers: &HeaderMap, effect: Effect) -> Result<Duration, Rejection> {
+fn check_headers(
+    method: &Method,
+    headers: &HeaderMap,
+    idempotency: Idempotency,
+) -> Result<Duration, Rejection> {
     token(header(headers, &TXN)?)?;
     let remaining = header(headers, &REMAINING_MS)?.filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     let remaining = remaining.and_then(|v| v.parse::<u64>().ok()).ok_or(StatusCode::BAD_REQUEST)?;
-    let expected = if effect == Effect::Safe { Method::GET } else { Method::POST };
+    let expected = if idempotency == Idempotency::Safe { Method::GET } else { Method::POST };
     if *method != expected {
         return Err(StatusCode::BAD_REQUEST.into());
     }
-    if matches!(effect, Effect::Keyed { .. }) {
+    if matches!(idempotency, Idempotency::Keyed { .. }) {
         token(header(headers, &IDEMPOTENCY_KEY)?)?;
     }
     Ok(Duration::from_millis(remaining.min(MAX_REMAINING_MS)))
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -9,13 +9,13 @@
 use std::path::PathBuf;
 
 use endpoints::Update;
-use member::votes::SERVER_MOST;
-use member::Start;
+use member::votes::MAX_NAME_BYTES;
+use member::StartMode;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 use thiserror::Error;
-use tulipmount::wire::{told as parse_settings, Told};
+use tulipmount::wire::{parse_settings, NodeSettings};
 
 use super::advice::Advice;
 
@@ -40,7 +40,7 @@
     /// The saved list of servers, if there is one.
     pub saved_list: Option<Update>,
     /// The settings of the node and its decision module.
-    pub node_settings: Told,
+    pub node_settings: NodeSettings,
     /// The control group whose policy the node follows, if there is one.
     pub control: Option<Control>,
 }
@@ -50,7 +50,7 @@
     /// The addresses of the replicas.
     pub replicas: Vec<SocketAddr>,
     /// How the node comes to its first epoch.
-    pub start: Start,
+    pub start: StartMode,
     /// The folder in which it saves the epoch in force, if there is one.
     pub state_dir: Option<PathBuf>,
     /// The node's own zone. Verdicts for single zones hold only on a node that names its zone.
@@ -278,7 +278,7 @@
     let fields: FileFields = deserialize(file, &env)?;
     let missing = |field| ConfigError::Missing { field };
     let limits = fields.limits.unwrap_or_default();
-    let saved_list = fields.known.map(Update::checked).transpose();
+    let saved_list = fields.known.map(Update::validated).transpose();
     let Address(listen) = fields.listen.ok_or(missing("listen"))?;
     let discovery = discovery_addr(fields.discovery)?;
     let HexNumber(seed) = fields.seed.ok_or(missing("seed"))?;
@@ -322,13 +322,13 @@
         let reason = format!("0 to {MAX_SAVED_AFTER_MS} expected, not {after_ms}");
         return Err(field_error("control.saved_after_ms", reason));
     }
-    if let Some(zone) = fields.zone.as_ref().filter(|zone| !(1..=SERVER_MOST).contains(&zone.len())) {
-        let reason = format!("a name of 1 to {SERVER_MOST} bytes expected, not one of {}", zone.len());
+    if let Some(zone) = fields.zone.as_ref().filter(|zone| !(1..=MAX_NAME_BYTES).contains(&zone.len())) {
+        let reason = format!("a name of 1 to {MAX_NAME_BYTES} bytes expected, not one of {}", zone.len());
         return Err(field_error("control.zone", reason));
     }
     let start = match fields.start {
-        StartField::Wait => Start::Wait,
-        StartField::Saved if state_dir.is_some() => Start::Saved { after_ms },
+        StartField::Wait => StartMode::Wait,
+        StartField::Saved if state_dir.is_some() => StartMode::UseSaved { after_ms },
         StartField::Saved => {
             return Err(field_error("state_dir", "missing, and control.start is \"saved\"".into()))
         }
@@ -410,10 +410,10 @@
         let at = json!(["127.0.0.1:9301"]);
         let control = |c| parse_with(c, json!("/state")).map(|c| c.control.expect("configured"));
         assert!(parse_with(Value::Null, json!("/state")).expect("good").control.is_none());
-        assert_eq!(control(json!({"replicas": at})).expect("good").start, Start::Wait);
+        assert_eq!(control(json!({"replicas": at})).expect("good").start, StartMode::Wait);
         let saved = json!({"replicas": at, "start": "saved", "saved_after_ms": 500, "zone": "a"});
         let saved = control(saved).expect("good");
-        assert_eq!((saved.start, saved.replicas.len()), (Start::Saved { after_ms: 500.0 }, 1));
+        assert_eq!((saved.start, saved.replicas.len()), (StartMode::UseSaved { after_ms: 500.0 }, 1));
         assert_eq!(saved.zone.as_deref(), Some("a"));
         for (field, invalid) in [
             ("control.replicas", json!({"replicas": []})),
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -17,8 +17,8 @@
 /// Requests a path on a connection of its own, which is closed with the call.
 pub async fn call(node: Rc<Node>, id: CallId, path: String) {
     match read_response(&node, id, &path).await {
-        Ok(()) => node.handle_discovery(Event::Ended(id)),
-        Err(error) => node.handle_discovery(Event::Broke(id, &error.to_string())),
+        Ok(()) => node.handle_discovery(Event::ResponseEnded(id)),
+        Err(error) => node.handle_discovery(Event::CallFailed(id, &error.to_string())),
     }
 }
 
@@ -34,10 +34,10 @@
     let request = Request::get(path).header("host", address.to_string()).body(Empty::<Bytes>::new())?;
     node.handle_discovery(Event::Connected(id));
     let mut response = sender.send_request(request).await?;
-    node.handle_discovery(Event::Head(id, response.status().as_u16()));
+    node.handle_discovery(Event::ResponseHead(id, response.status().as_u16()));
     while let Some(frame) = response.frame().await {
         if let Ok(data) = frame?.into_data() {
-            node.handle_discovery(Event::Bytes(id, &data));
+            node.handle_discovery(Event::ResponseBytes(id, &data));
         }
     }
     Ok(())
--- a/src/net/epoch_file.rs
+++ b/src/net/epoch_file.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use member::Saved;
+use member::SavedEpoch;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
@@ -98,7 +98,7 @@
 struct Content {
     node: String,
     #[serde(flatten)]
-    saved: Saved,
+    saved: SavedEpoch,
 }
 
 /// The file of one node.
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// An [`EpochFileError`] if there is a file that cannot be used.
-    pub fn read(&self) -> Result<Option<Saved>, EpochFileError> {
+    pub fn read(&self) -> Result<Option<SavedEpoch>, EpochFileError> {
         self.remove_temp_files();
         let mut bytes = Vec::new();
         match File::open(&self.path).and_then(|file| file.take(MAX_FILE_BYTES).read_to_end(&mut bytes)) {
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     /// [`EpochFileError::WriteFailed`]; the epoch saved before is then still there.
-    pub fn write(&self, saved: &Saved) -> Result<(), EpochFileError> {
+    pub fn write(&self, saved: &SavedEpoch) -> Result<(), EpochFileError> {
         let content = Content { node: self.node.clone(), saved: saved.clone() };
         let temp = self.path.with_file_name(format!("{TEMP_PREFIX}{}", std::process::id()));
         let write = || {
@@ -151,7 +151,7 @@
         })
     }
 
-    fn decode(&self, bytes: &[u8]) -> Result<Saved, EpochFileError> {
+    fn decode(&self, bytes: &[u8]) -> Result<SavedEpoch, EpochFileError> {
         let path = || self.path.clone();
         let damaged = |reason| EpochFileError::Damaged { path: path(), reason };
         let text = std::str::from_utf8(bytes).map_err(|_| damaged("not text"))?;
@@ -203,9 +203,9 @@
         folder
     }
 
-    fn saved(epoch: u64) -> Saved {
+    fn saved(epoch: u64) -> SavedEpoch {
         let policy = json!({"Limits": {"OpenCap": 7}}).as_object().expect("an object").clone();
-        Saved { epoch, policy: Policy(policy), fenced: epoch > 1 }
+        SavedEpoch { epoch, policy: Policy(policy), fenced: epoch > 1 }
     }
 
     #[test]
--- a/src/net/membership.rs
+++ b/src/net/membership.rs
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 use member::policy::PolicyError;
-use member::{Answer, Effect, Epoch, Member, Millis, Policy, Saved};
+use member::{Effect, Epoch, HeartbeatReply, Member, Millis, Policy, SavedEpoch};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::SplitMix64;
 use thiserror::Error;
 use tokio::sync::Notify;
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
-use tulipmount::wire::{with_policy, Told};
+use tulipmount::wire::{settings_with_policy, NodeSettings};
 
 use super::admission::Admission;
 use super::advice::Advice;
@@ -144,7 +144,7 @@
     /// The session has ended.
     session_ended: Notify,
     /// The state to be saved next.
-    unsaved: RefCell<Option<Saved>>,
+    unsaved: RefCell<Option<SavedEpoch>>,
     save_requested: Notify,
     rng: RefCell<SplitMix64>,
     /// When a failed call was last logged.
@@ -155,14 +155,14 @@
     /// Closes the session; no new requests are taken from now on. Returns once the leader has confirmed, or at
     /// `deadline`.
     pub async fn leave(&self, deadline: Instant) {
-        self.step(Member::bye);
+        self.step(Member::leave);
         if !self.superseded() {
             let _ = timeout_at(deadline.into(), self.session_ended.notified()).await;
         }
     }
 
     fn superseded(&self) -> bool {
-        self.admission.member.borrow().superseded()
+        self.admission.member.borrow().is_superseded()
     }
 
     // ---- Calls ----
@@ -176,12 +176,13 @@
             let reused = connection.as_ref().is_some_and(|c| c.at() == at);
             let result = timeout(HEARTBEAT_TIMEOUT, self.send_heartbeat(&mut connection, at)).await;
             match result.unwrap_or(Err(CallError::TimedOut { at })) {
-                Ok((sent, voted, mut answer)) => {
+                Ok((sent, voted, mut reply)) => {
                     (redirects, failures) = (0, 0);
-                    let (wanted, verdicts) = (std::mem::take(&mut answer.asked), answer.verdicts.take());
-                    self.step(|member, now| member.answered(sent, answer, now));
+                    let (queried, verdicts) =
+                        (std::mem::take(&mut reply.queried_servers), reply.verdicts.take());
+                    self.step(|member, now| member.on_reply(sent, reply, now));
                     if voted {
-                        self.node.leader_answered(self.control.zone.as_deref(), wanted, verdicts);
+                        self.node.leader_answered(self.control.zone.as_deref(), queried, verdicts);
                     }
                     self.until_heartbeat_due().await;
                 }
@@ -211,22 +212,22 @@
         &self,
         connection: &mut Option<ReplicaConnection>,
         at: SocketAddr,
-    ) -> Result<(Millis, bool, Answer), CallError> {
+    ) -> Result<(Millis, bool, HeartbeatReply), CallError> {
         let connection = match connection.take() {
             Some(kept) if kept.at() == at => connection.insert(kept),
             _ => connection.insert(ReplicaConnection::connect(at).await?),
         };
         let sent = self.admission.now();
-        let mut heartbeat = self.admission.member.borrow_mut().beat(sent);
-        if !heartbeat.bye {
-            (heartbeat.votes, heartbeat.verdicts) =
+        let mut heartbeat = self.admission.member.borrow_mut().heartbeat(sent);
+        if !heartbeat.leaving {
+            (heartbeat.vote_report, heartbeat.verdicts_version) =
                 self.node.heartbeat_votes(self.control.zone.as_deref()).unzip();
         }
-        Ok((sent, heartbeat.votes.is_some(), connection.send_heartbeat(&heartbeat).await?))
+        Ok((sent, heartbeat.vote_report.is_some(), connection.send_heartbeat(&heartbeat).await?))
     }
 
     async fn until_heartbeat_due(&self) {
-        let at = self.admission.instant(self.admission.member.borrow().next_beat());
+        let at = self.admission.instant(self.admission.member.borrow().next_heartbeat_at());
         tokio::select! {
             () = sleep_until(at.into()) => {}
             () = self.heartbeat_due.notified() => {}
@@ -247,12 +248,12 @@
 
     async fn watch(&self, at: SocketAddr, from: &mut u64, failures: &mut u32) -> Result<(), CallError> {
         let mut watch = Watch::open(at, *from).await?;
-        while let Some(update) = watch.next().await? {
-            (*from, *failures) = (update.version, 0);
-            if let Some(agreed) = update.agreed {
-                self.step(|member, now| member.news(agreed, now));
+        while let Some(event) = watch.next().await? {
+            (*from, *failures) = (event.version, 0);
+            if let Some(state) = event.agreed_state {
+                self.step(|member, now| member.on_agreed_state(state, now));
             }
-            if let Some(verdicts) = update.verdicts {
+            if let Some(verdicts) = event.verdicts {
                 self.node.verdicts_reported(self.control.zone.as_deref(), verdicts);
             }
         }
@@ -286,10 +287,10 @@
 
     /// Wakes the member when a saved epoch may come into force.
     async fn wake_timer(self: Rc<Self>) {
-        let due = self.admission.member.borrow().wakes_at();
+        let due = self.admission.member.borrow().timer_due_at();
         if let Some(at) = due {
             sleep_until(self.admission.instant(at).into()).await;
-            self.step(Member::wake);
+            self.step(Member::on_timer);
         }
     }
 
@@ -302,7 +303,7 @@
                 Effect::Check(change) => {
                     let result = self.check_policy(&change.policy).map(drop).map_err(|error| error.line());
                     let mut member = self.admission.member.borrow_mut();
-                    effects.extend(member.checked(change.id, result, self.admission.now()));
+                    effects.extend(member.on_check_result(change.id, result, self.admission.now()));
                 }
                 Effect::Activate { epoch, policy } => self.activate(epoch, policy),
                 Effect::Save(saved) => {
@@ -313,15 +314,15 @@
                 Effect::Discard(change) => {
                     log::line(format!("change {} was aborted and takes effect on no node", change.0))
                 }
-                Effect::BeatNow => self.heartbeat_due.notify_one(),
-                Effect::Tell(text) => log::line(text),
+                Effect::SendHeartbeat => self.heartbeat_due.notify_one(),
+                Effect::NotifyOperator(text) => log::line(text),
             }
         }
     }
 
-    fn check_policy(&self, policy: &Policy) -> Result<Told, UnusablePolicy> {
-        let settings = with_policy(&self.control.settings, policy)?;
-        let (requested, capacity) = (settings.open_cap, self.node.open_request_capacity());
+    fn check_policy(&self, policy: &Policy) -> Result<NodeSettings, UnusablePolicy> {
+        let settings = settings_with_policy(&self.control.settings, policy)?;
+        let (requested, capacity) = (settings.max_open_requests, self.node.open_request_capacity());
         if requested > capacity {
             return Err(UnusablePolicy::OpenCap { requested, capacity });
         }
@@ -389,7 +390,7 @@
     #[test]
     fn each_error_has_its_advice() {
         assert_each_has_advice(|before| match before {
-            None => Some(UnusablePolicy::Policy(PolicyError::Fixed("Me".into()))),
+            None => Some(UnusablePolicy::Policy(PolicyError::Immutable("Me".into()))),
             Some(UnusablePolicy::Policy(_)) => Some(UnusablePolicy::OpenCap { requested: 9, capacity: 3 }),
             Some(UnusablePolicy::OpenCap { .. }) => None,
         });
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -8,16 +8,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use endpoints::{Action as ListAction, CallId, Follower, Health, Mode, Ms, Update};
+use endpoints::{Action as ListAction, CallId, DeliveryMode, Health, ListWatcher, Ms, Update};
 use hyper::StatusCode;
-use member::votes::{Ballot, Verdicts, Votes};
+use member::votes::{Ballot, Verdicts, VoteReport};
 use member::Epoch;
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
-use tulipmount::wire::Told;
+use tulipmount::wire::NodeSettings;
 use tulipmount::{
-    Action, Balancer, Discovery, Entry, Event, Listed, Millis, Outcome, RequestId, Ruling, ServerId,
-    Settings, SettingsError,
+    Action, Balancer, Discovery, Entry, Event, Millis, Outcome, RequestId, ServerId, ServerState,
+    ServerVerdict, Settings, SettingsError,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -142,7 +142,7 @@
     started: Option<Millis>,
     /// The name of its zone, if there is a control group.
     zone: Option<Box<str>>,
-    state: Listed,
+    state: ServerState,
 }
 
 struct State {
@@ -155,7 +155,7 @@
     timer: Option<Instant>,
     servers: HashMap<ServerId, ServerInfo>,
     bans: Bans,
-    follower: Follower,
+    list_watcher: ListWatcher,
     /// The open calls to discovery.
     calls: BTreeMap<CallId, AbortHandle>,
     /// The names of the servers that the agreed policy bans.
@@ -222,11 +222,11 @@
         // A saved list is complete, whatever its `whole` field says.
         let saved_list = config.saved_list.take().map(|saved| Update { whole: true, ..saved });
         let mode = match config.node_settings.settings.discovery {
-            Discovery::Pushed => Mode::Pushed,
-            Discovery::Asked => Mode::Asked,
+            Discovery::Pushed => DeliveryMode::Push,
+            Discovery::Subscribed => DeliveryMode::OnDemand,
         };
         let temp_dir = std::env::var_os("TMPDIR").map(PathBuf::from);
-        let cold_period = to_duration(config.node_settings.settings.rules.warm_within);
+        let cold_period = to_duration(config.node_settings.settings.rules.warmup_time);
         let state = State {
             balancer,
             events: VecDeque::new(),
@@ -236,7 +236,7 @@
             timer: None,
             servers: HashMap::new(),
             bans: Bans::new(temp_dir, &config.name, cold_period),
-            follower: Follower::new(mode, saved_list.as_ref(), 0),
+            list_watcher: ListWatcher::new(mode, saved_list.as_ref(), 0),
             calls: BTreeMap::new(),
             policy_bans: BTreeSet::new(),
             votes: None,
@@ -244,9 +244,9 @@
         let node = Rc::new(Self {
             pool: Pool::new(&config),
             body_budget: MemoryBudget::new(config.memory_bytes / 3 * 2),
-            metrics: Metrics::new(config.node_settings.classes.len()),
+            metrics: Metrics::new(config.node_settings.class_names.len()),
             discovery_addr: Cell::new(config.discovery),
-            open_cap: Cell::new(config.node_settings.open_cap),
+            open_cap: Cell::new(config.node_settings.max_open_requests),
             max_retry_after: Cell::new(config.node_settings.settings.limits.max_retry_after),
             config,
             stopping_since: Cell::new(None),
@@ -266,12 +266,13 @@
         Ok(node)
     }
 
-    /// Runs the timers of the decision module and of the list follower; never returns.
+    /// Runs the timers of the decision module and of the list list_watcher; never returns.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let (module, list) = {
                 let state = self.state.borrow();
-                let list = state.follower.next().map(|at| self.clock.start + Duration::from_millis(at));
+                let list =
+                    state.list_watcher.next_deadline().map(|at| self.clock.start + Duration::from_millis(at));
                 (state.timer, list)
             };
             let Some(due) = module.into_iter().chain(list).min() else {
@@ -390,12 +391,12 @@
         let connections = self.usable_descriptors() * 4 / 7;
         connections
             .min(self.config.memory_bytes / 3 / OPEN_REQUEST_BYTES)
-            .max(self.config.node_settings.open_cap)
+            .max(self.config.node_settings.max_open_requests)
     }
 
     /// Applies a policy. Requests that were taken before keep to the policy under which they were taken.
-    pub fn apply_policy(self: &Rc<Self>, settings: Told) {
-        self.open_cap.set(settings.open_cap);
+    pub fn apply_policy(self: &Rc<Self>, settings: NodeSettings) {
+        self.open_cap.set(settings.max_open_requests);
         self.max_retry_after.set(settings.settings.limits.max_retry_after);
         {
             let votes = &mut self.state.borrow_mut().votes;
@@ -420,7 +421,7 @@
 
     /// The votes of the next heartbeat, and the version of the known verdicts; `None` while the agreed policy has
     /// no votes. `zone` is the node's own.
-    pub fn heartbeat_votes(&self, zone: Option<&str>) -> Option<(Votes, u64)> {
+    pub fn heartbeat_votes(&self, zone: Option<&str>) -> Option<(VoteReport, u64)> {
         let state = self.state.borrow();
         let votes = state.votes.as_ref()?;
         let own = state.balancer.ballots();
@@ -430,13 +431,14 @@
                 server: host.name.clone(),
                 born_ms: host.born_ms,
                 zone: host.zone.as_deref().unwrap_or_default().to_owned(),
-                stand: own.stand,
+                vote: own.stand,
                 evidence: own.evidence,
             })
         });
-        let up = |host: &&ServerInfo| host.state == Listed::Up && !state.policy_bans.contains(&host.name);
+        let up =
+            |host: &&ServerInfo| host.state == ServerState::Up && !state.policy_bans.contains(&host.name);
         let up = state.servers.values().filter(up).map(|host| host.zone.as_deref().unwrap_or_default());
-        Some((votes.heartbeat_votes(zone, up, own.doubts, ballots.collect()), votes.version()))
+        Some((votes.heartbeat_votes(zone, up, own.self_doubt, ballots.collect()), votes.version()))
     }
 
     /// A leader has answered a heartbeat that had votes. This counts as contact with the group even if no verdict
@@ -444,13 +446,13 @@
     pub fn leader_answered(
         self: &Rc<Self>,
         zone: Option<&str>,
-        wanted: Vec<String>,
+        queried: Vec<String>,
         verdicts: Option<Verdicts>,
     ) {
         let now = self.clock.at(Instant::now());
         let known = match &mut self.state.borrow_mut().votes {
             Some(votes) => {
-                votes.leader_answered(wanted, verdicts, now);
+                votes.leader_answered(queried, verdicts, now);
                 true
             }
             None => false,
@@ -470,7 +472,7 @@
 
     /// Passes the verdicts that apply here to the decision module, and logs changes.
     fn apply_verdicts(self: &Rc<Self>, zone: Option<&str>) {
-        let rulings = {
+        let verdicts = {
             let state = &mut *self.state.borrow_mut();
             let Some(votes) = &mut state.votes else { return };
             let servers = &state.servers;
@@ -481,9 +483,9 @@
                 .verdicts_here(&self.config.name, zone, born)
                 .map(|(server, probe)| (server.to_owned(), probe))
                 .collect();
-            let to_ruling =
-                |(name, &probe): (&String, &bool)| Ruling { server: ServerId(number_of(name)), probe };
-            let rulings = applying.iter().map(to_ruling).collect();
+            let to_verdict =
+                |(name, &probe): (&String, &bool)| ServerVerdict { server: ServerId(number_of(name)), probe };
+            let verdicts = applying.iter().map(to_verdict).collect();
             for (name, change) in votes.set_applying(applying) {
                 let server = ServerId(number_of(&name));
                 let own = state.balancer.ballots().ballots.into_iter().find(|own| own.server == server);
@@ -495,9 +497,9 @@
                     votes.version()
                 ));
             }
-            rulings
+            verdicts
         };
-        self.handle_event(Event::Verdicts(rulings));
+        self.handle_event(Event::Verdicts(verdicts));
     }
 
     /// The state of the votes for the metrics.
@@ -508,9 +510,9 @@
         Some(VotingStatus {
             suspects: own.suspects,
             removed: votes.applying(),
-            panic_mode: own.panic,
-            standalone: own.alone,
-            abstains: own.doubts,
+            panic_mode: own.panic_mode,
+            standalone: own.isolated,
+            abstains: own.self_doubt,
             last_contact_ms: votes.last_contact(self.clock.at(Instant::now())).map(|age| age as u64),
         })
     }
@@ -552,7 +554,7 @@
         deadline: Instant,
     ) -> (RequestId, oneshot::Receiver<FinalResponse>) {
         let (sender, receiver) = oneshot::channel();
-        let (class, tenant, resent, work) =
+        let (class, tenant, resent, estimated_work) =
             (request.class, request.tenant, request.resent, request.estimated_work);
         let streaming = request.body.monitor().is_some();
         let id = {
@@ -569,9 +571,9 @@
             class,
             tenant,
             deadline: self.clock.at(deadline),
-            coming: streaming,
-            again: resent,
-            work,
+            streaming_body: streaming,
+            is_retry: resent,
+            estimated_work,
         });
         (id, receiver)
     }
@@ -583,7 +585,7 @@
                 attempt.started = Instant::now();
             }
         }
-        self.handle_event(Event::Whole { id, deadline: self.clock.at(deadline) });
+        self.handle_event(Event::BodyComplete { id, deadline: self.clock.at(deadline) });
     }
 
     /// Whether a request still awaits its final response.
@@ -599,8 +601,8 @@
     /// A summary of the node's state for the log.
     pub fn status(&self) -> String {
         let (connections, state) = (self.pool.open_connections(), self.state.borrow());
-        let version = state.follower.version();
-        let last_contact = state.follower.heard().map_or("never heard".into(), |at| {
+        let version = state.list_watcher.version();
+        let last_contact = state.list_watcher.last_received().map_or("never heard".into(), |at| {
             format!("heard {:.1} s ago", self.clock.ms().saturating_sub(at) as f64 / 1000.0)
         });
         let policy = match self.admit() {
@@ -620,9 +622,9 @@
         let policy = self
             .admission
             .as_ref()
-            .map(|admission| (admission.member.borrow().active(), admission.admit().is_err()));
-        let (targets, avoided) = (state.servers.len(), state.balancer.avoided());
-        self.metrics.render(&self.config.node_settings.classes, targets, avoided, policy, voting)
+            .map(|admission| (admission.member.borrow().active_epoch(), admission.admit().is_err()));
+        let (targets, unavailable) = (state.servers.len(), state.balancer.unavailable_servers());
+        self.metrics.render(&self.config.node_settings.class_names, targets, unavailable, policy, voting)
     }
 
     /// Fails all open requests before the node exits: a response is better than a reset.
@@ -666,11 +668,14 @@
             if ended.task.take().is_none() {
                 return;
             }
-            let (server, took) = (ended.server, ended.started.elapsed().as_secs_f64() * 1000.0);
-            if outcome != Outcome::Done {
+            let (server, elapsed) = (ended.server, ended.started.elapsed().as_secs_f64() * 1000.0);
+            if outcome != Outcome::Success {
                 let host = state.servers.get(&server).map_or("an unlisted server", |h| h.name.as_str());
                 log::limited(|| {
-                    format!("{}: attempt {attempt} at {host}: {outcome:?}, {took:.1} ms", open.request.txn())
+                    format!(
+                        "{}: attempt {attempt} at {host}: {outcome:?}, {elapsed:.1} ms",
+                        open.request.txn()
+                    )
                 });
             }
             match response {
@@ -679,16 +684,16 @@
                 None if outcome == Outcome::Cancelled => send_response(open, FinalResponse::Failed),
                 None => {}
             }
-            let finished = open.response.is_none();
-            Event::Ended { id, attempt, server, outcome, took, finished }
+            let answered = open.response.is_none();
+            Event::AttemptEnded { id, attempt, server, outcome, elapsed, answered }
         };
         self.handle_event(event);
         self.remove_if_ended(id);
     }
 
     /// A probe has ended.
-    pub fn probe_ended(self: &Rc<Self>, server: ServerId, outcome: Outcome, took: Duration) {
-        self.handle_event(Event::Probed { server, outcome, took: took.as_secs_f64() * 1000.0 });
+    pub fn probe_ended(self: &Rc<Self>, server: ServerId, outcome: Outcome, elapsed: Duration) {
+        self.handle_event(Event::ProbeEnded { server, outcome, elapsed: elapsed.as_secs_f64() * 1000.0 });
     }
 
     fn remove_if_ended(&self, id: RequestId) {
@@ -705,10 +710,10 @@
         match action {
             Action::Send { id, server, timeout } => self.start_attempt(id, server, timeout),
             Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
-            Action::Refuse { id, stay_away } => self.respond(id, FinalResponse::Refused(stay_away)),
+            Action::Refuse { id, retry_after } => self.respond(id, FinalResponse::Refused(retry_after)),
             Action::Fail(id) => self.respond(id, FinalResponse::Failed),
             Action::SetTimer(after) => self.set_timer(after),
-            Action::Subscribe => self.handle_discovery(endpoints::Event::Ask),
+            Action::Subscribe => self.handle_discovery(endpoints::Event::RefreshRequested),
             Action::Probe(server) => self.io.start_probe(self.clone(), server),
         }
     }
@@ -729,12 +734,19 @@
         let ended = {
             let mut state = self.state.borrow_mut();
             let Some(open) = state.requests.get_mut(&id) else { return };
-            let finished = open.response.is_none();
+            let answered = open.response.is_none();
             let Some(ended) = open.attempts.get_mut(attempt) else { return };
             let Some(task) = ended.task.take() else { return };
             task.abort();
-            let took = ended.started.elapsed().as_secs_f64() * 1000.0;
-            Event::Ended { id, attempt, server: ended.server, outcome: Outcome::Cancelled, took, finished }
+            let elapsed = ended.started.elapsed().as_secs_f64() * 1000.0;
+            Event::AttemptEnded {
+                id,
+                attempt,
+                server: ended.server,
+                outcome: Outcome::Cancelled,
+                elapsed,
+                answered,
+            }
         };
         self.handle_event(ended);
         self.remove_if_ended(id);
@@ -760,41 +772,41 @@
 
     // ---- The list ----
 
-    /// Passes an event to the list follower and performs its actions.
+    /// Passes an event to the list list_watcher and performs its actions.
     pub fn handle_discovery(self: &Rc<Self>, event: endpoints::Event<'_>) {
         let actions = {
             let state = &mut *self.state.borrow_mut();
-            if let endpoints::Event::Ended(id) | endpoints::Event::Broke(id, _) = event {
+            if let endpoints::Event::ResponseEnded(id) | endpoints::Event::CallFailed(id, _) = event {
                 state.calls.remove(&id);
             }
-            let due = state.follower.next();
-            let actions = state.follower.handle(self.clock.ms(), event);
-            if state.follower.next().is_some_and(|at| due.is_none_or(|due| at < due)) {
+            let due = state.list_watcher.next_deadline();
+            let actions = state.list_watcher.handle(self.clock.ms(), event);
+            if state.list_watcher.next_deadline().is_some_and(|at| due.is_none_or(|due| at < due)) {
                 self.timer_changed.notify_one();
             }
             actions
         };
         for action in actions {
             match action {
-                ListAction::Call(id, path) => {
+                ListAction::StartCall(id, path) => {
                     let call = self.io.start_discovery_call(self.clone(), id, path);
                     self.state.borrow_mut().calls.insert(id, call);
                 }
-                ListAction::Drop(id) => {
+                ListAction::CancelCall(id) => {
                     if let Some(call) = self.state.borrow_mut().calls.remove(&id) {
                         call.abort();
                     }
                 }
-                ListAction::Take(update) => {
+                ListAction::ApplyUpdate(update) => {
                     let whole = update.whole;
                     self.apply_list(update, false);
                     self.record_discovery_answer(whole);
                 }
-                ListAction::Alive => {
+                ListAction::NoChanges => {
                     self.record_discovery_answer(false);
                     self.handle_event(Event::ListChange(Vec::new()));
                 }
-                ListAction::Failed(reason) => {
+                ListAction::ReportFailure(reason) => {
                     log::limited(|| format!("discovery: {reason}"));
                     self.handle_event(Event::ListFailed);
                 }
@@ -816,7 +828,7 @@
             "discovery: {} {to}",
             if from == to { "subscribing again at" } else { "moved to" }
         ));
-        self.handle_discovery(endpoints::Event::Moved);
+        self.handle_discovery(endpoints::Event::ServiceMoved);
     }
 
     fn apply_list(self: &Rc<Self>, update: Update, saved: bool) {
@@ -825,15 +837,15 @@
             let state = &mut *state;
             if update.whole {
                 for host in state.servers.values_mut() {
-                    host.state = Listed::Gone;
+                    host.state = ServerState::Gone;
                 }
             }
             let entries =
                 update.hosts.into_iter().filter_map(|h| self.update_server(&mut state.servers, h)).collect();
-            for (server, _) in state.servers.iter().filter(|(_, h)| h.state == Listed::Gone) {
+            for (server, _) in state.servers.iter().filter(|(_, h)| h.state == ServerState::Gone) {
                 self.pool.close_idle(*server);
             }
-            state.servers.retain(|_, h| h.state != Listed::Gone);
+            state.servers.retain(|_, h| h.state != ServerState::Gone);
             entries
         };
         self.handle_event(if update.whole {
@@ -885,7 +897,7 @@
             kind: number_of(&host.kind),
             state,
             weight: host.weight,
-            started,
+            started_at: started,
         })
     }
 
@@ -953,29 +965,29 @@
 
     fn put_back(self: &Rc<Self>, name: &str, server: ServerId, ago: Duration) {
         log::line(format!("{name} is back in use"));
-        self.handle_event(Event::Enable { server, returned: self.clock.ago(ago) });
+        self.handle_event(Event::Enable { server, enabled_at: self.clock.ago(ago) });
     }
 
     /// The address of a server, if requests may be sent to it.
     pub fn server_addr(&self, server: ServerId) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        let usable = |h: &&ServerInfo| h.state == Listed::Up && !state.is_banned(&h.name);
+        let usable = |h: &&ServerInfo| h.state == ServerState::Up && !state.is_banned(&h.name);
         state.servers.get(&server).filter(usable).map(|h| h.addr)
     }
 }
 
 /// The list's health of a server in the decision module's terms.
-fn listed_state(health: Health) -> Listed {
+fn listed_state(health: Health) -> ServerState {
     match health {
-        Health::Active => Listed::Up,
-        Health::Leaving => Listed::Draining,
-        Health::Left => Listed::Gone,
+        Health::Active => ServerState::Up,
+        Health::Leaving => ServerState::Draining,
+        Health::Left => ServerState::Gone,
     }
 }
 
 /// The decision module's settings, which refer to servers by number.
-fn module_settings(settings: &Told) -> Settings {
-    let weights = settings.weights.iter().map(|(name, factor)| (ServerId(number_of(name)), *factor));
+fn module_settings(settings: &NodeSettings) -> Settings {
+    let weights = settings.server_weights.iter().map(|(name, factor)| (ServerId(number_of(name)), *factor));
     Settings { server_weights: weights.collect(), ..settings.settings.clone() }
 }
 
--- a/src/net/replica.rs
+++ b/src/net/replica.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use endpoints::Lines;
+use endpoints::MessageSplitter;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Request, Response, StatusCode};
-use member::{Answer, Beat, News, NotLeader};
+use member::{Heartbeat, HeartbeatReply, NotLeader, WatchEvent};
 use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinHandle};
@@ -143,7 +143,7 @@
     /// # Errors
     /// A [`CallError`] if no valid answer has arrived. The connection cannot be used any more then, unless the
     /// replica has refused the call.
-    pub async fn send_heartbeat(&mut self, heartbeat: &Beat) -> Result<Answer, CallError> {
+    pub async fn send_heartbeat(&mut self, heartbeat: &Heartbeat) -> Result<HeartbeatReply, CallError> {
         let at = self.at;
         let unreadable = |reason: String| CallError::Unreadable { at, reason };
         let body = serde_json::to_vec(heartbeat).map_err(|e| unreadable(e.to_string()))?;
@@ -181,7 +181,7 @@
 pub struct Watch {
     connection: ReplicaConnection,
     body: Incoming,
-    lines: Lines,
+    splitter: MessageSplitter,
 }
 
 impl Watch {
@@ -203,14 +203,14 @@
                 .await
                 .unwrap_or(CallError::TimedOut { at }));
         }
-        Ok(Self { connection, body: response.into_body(), lines: Lines::default() })
+        Ok(Self { connection, body: response.into_body(), splitter: MessageSplitter::default() })
     }
 
     /// The next update; `None` once the replica has ended the watch regularly.
     ///
     /// # Errors
     /// A [`CallError`] if the connection failed, nothing arrived in time, or a line is invalid.
-    pub async fn next(&mut self) -> Result<Option<News>, CallError> {
+    pub async fn next(&mut self) -> Result<Option<WatchEvent>, CallError> {
         let at = self.connection.at;
         let unreadable = |reason: String| CallError::Unreadable { at, reason };
         loop {
@@ -228,12 +228,12 @@
     async fn next_line(&mut self) -> Result<Option<Vec<u8>>, CallError> {
         let at = self.connection.at;
         loop {
-            if let Some(line) = self.lines.next() {
+            if let Some(line) = self.splitter.next() {
                 return Ok(Some(line));
             }
             let Some(frame) = self.body.frame().await else { return Ok(None) };
             if let Ok(data) = frame.map_err(|e| connection_failed(at, &e))?.into_data() {
-                let pushed = self.lines.push(&data);
+                let pushed = self.splitter.push(&data);
                 pushed.map_err(|e| CallError::Unreadable { at, reason: e.to_string() })?;
             }
         }
--- a/src/net/servers.rs
+++ b/src/net/servers.rs
@@ -231,9 +231,9 @@
             }
         };
         match (status, body) {
-            (StatusCode::OK, Some(body)) => (Outcome::Done, Some(ServerResponse { headers, body }), rest),
+            (StatusCode::OK, Some(body)) => (Outcome::Success, Some(ServerResponse { headers, body }), rest),
             (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if turned_away => {
-                (Outcome::Full, None, None)
+                (Outcome::Rejected, None, None)
             }
             (status, _) => {
                 log::limited(|| format!("server responded with status {status}"));
--- a/src/net/votes.rs
+++ b/src/net/votes.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 use member::votes::{
-    Ballot, Evidence, Stand, Verdict, Verdicts, Votes, BALLOTS_MOST, SERVER_MOST, ZONES_MOST,
+    Ballot, Evidence, Verdict, Verdicts, Vote, VoteReport, MAX_BALLOTS, MAX_NAME_BYTES, MAX_ZONES,
 };
 use member::Millis;
 
@@ -16,7 +16,7 @@
     /// The verdicts in force.
     verdicts: Verdicts,
     /// Servers about which the leader also wants ballots against removal.
-    wanted: Vec<String>,
+    queried: Vec<String>,
     /// When a leader last answered.
     last_answer: Option<Millis>,
     /// The removed servers that apply here, and whether this node probes them.
@@ -52,35 +52,34 @@
         &self,
         zone: Option<&str>,
         up: impl Iterator<Item = &'a str>,
-        doubts: bool,
+        abstains: bool,
         mut ballots: Vec<Ballot>,
-    ) -> Votes {
+    ) -> VoteReport {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        for zone in up.filter(|zone| zone.len() <= SERVER_MOST) {
+        for zone in up.filter(|zone| zone.len() <= MAX_NAME_BYTES) {
             *zones.entry(zone).or_default() += 1;
         }
         let mut zones: Vec<(String, u32)> = zones.into_iter().map(|(zone, up)| (zone.into(), up)).collect();
-        if zones.len() > ZONES_MOST {
+        if zones.len() > MAX_ZONES {
             zones.sort_by_key(|(_, up)| std::cmp::Reverse(*up));
-            zones.truncate(ZONES_MOST);
+            zones.truncate(MAX_ZONES);
         }
-        let fits = |ballot: &Ballot| ballot.server.len() <= SERVER_MOST && ballot.zone.len() <= SERVER_MOST;
+        let fits =
+            |ballot: &Ballot| ballot.server.len() <= MAX_NAME_BYTES && ballot.zone.len() <= MAX_NAME_BYTES;
         let about_earlier_process = |ballot: &Ballot| {
             let mut verdicts = self.verdicts.verdicts.iter();
             verdicts.any(|verdict| verdict.server == ballot.server && verdict.born_ms != ballot.born_ms)
         };
         let wanted = |ballot: &Ballot| {
-            ballot.stand == Stand::For
-                || self.wanted.contains(&ballot.server)
-                || about_earlier_process(ballot)
+            ballot.vote == Vote::For || self.queried.contains(&ballot.server) || about_earlier_process(ballot)
         };
         ballots.retain(|ballot| fits(ballot) && wanted(ballot));
         ballots.sort_by(|a, b| {
-            let order = |ballot: &Ballot| (ballot.stand, std::cmp::Reverse(ballot.evidence.failed()));
+            let order = |ballot: &Ballot| (ballot.vote, std::cmp::Reverse(ballot.evidence.failures()));
             order(a).cmp(&order(b)).then_with(|| a.server.cmp(&b.server))
         });
-        ballots.truncate(BALLOTS_MOST);
-        Votes { zone: zone.map(str::to_owned), up: zones, doubts, ballots }
+        ballots.truncate(MAX_BALLOTS);
+        VoteReport { zone: zone.map(str::to_owned), up_servers: zones, abstains, ballots }
     }
 
     /// The version of the verdicts in force.
@@ -90,9 +89,9 @@
 
     /// Applies a leader's answer. Its verdicts replace the known ones even if they are older: then the group was
     /// set up anew.
-    pub fn leader_answered(&mut self, wanted: Vec<String>, verdicts: Option<Verdicts>, now: Millis) {
+    pub fn leader_answered(&mut self, queried: Vec<String>, verdicts: Option<Verdicts>, now: Millis) {
         self.last_answer = Some(now);
-        self.wanted = wanted;
+        self.queried = queried;
         if let Some(verdicts) = verdicts {
             self.verdicts = verdicts;
         }
@@ -151,10 +150,10 @@
 
 /// A description of the evidence for the log.
 pub fn describe_evidence(evidence: Evidence) -> String {
-    let Evidence { attempts, connects, breaks, timeouts, errors } = evidence;
+    let Evidence { attempts, connect_failures, connection_resets, timeouts, errors } = evidence;
     format!(
-        "{attempts} attempts, {} failed ({connects} failed connects, {breaks} broken connections, {timeouts} timeouts, {errors} errors)",
-        evidence.failed()
+        "{attempts} attempts, {} failed ({connect_failures} failed connects, {connection_resets} broken connections, {timeouts} timeouts, {errors} errors)",
+        evidence.failures()
     )
 }
 
@@ -162,9 +161,9 @@
 mod tests {
     use super::*;
 
-    fn ballot(server: &str, stand: Stand, errors: u32) -> Ballot {
+    fn ballot(server: &str, vote: Vote, errors: u32) -> Ballot {
         let evidence = Evidence { attempts: 20, errors, ..Evidence::default() };
-        Ballot { server: server.into(), born_ms: 1.0, zone: "a".into(), stand, evidence }
+        Ballot { server: server.into(), born_ms: 1.0, zone: "a".into(), vote, evidence }
     }
 
     fn verdict(server: &str, zones: &[&str], probers: &[&str]) -> Verdict {
@@ -177,21 +176,21 @@
         let mut state = VoteState::default();
         let reported = |state: &VoteState, ballots: Vec<Ballot>| {
             let votes = state.heartbeat_votes(Some("a"), ["a", "b", "a"].into_iter(), false, ballots);
-            assert_eq!(votes.up, [("a".to_owned(), 2), ("b".to_owned(), 1)]);
+            assert_eq!(votes.up_servers, [("a".to_owned(), 2), ("b".to_owned(), 1)]);
             votes.ballots.into_iter().map(|ballot| ballot.server).collect::<Vec<_>>()
         };
         let three_ballots =
-            || vec![ballot("x", Stand::For, 11), ballot("y", Stand::Against, 0), ballot("z", Stand::For, 19)];
+            || vec![ballot("x", Vote::For, 11), ballot("y", Vote::Against, 0), ballot("z", Vote::For, 19)];
         assert_eq!(reported(&state, three_ballots()), ["z", "x"]);
         state.leader_answered(vec!["y".into(), "x".into()], None, 5.0);
         assert_eq!(reported(&state, three_ballots()), ["z", "x", "y"]);
         let earlier = Verdict { born_ms: 0.5, ..verdict("y", &[], &[]) };
         state.leader_answered(Vec::new(), Some(Verdicts { version: 3, verdicts: vec![earlier] }), 6.0);
         assert_eq!(reported(&state, three_ballots()), ["z", "x", "y"]);
-        let mut many: Vec<Ballot> = (0..100).map(|n| ballot(&format!("s{n}"), Stand::For, 11)).collect();
-        many.extend([ballot("worst", Stand::For, 20), ballot(&"s".repeat(SERVER_MOST + 1), Stand::For, 20)]);
+        let mut many: Vec<Ballot> = (0..100).map(|n| ballot(&format!("s{n}"), Vote::For, 11)).collect();
+        many.extend([ballot("worst", Vote::For, 20), ballot(&"s".repeat(MAX_NAME_BYTES + 1), Vote::For, 20)]);
         let sent = reported(&state, many);
-        assert_eq!((sent.len(), sent[0].as_str()), (BALLOTS_MOST, "worst"));
+        assert_eq!((sent.len(), sent[0].as_str()), (MAX_BALLOTS, "worst"));
     }
 
     #[test]
