--- a/crates/stoneshift/tests/hard.rs
+++ b/crates/stoneshift/tests/hard.rs
@@ -356,8 +356,8 @@
         Some((newer, ended.as_ref().and_then(epoch).filter(|_| under_way)?))
     });
     let by = |node: &Node, epoch: u64| {
-        wait_for("it judges by that epoch", || {
-            node.has_logged(&format!("judges by epoch {epoch}")).then_some(())
+        wait_for("it applies that epoch", || {
+            node.has_logged(&format!("applies epoch {epoch}")).then_some(())
         });
     };
     ready(&newer);
--- a/tests/agreed.rs
+++ b/tests/agreed.rs
@@ -91,7 +91,7 @@
     assert_eq!((response.status(), response.header("x-policy-epoch")), (200, Some("0")), "it was retried");
     group.stage_change(json!({"Limits": {"AttemptsCap": 2}}));
     group.finish_change(false);
-    wait_until("the abort is known", || node.has_logged("takes hold nowhere"));
+    wait_until("the abort is known", || node.has_logged("takes effect on no node"));
     assert_eq!(send_request(&node, "t2"), (200, Some(1)));
     assert_eq!(metric(&node, "policy.epoch"), 1);
 }
@@ -126,7 +126,7 @@
     let (_registry, config) = member_config(&group);
     let node = Node::start_listening(&config, None);
     wait_until("it logs why", || {
-        node.has_logged("epoch 1 can't be judged by: ") && node.has_logged("nobody")
+        node.has_logged("epoch 1 cannot be applied on this node: ") && node.has_logged("nobody")
     });
     assert_eq!((send_request(&node, "t1"), node.admin_call("GET /ready").0), ((503, None), 503));
     group.commit_change(json!({}));
@@ -258,7 +258,7 @@
     std::fs::write(&file, saved().replace("\"epoch\":1", "\"epoch\":7")).expect("a damaged file");
     let started = Instant::now();
     let node = Node::start_listening(&config, None);
-    wait_until("the damage is logged", || node.has_logged("damaged, left out"));
+    wait_until("the damage is logged", || node.has_logged("damaged, ignored"));
     wait_until("a saved epoch would be used", || started.elapsed() > Duration::from_millis(800));
     assert_eq!(send_request(&node, "t1"), (503, None));
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -61,7 +61,7 @@
 fn disconnect(node: &Node, client: Client, how: Disconnect, txn: &str) {
     let started = Instant::now();
     let half_closed = client.disconnect(how);
-    wait_until("the node has noticed", || node.has_logged(&format!("{txn}: left by its client")));
+    wait_until("the node has noticed", || node.has_logged(&format!("{txn}: client disconnected")));
     assert!(started.elapsed() < Duration::from_secs(5) + node.cpu_wait(), "{:?}", started.elapsed());
     if let Some(mut client) = half_closed {
         assert_eq!(client.read_to_end().0, b"", "{txn} {how:?}: a client that has left gets no response");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -226,7 +226,7 @@
             let (code, errors) = run_with(settings);
             let named = errors.starts_with(&format!("glenwood: settings: {field}"));
             assert!(
-                code == Some(1) && named && errors.contains("; mend it under"),
+                code == Some(1) && named && errors.contains("; correct it under"),
                 "{field} {bad}: {code:?} {errors}"
             );
             assert_eq!(errors.trim().lines().count(), 1, "{errors}");
