--- a/src/api.rs
+++ b/src/api.rs
@@ -1,25 +1,25 @@
-//! The interface of the decision module: settings, events, actions. Times are in milliseconds.
+//! The interface of the decision module: settings, events and actions. All times are in milliseconds.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 pub use member::votes::{Evidence, Stand};
 
-/// A time or a span, in milliseconds; the clock may start anywhere but never runs backwards.
+/// A point in time or a duration, in milliseconds. The clock may start at any value but never runs backwards.
 pub type Millis = f64;
 
-/// A server, as the list names it.
+/// Identifies a server of the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
 
-/// A client request; never used twice in the life of a node.
+/// Identifies a client request; unique for the lifetime of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Which servers drop the repeat of a keyed request.
+/// The set of servers that drop duplicates of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every server.
+    /// All servers.
     All,
     /// The servers of one zone.
     Zone,
@@ -27,78 +27,78 @@
     Cell,
 }
 
-/// May a request run again?
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// It may be executed any number of times.
     Safe,
-    /// Repeats are dropped by the servers of one group, for `dedup_window` after the first send.
+    /// Servers within `scope` drop duplicates for `dedup_window` after the first send.
     Keyed {
-        /// The servers that know of each other's work.
+        /// The servers that share the record of executed keys.
         scope: DedupScope,
-        /// How long they remember it.
+        /// How long they remember a key.
         dedup_window: Millis,
     },
-    /// Never.
+    /// It must not be executed twice.
     Unsafe,
 }
 
 /// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time has its full worth.
+    /// Latency objective: an answer within this time has its full worth.
     pub slo: Millis,
-    /// How long a client waits in all, over its repeats too; infinite where that is not told.
+    /// How long a client waits in total, including its retries; infinite if unknown.
     pub deadline: Millis,
-    /// Worth of an answer in time.
+    /// Worth of an answer within the objective.
     pub worth: f64,
-    /// Part of the worth that a later answer still has.
+    /// Part of the worth that a later answer still has, from 0 to 1.
     pub late_worth: f64,
-    /// May it run again?
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
 }
 
-/// A tenant and its share of the service.
+/// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its share, over all nodes.
+    /// Requests per second within its quota, over all nodes.
     pub quota_per_s: f64,
 }
 
-/// How much each part of the service counts for the operators.
+/// The weight of each part of the operators' objective.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Goal {
-    /// The worth served, over all and in the worst stretch.
+    /// The worth served, in total and in the worst window.
     pub worth: f64,
-    /// The class that is served worst.
+    /// The service of the worst-served class.
     pub worst_class: f64,
-    /// The tenant that is served worst, within its share.
+    /// The service of the worst-served tenant, within its quota.
     pub worst_tenant: f64,
 }
 
 /// What the deployment permits.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Attempts for one request.
+    /// Maximum number of attempts per request, at least 1.
     pub max_attempts: usize,
-    /// Two attempts of a request may be out at the same time.
+    /// Whether a request may have several attempts in flight at once.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub probes: bool,
-    /// A connection that takes longer has failed.
+    /// A connection attempt that takes longer has failed.
     pub connect_timeout: Millis,
-    /// The longest that a refused client can be told to stay away; 0: it can't be told.
+    /// The longest that refused clients can be told to wait; 0 if they cannot be told.
     pub max_retry_after: Millis,
 }
 
-/// How much may be tried again.
+/// The budget for retries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Further attempts that may have cost work, as a part of the first ones.
+    /// Retries that may have cost work, per first attempt, from 0 to 1.
     pub ratio: f64,
-    /// The most of them that may be saved up.
+    /// Upper bound of the retries that may be accumulated.
     pub max: f64,
 }
 
@@ -108,13 +108,13 @@
     }
 }
 
-/// When a server is left out because of what was seen of it.
+/// When a server is ejected as an outlier.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ejection {
-    /// Consecutive failures that make a server an outlier, where a single one proves nothing.
+    /// Failures in a row that eject a server, where a single one proves nothing.
     pub consecutive_failures: u32,
-    /// The most of the fleet that time-outs may eject, from 0 to 1: beyond it, the fault is likelier the
-    /// work's or the fleet's.
+    /// Part of the fleet, from 0 to 1, that timeouts and errors may eject; beyond it the fault is more likely
+    /// with the requests or the fleet as a whole.
     pub max_fraction: f64,
 }
 
@@ -124,136 +124,137 @@
     }
 }
 
-/// Votes before a server is removed: while the group's word is fresh, what would else eject a server makes it a
-/// suspect of this node, and only what the group rules takes it out of the turns.
+/// Settings for removing servers by vote. While the group is in contact, the failures that would eject a
+/// server make it a suspect at this node, and only the group's verdict takes it out of the rotation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoteSettings {
-    /// Evidence counts that is no older.
+    /// Maximum age of evidence that counts.
     pub evidence_window: Millis,
-    /// Attempts within the window that a ballot needs.
+    /// Attempts within the window that a ballot requires.
     pub min_attempts: u32,
-    /// Failed part of them from which on the ballot is for the removal, from 0 to 1.
+    /// The ballot is for removal from this part of failed attempts on, from 0 to 1.
     pub failure_threshold: f64,
-    /// A node that is for the removal of a larger part of the servers that it has evidence on doubts itself, from
-    /// 0 to 1; a single one is no cause to doubt.
+    /// A node that is for the removal of more than this part of the servers it has evidence on doubts itself,
+    /// from 0 to 1; one server is never too many.
     pub self_doubt_threshold: f64,
-    /// How long a suspect gets nothing.
+    /// How long a suspect gets no requests.
     pub suspect_pause: Millis,
-    /// Part of its turns that it gets after that, and that a server gets that is probed; above 0, up to 1.
+    /// Part of its turns that a suspect gets after the pause, and that a probed server gets; above 0, up to
+    /// 1.
     pub trickle_share: f64,
-    /// How old the group's newest word may be. After that rulings lapse one by one over the same time again, and
-    /// the node ejects by its own evidence.
+    /// Maximum age of the group's newest message. Then verdicts lapse one by one over the same time again,
+    /// and the node ejects by its own evidence.
     pub contact_timeout: Millis,
 }
 
 impl VoteSettings {
-    /// The number of the half of a window that a time falls into.
-    pub(crate) fn half(&self, at: Millis) -> i64 {
+    /// The number of the half window that a time falls into.
+    pub(crate) fn half_window(&self, at: Millis) -> i64 {
         (2.0 * at / self.evidence_window).floor() as i64
     }
 }
 
-/// What the group has ruled of a server: it gets nothing new.
+/// A verdict of the group: the server is removed and gets no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerVerdict {
     /// The server.
     pub server: ServerId,
-    /// But a little of what may be repeated, from this node, to see how it does.
+    /// This node probes the server with a few requests that may be repeated.
     pub probe: bool,
 }
 
-/// The figures of the four rules.
+/// The parameters of the four rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Where the list is asked for: the longest a node may leave off asking.
+    /// With a subscribed list: the longest that a node may go without asking for it.
     pub discovery_deadline: Millis,
-    /// Part of its capacity that a started server has at least.
+    /// Part of its capacity that a server has at least when it starts, from 0 to 1.
     pub cold_capacity: f64,
-    /// When it has all of it at the latest.
+    /// Time from its start until a server has its full capacity.
     pub warmup_time: Millis,
-    /// A cold server falls over when sent more than this many times its present capacity ...
+    /// A cold server fails when it is sent more than this multiple of its present capacity ...
     pub overload_multiple: f64,
     /// ... for this long.
     pub overload_window: Millis,
 }
 
-/// How news of the servers arrives.
+/// How list updates arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// By itself.
+    /// Without being asked for.
     Pushed,
-    /// Once the node has subscribed or asked.
+    /// After the node has subscribed or asked.
     Subscribed,
 }
 
-/// What the listed weights stand for.
+/// The meaning of the listed weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing.
+    /// None.
     None,
-    /// The size of the server, exact or nearly so.
+    /// The size of the server, exact or approximate.
     Static,
-    /// Size divided by one more than the requests a core held a while ago.
+    /// Its size divided by one more than the requests that a core held some time ago.
     Live,
 }
 
-/// What a node is told at its start.
+/// The settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its own number, from 0.
+    /// Index of this node, from 0.
     pub node_index: usize,
-    /// How many nodes there are.
+    /// Number of nodes.
     pub node_count: usize,
-    /// The request classes; events name them by their index.
+    /// The request classes; events refer to them by index.
     pub classes: Vec<Class>,
     /// The tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of its class's.
+    /// Worth of a request beyond its tenant's quota, as a part of its class's worth, from 0 to 1.
     pub over_quota_worth: f64,
-    /// What counts how much.
+    /// The operators' objective.
     pub goal: Goal,
     /// What is permitted.
     pub limits: Limits,
-    /// How much is tried again.
+    /// The budget for retries.
     pub retry_budget: RetryBudget,
-    /// When a server is left out.
+    /// When a server is ejected.
     pub ejection: Ejection,
-    /// Votes on that; `None`: each node acts on its own evidence alone.
+    /// Removal of servers by vote; `None`: each node acts on its own evidence alone.
     pub votes: Option<VoteSettings>,
-    /// The operators' factors to the sizes of single servers, listed or not; 1 where there is none.
+    /// The operators' factors for the sizes of single servers, listed or not; 1 where absent.
     pub server_weights: BTreeMap<ServerId, f64>,
-    /// The figures of the four rules.
+    /// The parameters of the four rules.
     pub rules: Rules,
     /// How the list arrives.
     pub discovery: Discovery,
-    /// What its weights mean.
+    /// The meaning of its weights.
     pub weights: Weights,
-    /// Events come in at most this often.
+    /// Granularity of time: the shortest interval between events.
     pub tick: Millis,
 }
 
-/// The least and the most factor to a server's size.
+/// Range of the operators' factors for servers' sizes.
 pub const SERVER_WEIGHT_RANGE: std::ops::RangeInclusive<f64> = 0.01..=100.0;
 
-/// Why settings were refused.
+/// Why settings were refused: the field and its bound.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bad settings: {}", self.0)
+        write!(f, "invalid settings: {}", self.0)
     }
 }
 
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks the settings.
     ///
     /// # Errors
-    /// Names the first field that does not, and its bound: no classes, a time or amount that is negative or
-    /// not finite, an own number not below the count of nodes, a share outside 0 to 1, a server's factor
-    /// outside [`SERVER_WEIGHT_RANGE`].
+    /// Names the first invalid field and its bound: no classes, a time or amount that is negative or not
+    /// finite, a node index not below the node count, a share outside 0 to 1, a server's factor outside
+    /// [`SERVER_WEIGHT_RANGE`].
     pub fn check(&self) -> Result<(), SettingsError> {
         let fail = |what: String| Err(SettingsError(what));
         if self.classes.is_empty() {
@@ -306,8 +307,8 @@
         if let Some((server, factor)) =
             self.server_weights.iter().find(|(_, w)| !SERVER_WEIGHT_RANGE.contains(w))
         {
-            let (least, most) = SERVER_WEIGHT_RANGE.into_inner();
-            return fail(format!("server_weights[{}]: {factor} is outside {least} to {most}", server.0));
+            let (min, max) = SERVER_WEIGHT_RANGE.into_inner();
+            return fail(format!("server_weights[{}]: {factor} is outside {min} to {max}", server.0));
         }
         for (n, class) in self.classes.iter().enumerate() {
             amounts.push((format!("classes[{n}].slo"), class.slo));
@@ -334,38 +335,39 @@
         Ok(())
     }
 
-    /// How often requests that wait are looked at: far below every aim, and often enough that an answer at the
-    /// deadline comes within its slack.
-    pub(crate) fn period(&self) -> Millis {
-        let aim = self.classes.iter().map(|c| c.slo).fold(f64::INFINITY, f64::min);
-        (aim / 20.0).max(self.tick).max(1.0)
+    /// Interval between looks at the queue: far below every objective, and short enough that an answer at the
+    /// deadline still counts as in time.
+    pub(crate) fn sweep_interval(&self) -> Millis {
+        let min_slo = self.classes.iter().map(|c| c.slo).fold(f64::INFINITY, f64::min);
+        (min_slo / 20.0).max(self.tick).max(1.0)
     }
 
-    /// A node's own part of a tenant's share, in requests a second: each is taken to get an even part.
-    pub(crate) fn own_quota(&self, tenant: usize) -> f64 {
+    /// This node's part of a tenant's quota, in requests per second; each node is assumed to receive an equal
+    /// part.
+    pub(crate) fn node_quota(&self, tenant: usize) -> f64 {
         self.tenants[tenant].quota_per_s / self.node_count as f64
     }
 
-    /// The operators' factor to a server's size.
-    pub(crate) fn factor(&self, server: ServerId) -> f64 {
+    /// The operators' factor for a server's size.
+    pub(crate) fn server_weight(&self, server: ServerId) -> f64 {
         self.server_weights.get(&server).copied().unwrap_or(1.0)
     }
 
-    /// May a node that is in service go over to `new`? What a request may do twice, the rules and who the
-    /// node is hold from its start to its end.
+    /// Checks that a node in service may change to `new`. Idempotency, the rules and the node's identity are
+    /// fixed while it runs.
     ///
     /// # Errors
-    /// Names the first field that may not change in service, or that makes no sense.
+    /// Names the first field that is invalid or may not change in service.
     pub fn check_update(&self, new: &Self) -> Result<(), SettingsError> {
         new.check()?;
         let (l, n) = (&self.limits, &new.limits);
-        let effects = |s: &Self| s.classes.iter().map(|c| c.idempotency).collect::<Vec<_>>();
+        let idempotency = |s: &Self| s.classes.iter().map(|c| c.idempotency).collect::<Vec<_>>();
         let same = [
             ("node_index", self.node_index == new.node_index),
             ("node_count", self.node_count == new.node_count),
-            ("classes: their number", self.classes.len() == new.classes.len()),
-            ("classes: an effect", effects(self) == effects(new)),
-            ("tenants: their number", self.tenants.len() == new.tenants.len()),
+            ("classes: count", self.classes.len() == new.classes.len()),
+            ("classes: idempotency", idempotency(self) == idempotency(new)),
+            ("tenants: count", self.tenants.len() == new.tenants.len()),
             ("over_quota_worth", self.over_quota_worth == new.over_quota_worth),
             ("goal", self.goal == new.goal),
             ("limits.hedging", l.hedging == n.hedging),
@@ -384,127 +386,127 @@
     }
 }
 
-/// What the list says of a server.
+/// State of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
     /// In service.
     Up,
-    /// Finishing its work; nothing new may be sent.
+    /// Finishing its work; nothing new may be sent to it.
     Draining,
     /// Gone.
     #[default]
     Gone,
 }
 
-/// One entry of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, Default)]
 pub struct Entry {
     /// The server.
     pub server: ServerId,
     /// Its zone, as a number.
     pub zone: u64,
-    /// The cell that it shares its memory of keys with.
+    /// Its cell: servers that share the record of executed keys.
     pub cell: u64,
     /// Its kind of machine, as a number.
     pub kind: u64,
     /// Its state.
     pub state: ServerState,
-    /// A figure to compare with other servers'.
+    /// Relative weight; see [`Weights`].
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None` for long ago.
     pub started_at: Option<Millis>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Answered successfully.
     Success,
-    /// Answered by an error; it may have run.
+    /// Answered with an error; it may have been executed.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the server without being looked at.
     Rejected,
-    /// No answer in time; it may have run, or may still.
+    /// No answer in time; it may have been executed, or may still be.
     TimedOut,
-    /// No connection; it never ran.
+    /// Connecting failed; it was not executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; it may have been executed.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have been executed.
     Cancelled,
-    /// Never sent.
+    /// Not sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Does this outcome prove that the request never ran?
+    /// Whether this outcome proves that the request was not executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 
-    /// What it says of its server.
+    /// What the outcome says about the server, as evidence for ballots.
     pub fn evidence(self) -> Evidence {
-        let one = |kind| u32::from(self == kind);
+        let count = |kind| u32::from(self == kind);
         Evidence {
             attempts: u32::from(!matches!(self, Self::Rejected | Self::Cancelled | Self::NotSent)),
-            connects: one(Self::ConnectFailed),
-            breaks: one(Self::Reset),
-            timeouts: one(Self::TimedOut),
-            errors: one(Self::Error),
+            connects: count(Self::ConnectFailed),
+            breaks: count(Self::Reset),
+            timeouts: count(Self::TimedOut),
+            errors: count(Self::Error),
         }
     }
 }
 
-/// What happens to a node.
+/// Something that happened to the node.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The whole list: what it leaves out is gone.
+    /// The whole list; servers that it omits are gone.
     List {
         /// Its entries.
         entries: Vec<Entry>,
-        /// As last seen before a restart: perhaps out of date, and no answer to a call.
+        /// Restored from before a restart: possibly out of date, and not an answer from discovery.
         saved: bool,
     },
     /// The entries that changed.
     ListChange(Vec<Entry>),
-    /// Asking failed, or the subscription dropped.
+    /// Asking for the list failed, or the subscription broke.
     ListFailed,
-    /// Operators take a server out: nothing new may go to it, whatever the list says, until they give it back.
+    /// Operators disabled a server: it gets nothing new until it is enabled, whatever the list says.
     Disable(ServerId),
-    /// Operators have given a server back, which they started anew meanwhile.
+    /// Operators enabled a server, which was restarted meanwhile.
     Enable {
         /// The server.
         server: ServerId,
-        /// When they did; perhaps before this node's own start.
+        /// When it was enabled; possibly before this node's start.
         enabled_at: Millis,
     },
-    /// The settings from now on. What came before keeps to those that it came under; the limits, paces and
-    /// allowances that were learned or saved up stay, as far as the new ones let them. Settings that the
-    /// present ones may not become, see [`Settings::check_update`], change nothing.
+    /// New settings. Requests already here keep the ones they arrived under; learned limits, rates and
+    /// budgets are kept within the new bounds. Settings that [`Settings::check_update`] refuses change
+    /// nothing.
     Policy(Box<Settings>),
-    /// The group's newest word, whole: the rulings in force for this node; what it leaves out has come back. To be
-    /// given at each answer of the group, also when nothing has changed, as it tells how old the word is.
+    /// All verdicts in force for this node; servers that it omits are back. To be given on every answer of
+    /// the group, changed or not, as it also tells the age of the group's message.
     Verdicts(Vec<ServerVerdict>),
-    /// A client asks for something; one final answer is owed from now on.
+    /// A client's request; exactly one final answer is owed.
     Request {
         /// The request.
         id: RequestId,
-        /// Its class, an index into the settings'.
+        /// Index of its class in the settings.
         class: usize,
-        /// Its tenant, if any.
+        /// Index of its tenant, if any.
         tenant: Option<usize>,
-        /// When the client gives up. A repeat of a refused request whose client still counts from its first
-        /// asking comes with less time than a new one, and is treated as the older one that it is.
+        /// When the client gives up. A repeat of a refused request whose client counts from its first try
+        /// arrives with less time than a new request, and is treated as that old.
         deadline: Millis,
-        /// Its body is passed on as it comes. Until it is whole its server has no work of it; it can be sent
-        /// just once.
+        /// The body is forwarded as it arrives: it can be sent only once, and gives its server no work before
+        /// it is complete.
         streaming_body: bool,
-        /// Its client has marked it as a repeat of one that was refused, failed or given up.
+        /// The client marked it as a repeat of a request that was refused, failed or given up.
         is_retry: bool,
-        /// How much work it is, as time on a standard core, where its client guesses it.
+        /// The client's estimate of its work, as time on a standard core.
         estimated_work: Option<Millis>,
     },
-    /// A request that was coming is whole: its time counts from now on.
+    /// A streamed body is complete; the request's time counts from now on.
     BodyComplete {
         /// The request.
         id: RequestId,
@@ -524,7 +526,7 @@
         id: RequestId,
         /// The attempt's number, from 0.
         attempt: usize,
-        /// Where it was sent.
+        /// The server that it was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
@@ -533,7 +535,7 @@
         /// The client has its final answer.
         answered: bool,
     },
-    /// A probe came back.
+    /// A probe ended.
     ProbeEnded {
         /// The server.
         server: ServerId,
@@ -542,94 +544,96 @@
         /// Time since it was sent.
         elapsed: Millis,
     },
-    /// The client left; nothing is owed any more.
+    /// The client is gone; no answer is owed any more.
     ClientGone(RequestId),
-    /// The timer asked for is due.
+    /// A timer set by [`Action::SetTimer`] is due.
     Timer,
 }
 
-/// What a node does.
+/// Something the node is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the request's next attempt; attempts are numbered from 0.
+    /// Start the next attempt of a request; attempts are numbered from 0.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// Give it up after this; `None`: when the client does.
+        /// When to give the attempt up; `None`: when the client does.
         timeout: Option<Millis>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: usize,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused; repeating it is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0: no advice.
+        /// How long the client should wait before repeating it; 0 for no advice.
         retry_after: Millis,
     },
     /// Final answer: failed.
     Fail(RequestId),
-    /// Send [`Event::Timer`] after this time; an earlier one still holds.
+    /// Deliver [`Event::Timer`] after this time; timers set earlier stay set.
     SetTimer(Millis),
-    /// Ask for the list's changes from now on.
+    /// Subscribe to the list.
     Subscribe,
     /// Probe a server.
     Probe(ServerId),
 }
 
-/// What a node holds of its servers, as of the last event, where votes are on.
+/// A node's ballots on its servers, as of the last event, if votes are on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BallotReport {
-    /// It is for the removal of so many that the fault is likelier its own.
+    /// It is for the removal of so many servers that the fault is more likely its own.
     pub self_doubt: bool,
-    /// Rulings, bans and drains would leave less than half of the listed servers: rulings are not heeded.
+    /// Verdicts, disabled and draining servers would leave less than half of the listed ones: verdicts are
+    /// ignored.
     pub panic_mode: bool,
-    /// The group's word is too old: the node acts on its own evidence.
+    /// The group's last message is too old: the node acts on its own evidence.
     pub isolated: bool,
-    /// How many servers it suspects.
+    /// Number of servers that it suspects.
     pub suspects: usize,
-    /// One for each listed server that it has enough evidence on, sorted by server.
+    /// One for each listed server with enough evidence, sorted by server.
     pub ballots: Vec<LocalBallot>,
 }
 
-/// What a node holds of one server.
+/// A node's ballot on one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalBallot {
     /// The server.
     pub server: ServerId,
-    /// Should it be removed, or stay so?
+    /// For or against its removal.
     pub stand: Stand,
-    /// What was seen within the window of the process that is listed.
+    /// Observed within the window, of the server's listed process.
     pub evidence: Evidence,
 }
 
-/// How a node's servers are doing, as far as the module has seen; the servers are those that it rotates over.
+/// How a node's servers are doing; "servers" are those in its rotation.
+/// Its `Display` text is part of the node's status output.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Status {
-    /// Requests held at the node.
+    /// Requests queued at the node.
     pub queued: usize,
-    /// Attempts that are out.
+    /// Outstanding attempts.
     pub in_flight: usize,
-    /// Servers that have some of them.
+    /// Servers with outstanding attempts.
     pub busy_servers: usize,
-    /// Servers.
+    /// Servers in the rotation.
     pub servers: usize,
-    /// Those that are ejected.
+    /// Ejected servers.
     pub ejected: usize,
-    /// Of these, those that seem to have no process.
+    /// Of these, those whose process seems to be down.
     pub down: usize,
-    /// Those that are warming up.
+    /// Servers that are warming up.
     pub cold: usize,
-    /// The sum of their limits on attempts.
+    /// The sum of their concurrency limits.
     pub total_limit: f64,
-    /// The factor to all limits, where it is below 1.
+    /// Factor applied to all limits where it is below 1.
     pub fleet_factor: f64,
 }
 
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,9 +1,8 @@
-//! The decisions; interface: `src/api.rs`.
+//! The decision logic of a node; its interface is `src/api.rs`.
 //!
-//! Each request goes to the server whose turn it is: a smooth weighted rotation over the sorted servers,
-//! begun at the node's own offset, one send per turn, blind to load. A server that is not ready is passed
-//! over in place. All else here settles who is ready, when an attempt is given up or repeated, and when a
-//! request is refused.
+//! Requests go out by smooth weighted round robin over the servers sorted by id, starting at the node's own
+//! offset: one turn per send, whatever the load. A server that is not ready loses its turn and keeps its
+//! place. The rest decides who is ready, and when attempts end or are repeated and requests refused.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,160 +12,160 @@
 
 use crate::api::*;
 
-/// Part of the cold budget that is used; the rest is for chance and for uneven nodes.
-const SLOW_START_CAUTION: f64 = 0.5;
-/// Nodes that share one server where there are many: their uneven traffic evens out, each sees it often.
+/// Part of a cold server's budget that is used; the rest absorbs chance and uneven traffic between nodes.
+const SLOW_START_BUDGET_SHARE: f64 = 0.5;
+/// Nodes per server in a large fleet: their uneven traffic averages out, and each sees the server often.
 const NODES_PER_SERVER: usize = 8;
-/// The fewest servers that a node rotates over, so that there is a round, and another when one fails.
-const SUBSET_LEAST: usize = 2;
-
-/// In how many steps the subset follows the warmth of its servers.
-const WARMTH_STEPS: f64 = 32.0;
-
-/// Part of its aim that an answer should take on average: what is more makes too many late.
-const PACE_TARGET: f64 = 0.35;
-/// What an answer that came too late, or never, counts as, in parts of its aim.
-const LATE: f64 = 1.25;
-/// What an attempt that was cut off at its aim counts as: it would have taken about as long again.
-const CUT: f64 = 2.0;
-/// How strongly one answer moves the limit of its server, and how much it takes of one far from reached.
+/// With two servers there is still a rotation, and one server left when the other fails.
+const MIN_SUBSET: usize = 2;
+
+/// Number of steps in which the subset is adapted while its servers warm up.
+const WARMUP_STEPS: f64 = 32.0;
+
+/// Average latency to aim for, as a part of the SLO; with a higher average too many answers are late.
+const TARGET_RATIO: f64 = 0.35;
+/// Latency recorded for an answer that came late or never, as a part of the SLO.
+const LATE_RATIO: f64 = 1.25;
+/// Latency recorded for an attempt cut off at its SLO: it would have taken about as long again.
+const CUT_OFF_RATIO: f64 = 2.0;
+/// Effect of one answer on its server's limit, and the decay per answer of a limit that is far from reached.
 const LIMIT_GAIN: f64 = 0.25;
-const LIMIT_FADE: f64 = 0.02;
-/// Part of its aim beyond which an answer tells that its server has too many turns.
-const SHARE_FROM: f64 = 0.25;
-/// How strongly one answer moves the learned share of its server, and how much of it is forgotten.
-const SHARE_GAIN: (f64, f64) = (0.05, 0.005);
-/// How strongly one answer moves the usual time of its class on its kind of machine.
-const TIME_GAIN: f64 = 0.02;
-/// Attempts of all nodes out at a server at first, and the least own limit; below one, it rests between them.
-const LIMITS: (f64, f64) = (8.0, 0.05);
+const LIMIT_DECAY: f64 = 0.02;
+/// Latency, as a part of the SLO, above which an answer indicates that its server gets too many turns.
+const TURN_SHARE_THRESHOLD: f64 = 0.25;
+/// Effect of one answer on the learned turn share of its server, and the decay of that share per answer.
+const TURN_SHARE_GAIN: f64 = 0.05;
+const TURN_SHARE_DECAY: f64 = 0.005;
+/// Weight of one answer in the base latency of its class on its kind of machine.
+const BASE_LATENCY_GAIN: f64 = 0.02;
+/// Initial limit on all nodes' concurrent attempts at a server; lowest limit of a node, which pauses below 1.
+const INITIAL_LIMIT: f64 = 8.0;
+const MIN_LIMIT: f64 = 0.05;
 /// Initial limit where the one above is at most one attempt per node sharing the server. It is lower, as many
 /// nodes that may each send at once overload a server before any sees an answer.
-const SPACED: f64 = 5.0;
-/// How far the fleet's factor may rise above 1, so that a few late answers do not make it act.
-const FLEET_RESERVE: f64 = 2.0;
-/// Part of its aim that a request may be held at the node: in a burst, and in a lasting overload.
-const HOLD: (f64, f64) = (0.25, 0.1);
-
-/// A try with this part of the most time that one ever had left is not cut short; the rest is the way here.
-const WHOLE_TRY: f64 = 0.98;
-/// Part of its aim that the client of a refused request should stay away.
-const STAY_AWAY: f64 = 0.25;
-
-/// Over which time it is counted who is served how well.
-const MEMORY: Millis = 60_000.0;
-/// How far above the worst served part a class or tenant still counts nearly as the worst.
-const NEAR_WORST: f64 = 0.05;
+const CROWDED_INITIAL_LIMIT: f64 = 5.0;
+/// Upper bound of the fleet factor. The range above 1 keeps a few late answers from reducing limits.
+const MAX_FLEET_FACTOR: f64 = 2.0;
+/// Part of its SLO for which a request may be queued at the node: in a burst, and in a lasting overload.
+const MAX_QUEUE_FRACTION: f64 = 0.25;
+const OVERLOAD_QUEUE_FRACTION: f64 = 0.1;
+
+/// A try with this part of the longest time seen was not cut short; the rest is transit time.
+const FULL_TRY_FRACTION: f64 = 0.98;
+/// Part of the SLO that the client of a refused request is told to wait.
+const RETRY_AFTER_FRACTION: f64 = 0.25;
+
+/// Time over which the worth requested and served is averaged.
+const SERVICE_WINDOW: Millis = 60_000.0;
+/// Difference in served share within which a class or tenant counts nearly as much as the worst-served one.
+const WORST_SERVED_MARGIN: f64 = 0.05;
 
 /// The decision module of one node.
 pub struct Balancer {
-    set: Arc<Settings>,
-    /// How often requests that wait are looked at; no rarer than any of them needs.
-    period: Millis,
-    random: SplitMix64,
+    settings: Arc<Settings>,
+    /// Interval between looks at the queue; short enough for every request in it.
+    sweep_interval: Millis,
+    rng: SplitMix64,
     now: Millis,
     servers: BTreeMap<ServerId, Server>,
-    /// Those that operators have taken out, listed or not.
+    /// Servers disabled by operators, listed or not.
     disabled: BTreeSet<ServerId>,
-    /// What the group has ruled, listed or not: is it probed from here, and when does the ruling lapse?
-    rulings: BTreeMap<ServerId, (bool, Millis)>,
-    /// When the group's newest word came.
-    word: Millis,
-    /// All servers that are up and not taken out, in the order in which this node would rather use them.
-    order: Vec<ServerId>,
-    /// Those that it rotates over, sorted, and when they were chosen.
+    /// Servers removed by the group, listed or not: probed by this node? When does the verdict lapse?
+    verdicts: BTreeMap<ServerId, (bool, Millis)>,
+    last_group_contact: Millis,
+    /// All servers that are up and not disabled, in this node's order of preference.
+    preference: Vec<ServerId>,
+    /// The servers of the rotation, sorted, and when they were chosen.
     subset: Vec<ServerId>,
-    chosen: Millis,
+    chosen_at: Millis,
     requests: BTreeMap<RequestId, Request>,
-    waiting: Vec<RequestId>,
-    /// The turn that was taken last, and the server that it fell to.
+    queue: Vec<RequestId>,
+    /// Time of the last turn, on the rotation's own scale, and the server that had it.
     cursor: f64,
-    cursor_at: Option<ServerId>,
-    /// Since when some have been held without a break.
-    held_since: Option<Millis>,
-    /// When one was last refused that no server had room for.
-    shed: Millis,
-    classes: Vec<ClassStats>,
-    tenants: Vec<TenantStats>,
-    /// Factor to all limits where it is below 1: how far the fleet as a whole has slowed down.
-    fleet: f64,
-    /// Requests answered a second, for one unit of weight; those that came stand in until one has been.
-    pace: Rate,
+    cursor_server: Option<ServerId>,
+    /// Since when the queue has not been empty.
+    queue_since: Option<Millis>,
+    /// When a request was last refused because no server had capacity for it.
+    last_shed: Millis,
+    class_stats: Vec<ClassStats>,
+    tenant_stats: Vec<TenantStats>,
+    /// Factor applied to all limits where it is below 1: how far the fleet as a whole has slowed down.
+    fleet_factor: f64,
+    /// Requests answered per second and unit of server size; arrivals stand in until the first answer.
+    service_rate: Rate,
     arrivals: Rate,
-    /// For each kind of machine, the usual time of each class on a server that has nothing else of ours.
-    times: BTreeMap<u64, Vec<Millis>>,
+    /// For each kind of machine, the latency of each class on a server with no other attempt of this node.
+    base_latency: BTreeMap<u64, Vec<Millis>>,
     actions: Vec<Action>,
-    /// When the timer comes that was asked for last, and when what time brings was last looked at.
+    /// When the timer set last is due, and when time-driven work was last done.
     timer_due: Millis,
-    swept: Millis,
-    call: Call,
+    last_sweep: Millis,
+    subscription: Subscription,
 }
 
-/// A server of the list, and what this node has seen of it.
+/// A listed server and what this node has observed of it.
 #[derive(Default)]
 struct Server {
     entry: Entry,
-    /// Its size as far as the list tells, the operators' factor to that, and a learned one.
+    /// Size according to the list, the operators' weight for it, and a learned correction.
     size: f64,
-    factor: f64,
-    share: f64,
-    /// When its next turn comes, the rotation takes the least; and its warmth when that was set.
-    turn: f64,
-    turn_warmth: f64,
-    /// Own attempts that are out: request, attempt.
-    out: Vec<(RequestId, usize)>,
-    /// How many own attempts may be out while the fleet as a whole is not slow.
+    weight: f64,
+    turn_share: f64,
+    /// When its next turn comes on that scale, the lowest first; and its turn fraction when that was set.
+    next_turn: f64,
+    fraction: f64,
+    /// This node's outstanding attempts: request and attempt number.
+    in_flight: Vec<(RequestId, usize)>,
+    /// Limit on this node's concurrent attempts, before the fleet factor.
     limit: f64,
     last_sent: Millis,
-    last_took: Millis,
-    /// Time-outs and errors in a row.
+    last_latency: Millis,
+    /// Timeouts and errors in a row.
     consecutive_failures: u32,
-    /// Refused and broken connections in a row, and when the first of them came.
-    consecutive_breaks: u32,
-    broke: Millis,
+    /// Refused and broken connections in a row, and when the first of them occurred.
+    connection_failures: u32,
+    failing_since: Millis,
     ejections: u32,
-    /// Ejected; looked at again from then on.
-    ejected: Option<Millis>,
-    /// Ejected for refused or broken connections: a process that will come back cold.
+    /// Set while ejected: when it is next probed.
+    ejected_until: Option<Millis>,
+    /// Ejected for refused or broken connections: its process will be cold when it returns.
     down: bool,
     probing: bool,
-    /// Failed as one that is ejected, where that is left to votes; until it serves again.
+    /// Failed like an ejected server while removal is left to votes; cleared by a success.
     suspect: bool,
-    /// Removed by the group; is it probed from here?
-    ruled: Option<bool>,
-    /// Evidence by halves of the window, each with the half's number.
-    seen: [(i64, Evidence); 2],
-    /// Of this, what came since the last good answer.
-    run: [(i64, Evidence); 2],
-    /// Came back at that time from what looked like a restart.
-    returned: Option<Millis>,
-    /// A part of 1, by which the first send to it is put off while it is cold.
+    /// Set while removed by the group: whether this node probes it.
+    removal: Option<bool>,
+    /// Evidence in two halves of the evidence window, each with the number of its half.
+    evidence: [(i64, Evidence); 2],
+    /// The part of `evidence` since the last success.
+    failure_run: [(i64, Evidence); 2],
+    /// When it came back from an apparent restart.
+    restart: Option<Millis>,
+    /// Random fraction, 0 to 1, by which the first send is delayed while the server is cold.
     stagger: f64,
 }
 
-/// Where the body of a request is.
 #[derive(Clone, Copy, PartialEq)]
 enum Body {
-    /// At the node, for as many attempts as it takes.
-    Kept,
-    /// On its way through; its server has no work of it yet.
-    Coming,
-    /// At its server alone.
-    Passed,
+    /// At the node, for as many attempts as needed.
+    Buffered,
+    /// Being forwarded; no work for the server yet.
+    Streaming,
+    Streamed,
 }
 
 struct Request {
-    /// The settings that it came under: it is judged by them to its end.
-    set: Arc<Settings>,
+    /// The settings in force when it arrived; they apply until it ends.
+    settings: Arc<Settings>,
     body: Body,
     work: Option<Millis>,
     class: usize,
-    /// Its tenant, where it is within that one's share.
+    /// Its tenant, if the request is within that tenant's quota.
     tenant: Option<usize>,
     worth: f64,
-    /// When the client first asked, as far as its deadline tells, and when this try of it came.
-    asked: Millis,
-    came: Millis,
+    /// When the client first asked, derived from its deadline; and when this try arrived.
+    asked_at: Millis,
+    arrived: Millis,
     deadline: Millis,
     attempts: Vec<Attempt>,
     streaming: bool,
@@ -174,140 +173,132 @@
 
 #[derive(Clone)]
 struct Attempt {
-    /// Its server, as it was listed then.
-    to: Entry,
-    sent: Millis,
-    /// The server was at half its limit at least with it, or had rested for less than twice its time.
+    /// The server as listed when the attempt was sent.
+    entry: Entry,
+    sent_at: Millis,
+    /// The server was at half its limit with it, or had paused for less than twice its send pause.
     at_limit: bool,
-    /// The server held nothing else of ours.
-    alone: bool,
+    only_attempt: bool,
     outcome: Option<Outcome>,
 }
 
-/// What is usual for a class, and how well it is served.
 #[derive(Default)]
 struct ClassStats {
-    mean: Millis,
-    /// Mean work of those that were answered, as far as clients guess it.
-    work: Millis,
-    seen: u32,
-    /// By how much of its aim answers exceed the target, on average.
-    excess: f64,
-    /// The most time that a request had left when it came.
-    most_left: Millis,
-    /// How many further attempts it may still have.
+    latency: Millis,
+    /// Mean of the clients' work estimates for requests that were answered.
+    mean_work: Millis,
+    answers: u32,
+    /// Mean latency above `TURN_SHARE_THRESHOLD`, as a part of the SLO.
+    mean_excess: f64,
+    /// The longest time left that a request had on arrival.
+    max_left: Millis,
+    /// Retries that may still be sent.
     retry_budget: f64,
-    care: Care,
+    service: ServiceShare,
 }
 
-/// A tenant's use of its share, and how well it is served within it.
 #[derive(Default)]
 struct TenantStats {
-    /// Own part of the share, in requests that may still come within it, and when that was counted.
-    left: f64,
-    counted: Millis,
-    care: Care,
+    /// This node's part of the quota still available, in requests, and when that was computed.
+    remaining: f64,
+    updated_at: Millis,
+    service: ServiceShare,
 }
 
-/// A rate that forgets.
+/// An exponentially decaying rate.
 #[derive(Default)]
 struct Rate {
     per_s: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
-/// Worth asked for and served.
 #[derive(Default)]
-struct Care {
-    asked: Rate,
+struct ServiceShare {
+    requested: Rate,
     served: Rate,
 }
 
-/// The state of the calls to discovery.
 #[derive(PartialEq)]
-enum Call {
-    /// Not needed, or subscribed.
-    Settled,
-    /// Asked at this time, after so many failures.
-    Asked(Millis, u32),
-    /// To be asked at this time.
-    AskAt(Millis, u32),
+enum Subscription {
+    /// Not needed, or established.
+    Idle,
+    /// Requested at this time, after this many failures.
+    Pending(Millis, u32),
+    /// To be requested at this time, after this many failures.
+    Due(Millis, u32),
 }
 
-/// From 0 to 1.
-fn chance(random: &mut SplitMix64) -> f64 {
-    (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+/// Uniform in [0, 1).
+fn uniform(rng: &mut SplitMix64) -> f64 {
+    (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
 impl Rate {
-    fn add(&mut self, now: Millis, span: Millis, amount: f64) {
-        self.per_s = self.at(now, span) + amount * 1000.0 / span.max(1.0);
-        self.at = now;
+    fn add(&mut self, now: Millis, window: Millis, amount: f64) {
+        self.per_s = self.at(now, window) + amount * 1000.0 / window.max(1.0);
+        self.updated_at = now;
     }
 
-    fn at(&self, now: Millis, span: Millis) -> f64 {
-        self.per_s * (-(now - self.at).max(0.0) / span.max(1.0)).exp()
+    fn at(&self, now: Millis, window: Millis) -> f64 {
+        self.per_s * (-(now - self.updated_at).max(0.0) / window.max(1.0)).exp()
     }
 }
 
 impl ClassStats {
-    /// How long ago the client first asked. One that comes back after a refusal still gives up when the time
-    /// of its first asking ends; the most time that requests of its class ever had left is that of new ones.
-    /// Where clients may repeat what they have given up, each try has a time of its own, cut short where the
-    /// client's whole time ends sooner: of those marked as repeats, that tells when they first asked.
-    fn age(&mut self, class: &Class, left: Millis, again: bool) -> Millis {
-        self.most_left = self.most_left.max(if left.is_finite() { left } else { f64::NEG_INFINITY });
-        let most = self.most_left;
+    /// How long ago the client first asked. A client that returns after a refusal still gives up when its
+    /// first try's time ends; the longest time left ever seen in the class is that of a new request. Where
+    /// clients may repeat what they gave up, a try cut short by the deadline tells when they first asked.
+    fn request_age(&mut self, class: &Class, left: Millis, is_retry: bool) -> Millis {
+        self.max_left = self.max_left.max(if left.is_finite() { left } else { f64::NEG_INFINITY });
+        let max = self.max_left;
         match class.idempotency {
             Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. } => match class.deadline {
-                all if !again || all.is_infinite() => 0.0,
-                all if left < WHOLE_TRY * most => (all - left).max(0.0),
-                // Asked at some time between now and when its try would have been cut short.
-                all => ((all - most) / 2.0).max(0.0),
+                all if !is_retry || all.is_infinite() => 0.0,
+                all if left < FULL_TRY_FRACTION * max => (all - left).max(0.0),
+                // First asked between now and the moment from which the try would have been cut short.
+                all => ((all - max) / 2.0).max(0.0),
             },
-            _ => (most - left).max(0.0),
+            _ => (max - left).max(0.0),
         }
     }
 }
 
 impl Server {
-    fn new(entry: Entry, factor: f64) -> Self {
-        let (turn, limit, last_sent) = (f64::NAN, f64::NAN, f64::NEG_INFINITY);
-        Self { entry, factor, share: 1.0, turn, turn_warmth: 1.0, limit, last_sent, ..Self::default() }
+    fn new(entry: Entry, weight: f64) -> Self {
+        let (next_turn, limit, last_sent) = (f64::NAN, f64::NAN, f64::NEG_INFINITY);
+        Self { entry, weight, turn_share: 1.0, next_turn, fraction: 1.0, limit, last_sent, ..Self::default() }
     }
 
-    /// What was seen of the process before says nothing about the one that runs now.
-    fn restarted(&mut self, returned: Option<Millis>) {
-        (self.consecutive_failures, self.consecutive_breaks, self.ejections) = (0, 0, 0);
-        (self.ejected, self.returned, self.turn) = (None, returned, f64::NAN);
-        (self.suspect, self.seen, self.run) = Default::default();
-        self.limit = if returned.is_some() { f64::NAN } else { self.limit };
+    /// Discards what was observed of the previous process.
+    fn reset_observations(&mut self, restart: Option<Millis>) {
+        (self.consecutive_failures, self.connection_failures, self.ejections) = (0, 0, 0);
+        (self.ejected_until, self.restart, self.next_turn) = (None, restart, f64::NAN);
+        (self.suspect, self.evidence, self.failure_run) = Default::default();
+        self.limit = if restart.is_some() { f64::NAN } else { self.limit };
     }
 
-    /// Does it get nothing now?
-    fn shut(&self) -> bool {
-        self.ejected.is_some() || self.ruled == Some(false)
+    fn is_excluded(&self) -> bool {
+        self.ejected_until.is_some() || self.removal == Some(false)
     }
 
-    /// Does it get its full turns as far as that goes?
-    fn trusted(&self) -> bool {
-        self.ejected.is_none() && !self.suspect && self.ruled.is_none()
+    /// Whether nothing but warm-up reduces its turns.
+    fn is_trusted(&self) -> bool {
+        self.ejected_until.is_none() && !self.suspect && self.removal.is_none()
     }
 
-    /// What was seen within the window that ends with this half.
-    fn evidence(&self, half: i64) -> Evidence {
-        let recent = self.seen.iter().filter(|(at, _)| *at == half || *at == half - 1);
+    fn recent_evidence(&self, half: i64) -> Evidence {
+        let recent = self.evidence.iter().filter(|(at, _)| *at == half || *at == half - 1);
         recent.fold(Evidence::default(), |sum, (_, more)| sum.and(more))
     }
 
-    /// How many own attempts may be out, with the fleet's factor and the least limit.
-    fn allowed(&self, fleet: f64, least: f64) -> f64 {
-        (self.limit * fleet.min(1.0)).max(least)
+    /// The limit on this node's attempts, after the fleet factor and the lower bound.
+    fn usable_limit(&self, fleet_factor: f64, min_limit: f64) -> f64 {
+        (self.limit * fleet_factor.min(1.0)).max(min_limit)
     }
 
-    /// The part of its capacity that it has at the least, by the time since its start.
+    /// Lower bound of its available capacity, from 0 to 1, by the time since its start.
     fn warmth(&self, now: Millis, rules: &Rules) -> f64 {
-        let start = self.entry.started_at.into_iter().chain(self.returned).fold(f64::NEG_INFINITY, f64::max);
+        let start = self.entry.started_at.into_iter().chain(self.restart).fold(f64::NEG_INFINITY, f64::max);
         let age = (now - start).max(0.0);
         if age >= rules.warmup_time {
             return 1.0;
@@ -315,148 +306,146 @@
         rules.cold_capacity + (1.0 - rules.cold_capacity) * age / rules.warmup_time
     }
 
-    /// The part of its turns that it gets. Votes go by the whole server, as all classes share one rotation.
-    fn part(&self, now: Millis, set: &Settings) -> f64 {
-        let most = set.votes.as_ref().filter(|_| !self.trusted()).map_or(1.0, |v| v.trickle_share);
-        self.warmth(now, &set.rules).min(most)
+    /// The part of its turns that it gets. Votes cover the whole server, as all classes share one rotation.
+    fn turn_fraction(&self, now: Millis, settings: &Settings) -> f64 {
+        let max = settings.votes.as_ref().filter(|_| !self.is_trusted()).map_or(1.0, |v| v.trickle_share);
+        self.warmth(now, &settings.rules).min(max)
     }
 }
 
 impl Request {
-    fn new(set: Arc<Settings>, now: Millis, class: usize, deadline: Millis) -> Self {
-        let (body, work, tenant, worth, streaming) = (Body::Kept, None, None, 0.0, false);
-        let (asked, came, attempts) = (now, now, Vec::new());
-        Self { set, body, work, class, tenant, worth, asked, came, deadline, attempts, streaming }
+    fn new(settings: Arc<Settings>, now: Millis, class: usize, deadline: Millis) -> Self {
+        let (body, work, tenant, worth, streaming) = (Body::Buffered, None, None, 0.0, false);
+        let (asked_at, arrived, attempts) = (now, now, Vec::new());
+        Self { settings, body, work, class, tenant, worth, asked_at, arrived, deadline, attempts, streaming }
     }
 
-    /// Rule 2, for every further attempt and every refusal: is it harmless by what is known of the earlier
-    /// ones? `to` is the server to send to; `None` asks about a refusal.
+    /// Rule 2, applied to every further attempt and every refusal: is it harmless given what is known of the
+    /// earlier attempts? `to` is the server to send to, `None` for a refusal.
     fn may_repeat(&self, now: Millis, to: Option<&Entry>) -> bool {
-        let limits = &self.set.limits;
-        let mut ran = self.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran));
+        let limits = &self.settings.limits;
+        let mut executed = self.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran));
         if to.is_some() {
-            let most = if self.body == Body::Kept { limits.max_attempts } else { 1 };
-            if self.attempts.len() >= most || (self.pending() && !limits.hedging) {
+            let max_attempts = if self.body == Body::Buffered { limits.max_attempts } else { 1 };
+            if self.attempts.len() >= max_attempts || (self.has_outstanding() && !limits.hedging) {
                 return false;
             }
         }
         match self.class().idempotency {
             Idempotency::Safe => true,
-            Idempotency::Unsafe => ran.next().is_none(),
-            Idempotency::Keyed { scope, dedup_window } => ran.all(|a| match (scope, to) {
-                (_, Some(_)) if now - a.sent >= dedup_window => false,
+            Idempotency::Unsafe => executed.next().is_none(),
+            Idempotency::Keyed { scope, dedup_window } => executed.all(|a| match (scope, to) {
+                (_, Some(_)) if now - a.sent_at >= dedup_window => false,
                 (DedupScope::All, _) => true,
-                (DedupScope::Zone, to) => to.is_some_and(|to| to.zone == a.to.zone),
-                (DedupScope::Cell, to) => to.is_some_and(|to| to.cell == a.to.cell),
+                (DedupScope::Zone, to) => to.is_some_and(|to| to.zone == a.entry.zone),
+                (DedupScope::Cell, to) => to.is_some_and(|to| to.cell == a.entry.cell),
             }),
         }
     }
 
     fn class(&self) -> &Class {
-        &self.set.classes[self.class]
+        &self.settings.classes[self.class]
     }
 
     /// Until when an answer has its full worth, less the way back to the client.
-    fn useful_until(&self) -> Millis {
-        (self.asked + self.class().slo - self.set.tick).min(self.deadline).min(self.known_until())
+    fn full_worth_until(&self) -> Millis {
+        (self.asked_at + self.class().slo - self.settings.tick).min(self.deadline).min(self.key_known_until())
     }
 
-    /// Until when an answer is worth anything.
     fn worth_until(&self) -> Millis {
         if self.class().late_worth > 0.0 {
-            self.deadline.min(self.known_until())
+            self.deadline.min(self.key_known_until())
         } else {
-            self.useful_until()
+            self.full_worth_until()
         }
     }
 
-    /// Until when servers surely know the key of what may have run: a further attempt has to be over by then.
-    fn known_until(&self) -> Millis {
+    /// Until when servers surely know the key of what may have run: further attempts must end by then.
+    fn key_known_until(&self) -> Millis {
         let Idempotency::Keyed { dedup_window, .. } = self.class().idempotency else { return f64::INFINITY };
-        let ran = self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran));
-        ran.map_or(f64::INFINITY, |a| a.sent + dedup_window - self.set.tick)
+        let executed = self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran));
+        executed.map_or(f64::INFINITY, |a| a.sent_at + dedup_window - self.settings.tick)
     }
 
-    /// How much of its aim an attempt took, by which it counts for its server.
-    fn part(&self, outcome: Outcome, took: Millis) -> Option<f64> {
-        let part = took / self.class().slo;
+    /// Latency as a part of the SLO, as it counts for the server.
+    fn latency_ratio(&self, outcome: Outcome, elapsed: Millis) -> Option<f64> {
+        let part = elapsed / self.class().slo;
         match outcome {
-            Outcome::Success => Some(part.min(LATE)),
-            // Cut off when it was of no more use. One that had little time says little.
-            Outcome::TimedOut if self.class().late_worth == 0.0 => Some(CUT * part.min(1.0)),
-            Outcome::TimedOut | Outcome::Rejected => Some(LATE),
+            Outcome::Success => Some(part.min(LATE_RATIO)),
+            // Cut off when an answer had no more worth. An attempt that had little time says little.
+            Outcome::TimedOut if self.class().late_worth == 0.0 => Some(CUT_OFF_RATIO * part.min(1.0)),
+            Outcome::TimedOut | Outcome::Rejected => Some(LATE_RATIO),
             _ => None,
         }
     }
 
-    /// May it go there as far as votes go? A removed server is probed with what can go elsewhere after it.
+    /// Whether votes permit it: a removed server is probed only with what can be repeated elsewhere.
     fn may_probe(&self, to: &Server) -> bool {
         let safe = matches!(
             self.class().idempotency,
             Idempotency::Safe | Idempotency::Keyed { scope: DedupScope::All, .. }
         );
-        let first = self.attempts.is_empty() && self.set.limits.max_attempts > 1;
-        to.ruled.is_none() || (safe && first && self.body == Body::Kept)
+        let first = self.attempts.is_empty() && self.settings.limits.max_attempts > 1;
+        to.removal.is_none() || (safe && first && self.body == Body::Buffered)
     }
 
-    fn pending(&self) -> bool {
+    fn has_outstanding(&self) -> bool {
         self.attempts.iter().any(|a| a.outcome.is_none())
     }
 
-    /// Calls off all attempts that are out, where that is permitted.
-    fn cancelled(&self, id: RequestId) -> impl Iterator<Item = Action> + '_ {
-        let cancel = self.set.limits.cancel;
-        let out = self.attempts.iter().enumerate().filter(move |(_, a)| cancel && a.outcome.is_none());
-        out.map(move |(attempt, _)| Action::Cancel { id, attempt })
+    fn cancel_actions(&self, id: RequestId) -> impl Iterator<Item = Action> + '_ {
+        let cancel = self.settings.limits.cancel;
+        let open = self.attempts.iter().enumerate().filter(move |(_, a)| cancel && a.outcome.is_none());
+        open.map(move |(attempt, _)| Action::Cancel { id, attempt })
     }
 }
 
 impl Balancer {
-    /// A node at its start. `seed` is for its random numbers and should differ from node to node.
+    /// A node at its start. `seed` is for its random numbers and should differ between nodes.
     ///
     /// # Errors
-    /// Where the settings make no sense; see [`Settings::check`].
+    /// Invalid settings, see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let asked = settings.discovery == Discovery::Subscribed;
-        let call = if asked { Call::AskAt(f64::NEG_INFINITY, 0) } else { Call::Settled };
-        let most_left = f64::NEG_INFINITY;
+        let wanted = settings.discovery == Discovery::Subscribed;
+        let subscription = if wanted { Subscription::Due(f64::NEG_INFINITY, 0) } else { Subscription::Idle };
+        let max_left = f64::NEG_INFINITY;
         let retry_budget = settings.retry_budget.max;
         let class =
-            |c: &Class| ClassStats { mean: c.slo / 4.0, most_left, retry_budget, ..ClassStats::default() };
-        let tenant = |_| TenantStats { counted: f64::NEG_INFINITY, ..TenantStats::default() };
+            |c: &Class| ClassStats { latency: c.slo / 4.0, max_left, retry_budget, ..ClassStats::default() };
+        let tenant = |_| TenantStats { updated_at: f64::NEG_INFINITY, ..TenantStats::default() };
         Ok(Self {
-            period: settings.period(),
-            classes: settings.classes.iter().map(class).collect(),
-            tenants: settings.tenants.iter().map(tenant).collect(),
-            set: Arc::new(settings),
-            random: SplitMix64::seed_from_u64(seed),
+            sweep_interval: settings.sweep_interval(),
+            class_stats: settings.classes.iter().map(class).collect(),
+            tenant_stats: settings.tenants.iter().map(tenant).collect(),
+            settings: Arc::new(settings),
+            rng: SplitMix64::seed_from_u64(seed),
             now: 0.0,
             servers: BTreeMap::new(),
             disabled: BTreeSet::new(),
-            rulings: BTreeMap::new(),
-            word: f64::NEG_INFINITY,
-            order: Vec::new(),
+            verdicts: BTreeMap::new(),
+            last_group_contact: f64::NEG_INFINITY,
+            preference: Vec::new(),
             subset: Vec::new(),
-            chosen: f64::NEG_INFINITY,
+            chosen_at: f64::NEG_INFINITY,
             requests: BTreeMap::new(),
-            waiting: Vec::new(),
+            queue: Vec::new(),
             cursor: 0.0,
-            cursor_at: None,
-            held_since: None,
-            shed: f64::NEG_INFINITY,
-            fleet: 1.0,
-            pace: Rate::default(),
+            cursor_server: None,
+            queue_since: None,
+            last_shed: f64::NEG_INFINITY,
+            fleet_factor: 1.0,
+            service_rate: Rate::default(),
             arrivals: Rate::default(),
-            times: BTreeMap::new(),
+            base_latency: BTreeMap::new(),
             actions: Vec::new(),
             timer_due: f64::INFINITY,
-            swept: f64::NEG_INFINITY,
-            call,
+            last_sweep: f64::NEG_INFINITY,
+            subscription,
         })
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions, in order. `now` never decreases.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -465,32 +454,32 @@
             Event::ListFailed => self.on_list_failed(),
             Event::Disable(server) => {
                 self.disabled.insert(server);
-                self.regroup();
+                self.update_members();
             }
             Event::Enable { server, enabled_at } => self.on_enabled(server, enabled_at),
-            Event::Verdicts(rulings) => self.on_verdicts(rulings),
+            Event::Verdicts(verdicts) => self.on_verdicts(verdicts),
             Event::Policy(settings) => self.on_policy(*settings),
             Event::Request { id, class, tenant, deadline, streaming_body, is_retry, estimated_work } => {
-                let body = if streaming_body { Body::Coming } else { Body::Kept };
-                let new = Request::new(self.set.clone(), now, class, deadline);
+                let body = if streaming_body { Body::Streaming } else { Body::Buffered };
+                let new = Request::new(self.settings.clone(), now, class, deadline);
                 self.on_request(id, Request { body, tenant, work: estimated_work, ..new }, is_retry);
             }
-            Event::BodyComplete { id, deadline } => self.on_whole(id, deadline),
+            Event::BodyComplete { id, deadline } => self.on_body_complete(id, deadline),
             Event::Streaming { id, attempt } => self.on_streaming(id, attempt),
             Event::AttemptEnded { id, attempt, server, outcome, elapsed, answered } => {
                 let elapsed = if elapsed.is_finite() { elapsed.max(0.0) } else { 0.0 };
-                self.on_returned((id, attempt), server, outcome, elapsed);
+                self.release((id, attempt), server, outcome, elapsed);
                 self.on_ended(id, attempt, outcome, elapsed, answered);
             }
-            Event::ProbeEnded { server, outcome, .. } => self.on_probed(server, outcome),
-            Event::ClientGone(id) => drop(self.forget(id)),
+            Event::ProbeEnded { server, outcome, .. } => self.on_probe_ended(server, outcome),
+            Event::ClientGone(id) => drop(self.remove_request(id)),
             Event::Timer => {}
         }
         if now >= self.next_due() {
             self.sweep();
         }
-        // Timers cost CPU, of which a node has little: none is set but for what is to be done then.
-        let due = self.next_due().max(now + self.set.tick.max(1.0));
+        // Timers cost CPU time, of which a node has little: one is set only when something will be due.
+        let due = self.next_due().max(now + self.settings.tick.max(1.0));
         if due.is_finite() && (now >= self.timer_due || due < self.timer_due) {
             self.timer_due = due;
             self.actions.push(Action::SetTimer(due - now));
@@ -498,33 +487,33 @@
         actions.append(&mut self.actions);
     }
 
-    /// Who is ready, and how slow the fleet is.
+    /// How this node's servers and requests are doing, for logs.
     pub fn status(&self) -> Status {
-        let count = |of: &dyn Fn(&Server) -> bool| self.rotated().filter(|s| of(s)).count();
+        let count = |of: &dyn Fn(&Server) -> bool| self.rotation().filter(|s| of(s)).count();
         Status {
-            queued: self.waiting.len(),
-            in_flight: self.rotated().map(|s| s.out.len()).sum(),
-            busy_servers: count(&|s| !s.out.is_empty()),
+            queued: self.queue.len(),
+            in_flight: self.rotation().map(|s| s.in_flight.len()).sum(),
+            busy_servers: count(&|s| !s.in_flight.is_empty()),
             servers: self.subset.len(),
-            ejected: count(&|s| s.ejected.is_some()),
-            down: count(&|s| s.ejected.is_some() && s.down),
-            cold: count(&|s| s.warmth(self.now, &self.set.rules) < 1.0),
-            total_limit: self.rotated().map(|s| s.limit).sum(),
-            fleet_factor: self.fleet,
+            ejected: count(&|s| s.ejected_until.is_some()),
+            down: count(&|s| s.ejected_until.is_some() && s.down),
+            cold: count(&|s| s.warmth(self.now, &self.settings.rules) < 1.0),
+            total_limit: self.rotation().map(|s| s.limit).sum(),
+            fleet_factor: self.fleet_factor,
         }
     }
 
-    /// How many listed servers nothing is sent to now, taken out by operators or ejected.
+    /// The number of listed servers that get no requests now: disabled, ejected or removed.
     pub fn unavailable_servers(&self) -> usize {
         let listed = self.servers.iter().filter(|(_, s)| s.entry.state != ServerState::Gone);
-        listed.filter(|(id, s)| s.shut() || self.disabled.contains(id)).count()
+        listed.filter(|(id, s)| s.is_excluded() || self.disabled.contains(id)).count()
     }
 
-    /// What this node holds of its servers, for the group to count.
+    /// This node's ballots on its servers, for the group to count.
     pub fn ballots(&self) -> BallotReport {
-        let Some(votes) = &self.set.votes else { return BallotReport::default() };
+        let Some(votes) = &self.settings.votes else { return BallotReport::default() };
         let up = self.servers.values().filter(|s| s.entry.state == ServerState::Up);
-        let seen = up.clone().map(|s| (s.entry.server, s.evidence(votes.half(self.now))));
+        let seen = up.clone().map(|s| (s.entry.server, s.recent_evidence(votes.half_window(self.now))));
         let ballot = |(server, evidence): (ServerId, Evidence)| {
             let failed =
                 f64::from(evidence.failed()) >= votes.failure_threshold * f64::from(evidence.attempts);
@@ -532,69 +521,67 @@
         };
         let ballots: Vec<_> = seen.filter(|(_, e)| e.attempts >= votes.min_attempts).map(ballot).collect();
         // Of two servers that a node shares, one may be bad.
-        let most = (votes.self_doubt_threshold * ballots.len() as f64).max(1.0);
-        let self_doubt = ballots.iter().filter(|b| b.stand == Stand::For).count() as f64 > most;
+        let max_removals = (votes.self_doubt_threshold * ballots.len() as f64).max(1.0);
+        let self_doubt = ballots.iter().filter(|b| b.stand == Stand::For).count() as f64 > max_removals;
         let panic_mode =
-            self.servers.iter().any(|(id, s)| s.ruled.is_none() && self.rulings.contains_key(id));
-        let (isolated, suspects) = (self.voted().is_none(), up.filter(|s| s.suspect).count());
+            self.servers.iter().any(|(id, s)| s.removal.is_none() && self.verdicts.contains_key(id));
+        let (isolated, suspects) = (self.active_votes().is_none(), up.filter(|s| s.suspect).count());
         BallotReport { self_doubt, panic_mode, isolated, suspects, ballots }
     }
 
-    /// The votes' figures while the group's word is fresh: no server is then ejected on own evidence alone.
-    fn voted(&self) -> Option<&VoteSettings> {
-        self.set.votes.as_ref().filter(|v| self.now - self.word < v.contact_timeout)
+    /// The vote settings while the group is in contact: no server is then ejected on own evidence alone.
+    fn active_votes(&self) -> Option<&VoteSettings> {
+        self.settings.votes.as_ref().filter(|v| self.now - self.last_group_contact < v.contact_timeout)
     }
 
-    /// When time alone next calls for something.
     fn next_due(&self) -> Millis {
-        let call = match self.call {
-            Call::Settled => f64::INFINITY,
-            Call::AskAt(at, _) => at.max(0.0),
-            Call::Asked(at, _) => at + self.set.rules.discovery_deadline,
+        let subscription = match self.subscription {
+            Subscription::Idle => f64::INFINITY,
+            Subscription::Due(at, _) => at.max(0.0),
+            Subscription::Pending(at, _) => at + self.settings.rules.discovery_deadline,
         };
-        let held = if self.waiting.is_empty() { f64::INFINITY } else { self.swept + self.period };
-        let probes = self.rotated().filter(|s| !s.probing).filter_map(|s| s.ejected);
-        let lapses = self.rulings.values().map(|(_, lapse)| *lapse);
-        probes.chain(lapses).fold(call.min(held).min(self.warmer_at()), f64::min)
+        let queue = if self.queue.is_empty() { f64::INFINITY } else { self.last_sweep + self.sweep_interval };
+        let probes = self.rotation().filter(|s| !s.probing).filter_map(|s| s.ejected_until);
+        let lapses = self.verdicts.values().map(|(_, lapse)| *lapse);
+        probes.chain(lapses).fold(subscription.min(queue).min(self.next_warmup_step()), f64::min)
     }
 
-    /// When the subset next follows the warmth of its servers.
-    fn warmer_at(&self) -> Millis {
-        let step = self.set.rules.warmup_time / WARMTH_STEPS;
-        self.rotated().find(|s| s.turn_warmth < 1.0).map_or(f64::INFINITY, |_| self.chosen + step)
+    /// When the subset is next adapted to the warm-up of its servers.
+    fn next_warmup_step(&self) -> Millis {
+        let step = self.settings.rules.warmup_time / WARMUP_STEPS;
+        self.rotation().find(|s| s.fraction < 1.0).map_or(f64::INFINITY, |_| self.chosen_at + step)
     }
 
-    /// Requests that are here keep to the settings that they came under.
+    /// Requests already here keep the settings they arrived under.
     fn on_policy(&mut self, new: Settings) {
-        if self.set.check_update(&new).is_err() {
+        if self.settings.check_update(&new).is_err() {
             return;
         }
-        for tenant in 0..self.tenants.len() {
-            // Saved up under the old share; what is above the new one's most is cut when next asked for.
-            (self.tenants[tenant].left, self.tenants[tenant].counted) = (self.quota_left(tenant), self.now);
+        for tenant in 0..self.tenant_stats.len() {
+            // Accrued under the old quota; what exceeds the new maximum is cut at the next use.
+            (self.tenant_stats[tenant].remaining, self.tenant_stats[tenant].updated_at) =
+                (self.quota_left(tenant), self.now);
         }
-        for (stats, class) in self.classes.iter_mut().zip(&new.classes) {
-            // New requests would else be taken for old ones.
-            stats.most_left = stats.most_left.min(class.deadline);
+        for (stats, class) in self.class_stats.iter_mut().zip(&new.classes) {
+            // Otherwise new requests would be taken for old ones.
+            stats.max_left = stats.max_left.min(class.deadline);
             stats.retry_budget = stats.retry_budget.min(new.retry_budget.max);
         }
-        for (id, server) in self.servers.iter_mut().filter(|(id, s)| s.factor != new.factor(**id)) {
-            // The part of its round that it has waited for its turn stays the same.
-            let was = std::mem::replace(&mut server.factor, new.factor(*id));
-            server.turn = self.cursor + (server.turn - self.cursor) * was / server.factor;
+        for (id, server) in self.servers.iter_mut().filter(|(id, s)| s.weight != new.server_weight(**id)) {
+            // The part of the round that it has already waited is kept.
+            let was = std::mem::replace(&mut server.weight, new.server_weight(*id));
+            server.next_turn = self.cursor + (server.next_turn - self.cursor) * was / server.weight;
         }
-        self.period = self.period.min(new.period());
-        self.set = Arc::new(new);
-        if self.set.votes.is_none() {
-            self.rulings.values_mut().for_each(|(_, lapse)| *lapse = self.now);
+        self.sweep_interval = self.sweep_interval.min(new.sweep_interval());
+        self.settings = Arc::new(new);
+        if self.settings.votes.is_none() {
+            self.verdicts.values_mut().for_each(|(_, lapse)| *lapse = self.now);
         }
     }
 
-    // ---- The list of servers ----
-
     fn on_list(&mut self, entries: Vec<Entry>, answer: bool, whole: bool) {
         if answer {
-            self.call = Call::Settled;
+            self.subscription = Subscription::Idle;
         }
         if whole {
             for server in self.servers.values_mut() {
@@ -603,75 +590,75 @@
         }
         for mut entry in entries {
             entry.weight = Some(entry.weight).filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
-            // Live weights are load in disguise, late and alike for all nodes. The most that a server was
-            // ever listed at, when it held least, is its size.
-            let factor = self.set.factor(entry.server);
+            // Live weights are delayed load, alike at all nodes: the highest one listed, under least load, is
+            // the size.
+            let weight = self.settings.server_weight(entry.server);
             let server =
-                self.servers.entry(entry.server).or_insert_with(|| Server::new(entry.clone(), factor));
-            server.size = match self.set.weights {
+                self.servers.entry(entry.server).or_insert_with(|| Server::new(entry.clone(), weight));
+            server.size = match self.settings.weights {
                 Weights::Static => entry.weight,
                 Weights::Live => entry.weight.max(server.size),
                 Weights::None => 1.0,
             };
             if entry.started_at != server.entry.started_at {
-                // The group has ruled on the process before.
-                server.restarted(None);
-                self.rulings.remove(&entry.server);
+                // The group's verdict was about the previous process.
+                server.reset_observations(None);
+                self.verdicts.remove(&entry.server);
             }
             if server.entry.state != ServerState::Up {
-                server.turn = f64::NAN;
+                server.next_turn = f64::NAN;
             }
             server.entry = entry;
         }
-        // Kept while attempts are out, so that their outcomes still find it.
-        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.out.is_empty());
-        self.regroup();
+        // Servers with outstanding attempts are kept to receive their outcomes.
+        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.in_flight.is_empty());
+        self.update_members();
     }
 
-    /// Cold, as it was started anew, and as new to the rotation.
-    fn on_enabled(&mut self, id: ServerId, returned: Millis) {
+    /// The server was restarted, so it is cold and new to the rotation.
+    fn on_enabled(&mut self, id: ServerId, restart: Millis) {
         self.disabled.remove(&id);
         if let Some(server) = self.servers.get_mut(&id) {
-            server.restarted(Some(returned));
+            server.reset_observations(Some(restart));
         }
-        self.regroup();
+        self.update_members();
     }
 
-    /// Own evidence may keep own requests away for a short time; all else is the group's, once it is heard.
-    fn on_verdicts(&mut self, rulings: Vec<ServerVerdict>) {
-        let Some(votes) = &self.set.votes else { return };
-        for server in self.servers.values_mut().filter(|s| !s.suspect && s.ejected.is_some()) {
-            (server.suspect, server.probing, server.ejected) =
+    /// Own evidence may pause a server briefly; all else is the group's decision once it is in contact.
+    fn on_verdicts(&mut self, verdicts: Vec<ServerVerdict>) {
+        let Some(votes) = &self.settings.votes else { return };
+        for server in self.servers.values_mut().filter(|s| !s.suspect && s.ejected_until.is_some()) {
+            (server.suspect, server.probing, server.ejected_until) =
                 (true, false, Some(self.now + votes.suspect_pause));
         }
-        // Without news they lapse one by one: were all back at once, so would their failures be.
-        let mut lapse = || self.now + votes.contact_timeout * (1.0 + chance(&mut self.random));
-        self.rulings = rulings.iter().map(|r| (r.server, (r.probe, lapse()))).collect();
-        self.word = self.now;
-        self.regroup();
+        // Without news verdicts lapse one by one: if all servers returned at once, so would their failures.
+        let mut lapse = || self.now + votes.contact_timeout * (1.0 + uniform(&mut self.rng));
+        self.verdicts = verdicts.iter().map(|r| (r.server, (r.probe, lapse()))).collect();
+        self.last_group_contact = self.now;
+        self.update_members();
     }
 
-    /// Follows a change of who is up, not taken out and not ruled out.
-    fn regroup(&mut self) {
+    /// Updates order, removals, limits and subset when servers go up or down, are disabled or removed.
+    fn update_members(&mut self) {
         let up =
             |(id, s): &(&ServerId, &Server)| s.entry.state == ServerState::Up && !self.disabled.contains(id);
         let members: Vec<_> = self.servers.iter().filter(up).map(|(id, _)| *id).collect();
-        let mut known = self.order.clone();
+        let mut known = self.preference.clone();
         known.sort_unstable();
         if members != known {
-            self.order = self.preference(&members);
+            self.preference = self.preference_order(&members);
         }
-        // Where too few would be left, the votes are likelier wrong than the servers bad.
+        // Where too few would be left, the votes are more likely wrong than the servers bad.
         let listed = self.servers.values().filter(|s| s.entry.state != ServerState::Gone).count();
-        let left = members.iter().filter(|id| !self.rulings.contains_key(id)).count();
+        let left = members.iter().filter(|id| !self.verdicts.contains_key(id)).count();
         for (id, server) in &mut self.servers {
-            let ruled = self.rulings.get(id).filter(|_| 2 * left >= listed).map(|(probe, _)| *probe);
-            let was = std::mem::replace(&mut server.ruled, ruled);
-            if was != ruled && ruled != Some(false) {
-                server.restarted(Some(self.now));
+            let removal = self.verdicts.get(id).filter(|_| 2 * left >= listed).map(|(probe, _)| *probe);
+            let was = std::mem::replace(&mut server.removal, removal);
+            if was != removal && removal != Some(false) {
+                server.reset_observations(Some(self.now));
             }
         }
-        let limit = self.first_limit();
+        let limit = self.initial_limit();
         for server in self.servers.values_mut().filter(|s| s.limit.is_nan()) {
             server.limit = limit;
         }
@@ -679,216 +666,213 @@
     }
 
     fn on_list_failed(&mut self) {
-        if self.set.discovery == Discovery::Subscribed {
-            let failures = if let Call::Asked(_, failures) = self.call { failures + 1 } else { 1 };
-            // Jittered, as nodes cut off together should not come back together; well within the time after
-            // which a node that has not asked counts as told.
-            let span = (self.set.rules.discovery_deadline / 40.0) * f64::from(1u32 << failures.min(4));
-            self.call = Call::AskAt(self.now + span * (0.5 + 0.5 * chance(&mut self.random)), failures);
+        if self.settings.discovery == Discovery::Subscribed {
+            let failures =
+                if let Subscription::Pending(_, failures) = self.subscription { failures + 1 } else { 1 };
+            // Jittered, as nodes cut off together should not return together; and well within
+            // `discovery_deadline`.
+            let delay = (self.settings.rules.discovery_deadline / 40.0) * f64::from(1u32 << failures.min(4));
+            self.subscription =
+                Subscription::Due(self.now + delay * (0.5 + 0.5 * uniform(&mut self.rng)), failures);
         }
     }
 
-    fn rotated(&self) -> impl Iterator<Item = &Server> + Clone {
+    fn rotation(&self) -> impl Iterator<Item = &Server> + Clone {
         self.subset.iter().filter_map(|id| self.servers.get(id))
     }
 
-    /// How many warm servers a node rotates over. All of them, until that would be more nodes to a server
-    /// than it should bear: connections, and what a node must send to learn of each, grow with both.
+    /// The number of warm servers in the rotation: all, unless that means more nodes per server than wanted,
+    /// as connections and the traffic needed to observe each server grow with both.
     fn subset_size(&self, up: usize) -> usize {
-        (NODES_PER_SERVER * up).div_ceil(self.set.node_count).max(SUBSET_LEAST).min(up)
+        (NODES_PER_SERVER * up).div_ceil(self.settings.node_count).max(MIN_SUBSET).min(up)
     }
 
-    /// How many nodes send to a server.
-    fn sharing(&self) -> f64 {
-        let up = self.order.len().max(1);
-        (self.set.node_count * self.subset_size(up)) as f64 / up as f64
+    fn nodes_per_server(&self) -> f64 {
+        let up = self.preference.len().max(1);
+        (self.settings.node_count * self.subset_size(up)) as f64 / up as f64
     }
 
-    /// How many times more nodes share a server than are wanted, where a subset can be no smaller. Were rests
-    /// and least limits kept per node, the looks of a crowd alone would keep a slow server from its rest.
-    fn crowd(&self) -> f64 {
-        (self.sharing() / NODES_PER_SERVER as f64).max(1.0)
+    /// The factor by which more nodes than wanted share a server, as subsets have a lower bound. With pauses
+    /// and minimum limits per node, the nodes' trial sends alone would keep a slow server from recovering.
+    fn crowding(&self) -> f64 {
+        (self.nodes_per_server() / NODES_PER_SERVER as f64).max(1.0)
     }
 
-    /// The concurrency limit that a server begins with.
-    fn first_limit(&self) -> f64 {
-        let sharing = self.sharing().max(1.0);
-        (if sharing < LIMITS.0 { LIMITS.0 } else { SPACED }) / sharing
+    fn initial_limit(&self) -> f64 {
+        let nodes = self.nodes_per_server().max(1.0);
+        (if nodes < INITIAL_LIMIT { INITIAL_LIMIT } else { CROWDED_INITIAL_LIMIT }) / nodes
     }
 
-    /// The least that a server's limit can fall to.
-    fn least_limit(&self) -> f64 {
-        LIMITS.1 / self.crowd()
+    fn min_limit(&self) -> f64 {
+        MIN_LIMIT / self.crowding()
     }
 
-    /// The order in which this node prefers the sorted `members`. All nodes fill the same table (as Maglev
-    /// does: each server in turn takes its next free place by an order of its own), of which each server has
-    /// an even part and keeps most when the list changes. Each node reads it from a place of its own; first
-    /// parts of the orders are thus an even cover of the fleet.
-    fn preference(&self, members: &[ServerId]) -> Vec<ServerId> {
+    /// This node's order of preference among the sorted `members`. As in Maglev, the servers take turns to
+    /// claim the next free slot of their own pseudo-random sequences in a table that all nodes fill alike;
+    /// each gets an equal part and keeps most of it when the list changes. Nodes read it from offsets of
+    /// their own, so the heads of their orders cover the fleet evenly.
+    fn preference_order(&self, members: &[ServerId]) -> Vec<ServerId> {
         if self.subset_size(members.len()) == members.len() {
             return members.to_vec();
         }
-        let size = (SUBSET_LEAST * self.set.node_count).max(SUBSET_LEAST * members.len().next_power_of_two());
-        // Ids may be near each other: a walk begins at the mixed id, which is what a step onto the id gives.
+        let len = (MIN_SUBSET * self.settings.node_count).max(MIN_SUBSET * members.len().next_power_of_two());
+        // Ids may be close together: sequences are seeded with the mixed id, the value of a step onto the id.
         let mixed = |id: u64| SplitMix64::seed_from_u64(id.wrapping_sub(0x9E37_79B9_7F4A_7C15)).next_u64();
         let mut walks: Vec<_> = members.iter().map(|id| SplitMix64::seed_from_u64(mixed(id.0))).collect();
-        let mut table = vec![None; size];
-        for filled in 0..size {
+        let mut table = vec![None; len];
+        for filled in 0..len {
             let member = filled % members.len();
             let walk = &mut walks[member];
-            let mut tries = 0;
-            let free = loop {
-                tries += 1;
-                let place = walk.next_u64() as usize % size;
-                // Not twice in what one node reads first, but where nothing else is left.
-                let block = place - place % SUBSET_LEAST;
-                let twice = table[block..block + SUBSET_LEAST].contains(&Some(member));
-                if table[place].is_none() && (!twice || tries > size) {
-                    break place;
+            let mut steps = 0;
+            let slot = loop {
+                steps += 1;
+                let slot_index = walk.next_u64() as usize % len;
+                // Not twice within what one node reads first, unless nothing else is free.
+                let block = slot_index - slot_index % MIN_SUBSET;
+                let duplicate = table[block..block + MIN_SUBSET].contains(&Some(member));
+                if table[slot_index].is_none() && (!duplicate || steps > len) {
+                    break slot_index;
                 }
             };
-            table[free] = Some(member);
+            table[slot] = Some(member);
         }
-        let own = self.set.node_index * size / self.set.node_count;
-        let mut seen = vec![false; members.len()];
-        let places = (own..size).chain(0..own).filter_map(|place| table[place]);
-        places.filter(|m| !std::mem::replace(&mut seen[*m], true)).map(|m| members[m]).collect()
+        let offset = self.settings.node_index * len / self.settings.node_count;
+        let mut taken = vec![false; members.len()];
+        let slots = (offset..len).chain(0..offset).filter_map(|slot_index| table[slot_index]);
+        slots.filter(|m| !std::mem::replace(&mut taken[*m], true)).map(|m| members[m]).collect()
     }
 
-    /// Takes servers from the order until those that are not ejected make up enough warm ones: a subset of
-    /// which many are down or cold widens, so that its node's traffic does not fall on the few others.
+    /// Takes servers in order of preference until the trusted ones have enough warm capacity. A subset with
+    /// many servers down or cold grows, so that its traffic does not fall on the few others.
     fn choose_subset(&mut self) {
-        let wanted = self.subset_size(self.order.len()) as f64;
+        let wanted = self.subset_size(self.preference.len()) as f64;
         let (mut warm, mut subset) = (0.0, Vec::new());
-        for server in self.order.iter().filter_map(|id| self.servers.get(id)) {
+        for server in self.preference.iter().filter_map(|id| self.servers.get(id)) {
             if warm >= wanted {
                 break;
             }
-            warm += if server.trusted() { server.warmth(self.now, &self.set.rules) } else { 0.0 };
+            warm += if server.is_trusted() { server.warmth(self.now, &self.settings.rules) } else { 0.0 };
             subset.push(server.entry.server);
         }
-        let probed = self.rulings.iter().filter(|(_, (probe, _))| *probe).map(|(id, _)| *id);
-        subset.extend(probed.filter(|id| self.order.contains(id)));
+        let probed = self.verdicts.iter().filter(|(_, (probe, _))| *probe).map(|(id, _)| *id);
+        subset.extend(probed.filter(|id| self.preference.contains(id)));
         subset.sort_unstable();
         subset.dedup();
         for (_, server) in self.servers.iter_mut().filter(|(id, _)| subset.binary_search(id).is_err()) {
-            server.turn = f64::NAN;
+            server.next_turn = f64::NAN;
         }
-        (self.subset, self.chosen) = (subset, self.now);
-        self.place_newcomers();
+        (self.subset, self.chosen_at) = (subset, self.now);
+        self.place_new_servers();
     }
 
-    // ---- The rotation ----
-
-    /// Gives servers that are new to the rotation their place in it. A server of size w has its turns at (p +
-    /// k) / w for k = 0, 1, ..., p being its place after the cursor, from 0 to 1: with equal sizes that is
-    /// the plain cyclic order, with unequal ones an even interleaving. The others keep their turns: to begin
-    /// again at each change of the list would favour the servers after the nodes' offsets.
-    fn place_newcomers(&mut self) {
+    /// Places servers new to the rotation. A server of size w has turns at (p + k) / w for k = 0, 1, ...,
+    /// where p is its position after the cursor, 0 to 1: cyclic order for equal sizes, interleaved for
+    /// others. The rest keep their turns: restarting at each list change favoured the servers after the
+    /// offsets.
+    fn place_new_servers(&mut self) {
         let count = self.subset.len().max(1);
-        let cursor_at = self.cursor_at.map(|at| self.subset.partition_point(|id| *id <= at));
-        let next = cursor_at.unwrap_or(self.set.node_index) % count;
+        let cursor_position = self.cursor_server.map(|at| self.subset.partition_point(|id| *id <= at));
+        let next = cursor_position.unwrap_or(self.settings.node_index) % count;
         for (place, id) in self.subset.iter().enumerate() {
-            let Some(server) = self.servers.get_mut(id).filter(|s| s.turn.is_nan()) else { continue };
-            let stagger = chance(&mut self.random);
-            let warmth = server.part(self.now, &self.set);
-            // Cold ones take a random place: by the cursors alone, many nodes would come at once.
+            let Some(server) = self.servers.get_mut(id).filter(|s| s.next_turn.is_nan()) else { continue };
+            let stagger = uniform(&mut self.rng);
+            let warmth = server.turn_fraction(self.now, &self.settings);
+            // Cold servers get a random position: by the cursors alone many nodes would reach them at once.
             let after = (place + count - next) % count;
             let p = if warmth < 1.0 { stagger } else { after as f64 / count as f64 };
-            server.turn = self.cursor + p / (server.size * server.factor * warmth);
-            server.turn_warmth = warmth;
+            server.next_turn = self.cursor + p / (server.size * server.weight * warmth);
+            server.fraction = warmth;
             (server.stagger, server.last_sent) = (stagger, server.last_sent.max(self.now));
         }
     }
 
     /// Takes turns until one falls to a server accepted by `ready`; the others just lose theirs.
-    fn next_turn(&mut self, ready: impl Fn(&Self, &Server) -> bool) -> Option<ServerId> {
-        if !self.rotated().any(|s| ready(self, s)) {
+    fn take_turn(&mut self, ready: impl Fn(&Self, &Server) -> bool) -> Option<ServerId> {
+        if !self.rotation().any(|s| ready(self, s)) {
             return None;
         }
         for id in &self.subset {
-            // As a cold one warms up its turns come closer.
-            let Some(server) = self.servers.get_mut(id).filter(|s| s.turn_warmth < 1.0) else { continue };
-            let warmth = server.part(self.now, &self.set);
-            server.turn = self.cursor + (server.turn - self.cursor) * server.turn_warmth / warmth;
-            server.turn_warmth = warmth;
+            let Some(server) = self.servers.get_mut(id).filter(|s| s.fraction < 1.0) else { continue };
+            let warmth = server.turn_fraction(self.now, &self.settings);
+            server.next_turn = self.cursor + (server.next_turn - self.cursor) * server.fraction / warmth;
+            server.fraction = warmth;
         }
         loop {
-            let id = self.rotated().min_by(|a, b| a.turn.total_cmp(&b.turn))?.entry.server;
+            let id = self.rotation().min_by(|a, b| a.next_turn.total_cmp(&b.next_turn))?.entry.server;
             let passes = ready(self, &self.servers[&id]);
             let server = self.servers.get_mut(&id)?;
-            (self.cursor, self.cursor_at) = (server.turn, Some(id));
-            server.turn_warmth = server.part(self.now, &self.set);
-            server.turn += 1.0 / (server.size * server.factor * server.share * server.turn_warmth);
+            (self.cursor, self.cursor_server) = (server.next_turn, Some(id));
+            server.fraction = server.turn_fraction(self.now, &self.settings);
+            server.next_turn += 1.0 / (server.size * server.weight * server.turn_share * server.fraction);
             if passes {
                 return Some(id);
             }
         }
     }
 
-    fn ready(&self, server: &Server) -> bool {
-        !server.shut() && self.within_slow_start(server) && self.has_room(server)
+    fn is_ready(&self, server: &Server) -> bool {
+        !server.is_excluded() && self.within_slow_start(server) && self.has_capacity(server)
     }
 
-    /// A server full with our own attempts is passed over: on turns alone a slow one keeps its full turn
-    /// while its queue grows until nothing that it is sent comes in time.
-    fn has_room(&self, server: &Server) -> bool {
-        let limit = server.allowed(self.fleet, self.least_limit());
-        let rested = limit >= 1.0 || self.now - server.last_sent >= self.rest(server);
-        rested && (server.out.len() as f64) < limit.floor().max(1.0)
+    /// A server full of own attempts is passed over: by turns alone a slow server would keep its full share
+    /// while its queue grows until nothing sent to it is answered in time.
+    fn has_capacity(&self, server: &Server) -> bool {
+        let limit = server.usable_limit(self.fleet_factor, self.min_limit());
+        let pause_over = limit >= 1.0 || self.now - server.last_sent >= self.send_pause(server);
+        pause_over && (server.in_flight.len() as f64) < limit.floor().max(1.0)
     }
 
-    /// The pause between sends where the limit is below one: long enough to hold the average concurrency to
-    /// the limit, short enough to notice recovery.
-    fn rest(&self, server: &Server) -> Millis {
-        let most = self.set.classes.iter().map(|c| 2.0 * c.slo).fold(0.0, f64::max);
-        (server.last_took / server.allowed(self.fleet, self.least_limit())).min(most * self.crowd())
+    /// The pause between sends where the limit is below one: long enough to hold the average to the limit,
+    /// short enough to notice recovery.
+    fn send_pause(&self, server: &Server) -> Millis {
+        let max_pause = self.settings.classes.iter().map(|c| 2.0 * c.slo).fold(0.0, f64::max);
+        (server.last_latency / server.usable_limit(self.fleet_factor, self.min_limit()))
+            .min(max_pause * self.crowding())
     }
 
-    /// Rule 4: what all nodes send to a cold server in one window must stay below a multiple of what it can
-    /// do by now. What a warm server of its size is seen to answer is the measure. Each node spaces its sends
-    /// by its own traffic's part, as one send a window from each of many nodes would be too much; before the
-    /// first it waits a random part of the space, or all would send at once when they hear of it.
+    /// Rule 4: what all nodes send to a cold server in a window must stay below a multiple of what it can do
+    /// by now, measured by what a warm server of its size answers. Each node spaces sends by its own part of
+    /// the traffic, as one send per window from each of many nodes would be too many. The first waits a
+    /// random part of the interval, or all nodes would send as soon as they learn of the server.
     fn within_slow_start(&self, server: &Server) -> bool {
-        let rules = &self.set.rules;
+        let rules = &self.settings.rules;
         let warmth = server.warmth(self.now, rules);
-        let part = SLOW_START_CAUTION * rules.overload_multiple * warmth;
-        let pace = if self.pace.per_s > 0.0 { self.pace.per_s } else { self.arrivals.per_s };
-        let space = 1000.0 / (part * pace * server.size);
-        warmth >= 1.0 || self.now - server.last_sent >= space * server.stagger
-    }
-
-    fn eject(&mut self, id: ServerId, sure: bool) {
-        let up = self.rotated();
-        let ejected = up.clone().filter(|s| !s.trusted()).count() + 1;
-        let too_many = ejected as f64 > self.set.ejection.max_fraction * up.count() as f64;
-        let aside = self.voted().map(|votes| votes.suspect_pause);
-        let may = |s: &&mut Server| sure || !too_many || !s.trusted();
+        let part = SLOW_START_BUDGET_SHARE * rules.overload_multiple * warmth;
+        let rate = if self.service_rate.per_s > 0.0 { self.service_rate.per_s } else { self.arrivals.per_s };
+        let interval = 1000.0 / (part * rate * server.size);
+        warmth >= 1.0 || self.now - server.last_sent >= interval * server.stagger
+    }
+
+    fn eject(&mut self, id: ServerId, conclusive: bool) {
+        let up = self.rotation();
+        let ejected = up.clone().filter(|s| !s.is_trusted()).count() + 1;
+        let too_many = ejected as f64 > self.settings.ejection.max_fraction * up.count() as f64;
+        let pause = self.active_votes().map(|votes| votes.suspect_pause);
+        let may = |s: &&mut Server| conclusive || !too_many || !s.is_trusted();
         let Some(server) = self.servers.get_mut(&id).filter(may) else { return };
         server.ejections += 1;
-        let span = 4.0 * self.set.limits.connect_timeout * f64::from(1u32 << server.ejections.min(10));
-        let span = aside.unwrap_or(span.min(self.set.rules.discovery_deadline / 4.0));
-        (server.suspect, server.ejected) = (aside.is_some(), Some(self.now + span));
-        // Of one that has changed, good answers from before would outweigh those that it is kept from now.
-        server.seen = server.run;
+        let length = 4.0 * self.settings.limits.connect_timeout * f64::from(1u32 << server.ejections.min(10));
+        let length = pause.unwrap_or(length.min(self.settings.rules.discovery_deadline / 4.0));
+        (server.suspect, server.ejected_until) = (pause.is_some(), Some(self.now + length));
+        // If it changed, earlier successes would outweigh the few failures still seen.
+        server.evidence = server.failure_run;
         self.choose_subset();
     }
 
-    fn on_probed(&mut self, id: ServerId, outcome: Outcome) {
-        let (now, stagger) = (self.now, chance(&mut self.random));
+    fn on_probe_ended(&mut self, id: ServerId, outcome: Outcome) {
+        let (now, stagger) = (self.now, uniform(&mut self.rng));
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.probing = false;
-        if server.ejected.is_none() && !server.suspect {
+        if server.ejected_until.is_none() && !server.suspect {
             return;
         }
         if outcome == Outcome::Success {
-            // Only a process that was down is cold: in a jam that ejects each server once, the whole fleet
-            // would else be on cold budgets.
-            if server.down && server.returned.is_none() {
-                (server.returned, server.last_sent, server.stagger) = (Some(now), now, stagger);
+            // Only a process that was down is cold: an overload may eject each server once, which must not
+            // put the whole fleet on cold budgets.
+            if server.down && server.restart.is_none() {
+                (server.restart, server.last_sent, server.stagger) = (Some(now), now, stagger);
             }
-            (server.ejected, server.suspect, server.consecutive_failures, server.down) =
+            (server.ejected_until, server.suspect, server.consecutive_failures, server.down) =
                 (None, false, 0, false);
             self.choose_subset();
         } else {
@@ -896,44 +880,46 @@
         }
     }
 
-    /// What an attempt's end says of its server.
-    fn detect_outlier(&mut self, id: ServerId, outcome: Outcome, took: Millis, of: Option<Option<Millis>>) {
+    /// Records evidence and ejects outliers; `start` is that of the process which the attempt was sent to.
+    fn observe(&mut self, id: ServerId, outcome: Outcome, elapsed: Millis, start: Option<Option<Millis>>) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        if let Some(votes) = self.set.votes.as_ref().filter(|_| of == Some(server.entry.started_at)) {
-            let half = votes.half(self.now);
-            for seen in [&mut server.seen, &mut server.run] {
-                let place = &mut seen[(half & 1) as usize];
-                let before = if place.0 == half { place.1 } else { Evidence::default() };
-                *place = (half, before.and(&outcome.evidence()));
+        if let Some(votes) = self.settings.votes.as_ref().filter(|_| start == Some(server.entry.started_at)) {
+            let half = votes.half_window(self.now);
+            for halves in [&mut server.evidence, &mut server.failure_run] {
+                let slot = &mut halves[(half & 1) as usize];
+                let before = if slot.0 == half { slot.1 } else { Evidence::default() };
+                *slot = (half, before.and(&outcome.evidence()));
             }
         }
         match outcome {
             Outcome::Success => {
-                (server.consecutive_failures, server.consecutive_breaks, server.ejections) = (0, 0, 0);
-                server.run = Default::default();
+                (server.consecutive_failures, server.connection_failures, server.ejections) = (0, 0, 0);
+                server.failure_run = Default::default();
                 if server.suspect {
-                    self.on_probed(id, outcome);
+                    self.on_probe_ended(id, outcome);
                 }
             }
             Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected => {}
-            // A refusal is quick where the process is down, and takes the whole time where the way is cut.
-            Outcome::ConnectFailed if took >= 0.9 * self.set.limits.connect_timeout => self.eject(id, true),
-            // The network breaks single connections, or all for a moment. Where the process is down all are
-            // refused or broken for as long as a connection may take at least.
+            // A process that is down refuses at once; a broken network path takes the whole connect timeout.
+            Outcome::ConnectFailed if elapsed >= 0.9 * self.settings.limits.connect_timeout => {
+                self.eject(id, true)
+            }
+            // The network may break some connections, or all for a moment; if the process is down, all fail
+            // for longer.
             Outcome::ConnectFailed | Outcome::Reset => {
-                if server.consecutive_breaks == 0 {
-                    server.broke = self.now;
+                if server.connection_failures == 0 {
+                    server.failing_since = self.now;
                 }
-                server.consecutive_breaks += 1;
-                let lasting = self.now - server.broke >= self.set.limits.connect_timeout;
-                if lasting && server.consecutive_breaks >= self.set.ejection.consecutive_failures {
-                    (server.consecutive_breaks, server.down) = (0, true);
+                server.connection_failures += 1;
+                let lasting = self.now - server.failing_since >= self.settings.limits.connect_timeout;
+                if lasting && server.connection_failures >= self.settings.ejection.consecutive_failures {
+                    (server.connection_failures, server.down) = (0, true);
                     self.eject(id, true);
                 }
             }
             Outcome::TimedOut | Outcome::Error => {
                 server.consecutive_failures += 1;
-                if server.consecutive_failures >= self.set.ejection.consecutive_failures {
+                if server.consecutive_failures >= self.settings.ejection.consecutive_failures {
                     server.consecutive_failures = 0;
                     self.eject(id, false);
                 }
@@ -941,353 +927,365 @@
         }
     }
 
-    fn on_request(&mut self, id: RequestId, mut request: Request, again: bool) {
+    fn on_request(&mut self, id: RequestId, mut request: Request, is_retry: bool) {
         if self.requests.contains_key(&id) {
-            // An id never comes twice; the first is still owed, and an answer would be to both.
+            // Ids are unique: the first request is still owed its answer, and one answer would go to both.
             return;
         }
-        if request.class >= self.set.classes.len() {
+        if request.class >= self.settings.classes.len() {
             return self.actions.push(Action::Fail(id));
         }
-        let budget = &mut self.classes[request.class].retry_budget;
-        *budget = (*budget + self.set.retry_budget.ratio).min(self.set.retry_budget.max);
-        let size: f64 = self.rotated().map(|s| s.size).sum();
-        self.arrivals.add(self.now, self.set.rules.overload_window, 1.0 / size.max(1.0));
-        request.tenant = request.tenant.filter(|t| *t < self.set.tenants.len());
+        let budget = &mut self.class_stats[request.class].retry_budget;
+        *budget = (*budget + self.settings.retry_budget.ratio).min(self.settings.retry_budget.max);
+        let size: f64 = self.rotation().map(|s| s.size).sum();
+        self.arrivals.add(self.now, self.settings.rules.overload_window, 1.0 / size.max(1.0));
+        request.tenant = request.tenant.filter(|t| *t < self.settings.tenants.len());
         let within = request.tenant.is_none_or(|t| self.take_quota(t));
         request.tenant = request.tenant.filter(|_| within);
-        request.worth = request.class().worth * if within { 1.0 } else { self.set.over_quota_worth };
+        request.worth = request.class().worth * if within { 1.0 } else { self.settings.over_quota_worth };
         let left = request.deadline - self.now;
-        request.asked -= self.classes[request.class].age(request.class(), left, again);
-        self.tally(&request, |care| &mut care.asked);
-        // What can't be in time, as it is a late repeat or more work than there is time for, is not begun: it
-        // would only take the work of others that can. While none is refused for want of room, a longer shot
-        // is taken the more the fleet has in reserve.
-        let room = self.now - self.shed > self.set.rules.overload_window;
-        let reserve = if room { self.fleet.max(1.0) } else { 1.0 };
+        request.asked_at -= self.class_stats[request.class].request_age(request.class(), left, is_retry);
+        self.record_worth(&request, |service| &mut service.requested);
+        // What cannot be in time, a late retry or too much work, is not started: it would displace requests
+        // that can. While none is refused for lack of capacity, a fleet with reserve takes longer shots.
+        let has_capacity = self.now - self.last_shed > self.settings.rules.overload_window;
+        let reserve = if has_capacity { self.fleet_factor.max(1.0) } else { 1.0 };
         let left = (request.worth_until() - self.now) * reserve;
-        let hopeless = (again || self.extra(&request) > 0.0) && left < self.usual(&request);
+        let late = (is_retry || self.extra_work(&request) > 0.0) && left < self.expected_latency(&request);
         self.requests.insert(id, request);
-        self.waiting.push(id);
-        if hopeless {
+        self.queue.push(id);
+        if late {
             self.conclude(id);
         }
-        self.serve_waiting();
+        self.serve_queue();
     }
 
-    /// The time of a request that was coming counts from its last byte. Only then has its server work of it.
-    fn on_whole(&mut self, id: RequestId, deadline: Millis) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| r.body == Body::Coming) else { return };
-        let age = self.classes[request.class].age(request.class(), deadline - self.now, false);
-        (request.body, request.came, request.deadline) = (Body::Passed, self.now, deadline);
-        request.asked = self.now - age;
+    /// The time of a streamed request counts from its last byte; only then does its server have work from it.
+    fn on_body_complete(&mut self, id: RequestId, deadline: Millis) {
+        let Some(request) = self.requests.get_mut(&id).filter(|r| r.body == Body::Streaming) else { return };
+        let age = self.class_stats[request.class].request_age(request.class(), deadline - self.now, false);
+        (request.body, request.arrived, request.deadline) = (Body::Streamed, self.now, deadline);
+        request.asked_at = self.now - age;
         for (attempt, a) in request.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none()) {
-            if let Some(server) = self.servers.get_mut(&a.to.server) {
-                server.out.push((id, attempt));
+            if let Some(server) = self.servers.get_mut(&a.entry.server) {
+                server.in_flight.push((id, attempt));
             }
         }
     }
 
-    /// Is a request within its tenant's share?
+    /// Takes one request from the tenant's quota; each node is assumed to receive an equal part.
     fn take_quota(&mut self, tenant: usize) -> bool {
         let left = self.quota_left(tenant);
         let within = left >= 1.0;
-        let stats = &mut self.tenants[tenant];
-        (stats.left, stats.counted) = (if within { left - 1.0 } else { left }, self.now);
+        let stats = &mut self.tenant_stats[tenant];
+        (stats.remaining, stats.updated_at) = (if within { left - 1.0 } else { left }, self.now);
         within
     }
 
     fn quota_left(&self, tenant: usize) -> f64 {
-        let (own, stats) = (self.set.own_quota(tenant), &self.tenants[tenant]);
-        (stats.left + own * (self.now - stats.counted) / 1000.0).min(own.max(1.0))
+        let (own, stats) = (self.settings.node_quota(tenant), &self.tenant_stats[tenant]);
+        (stats.remaining + own * (self.now - stats.updated_at) / 1000.0).min(own.max(1.0))
     }
 
-    fn tally(&mut self, request: &Request, of: impl Fn(&mut Care) -> &mut Rate) {
+    fn record_worth(&mut self, request: &Request, of: impl Fn(&mut ServiceShare) -> &mut Rate) {
         let (now, worth) = (self.now, request.worth);
-        of(&mut self.classes[request.class].care).add(now, MEMORY, worth);
+        of(&mut self.class_stats[request.class].service).add(now, SERVICE_WINDOW, worth);
         if let Some(tenant) = request.tenant {
-            of(&mut self.tenants[tenant].care).add(now, MEMORY, worth);
+            of(&mut self.tenant_stats[tenant].service).add(now, SERVICE_WINDOW, worth);
         }
     }
 
-    /// What serving one unit of worth adds to the part of the goal that goes by the worst served, for each of
-    /// `cares`: all of it for the worst, less for those above it.
-    fn goal_weights<'a>(&self, cares: impl Iterator<Item = &'a Care> + Clone, goal: f64) -> Vec<f64> {
-        let asked: Vec<f64> = cares.clone().map(|c| c.asked.at(self.now, MEMORY)).collect();
-        let part = |(c, a): (&Care, &f64)| if *a > 0.0 { c.served.at(self.now, MEMORY) / a } else { 1.0 };
-        let parts: Vec<f64> = cares.zip(&asked).map(part).collect();
+    /// For each of `shares`, what serving one unit of worth adds to the goal's part for the worst served.
+    fn goal_gains<'a>(&self, shares: impl Iterator<Item = &'a ServiceShare> + Clone, goal: f64) -> Vec<f64> {
+        let requested: Vec<f64> = shares.clone().map(|c| c.requested.at(self.now, SERVICE_WINDOW)).collect();
+        let served_part = |(c, a): (&ServiceShare, &f64)| {
+            if *a > 0.0 {
+                c.served.at(self.now, SERVICE_WINDOW) / a
+            } else {
+                1.0
+            }
+        };
+        let parts: Vec<f64> = shares.zip(&requested).map(served_part).collect();
         let worst = parts.iter().copied().fold(f64::INFINITY, f64::min);
-        let near: Vec<f64> = parts.iter().map(|p| (-(p - worst) / NEAR_WORST).exp()).collect();
-        let sum: f64 = near.iter().sum();
+        let closeness: Vec<f64> = parts.iter().map(|p| (-(p - worst) / WORST_SERVED_MARGIN).exp()).collect();
+        let sum: f64 = closeness.iter().sum();
         let weight = |(n, a): (&f64, &f64)| if *a > 0.0 { goal * n / sum / a } else { 0.0 };
-        near.iter().zip(&asked).map(weight).collect()
+        closeness.iter().zip(&requested).map(weight).collect()
     }
 
-    /// Whether the request may go to this server. The one that just failed it is avoided unless no other is
-    /// allowed: it may be bound to the cell of its first attempt.
-    fn may_go(&self, id: RequestId, to: &Server) -> bool {
+    /// Whether the request may go to this server. The server that just failed it is avoided unless no other
+    /// is allowed: a request bound to the cell of its first attempt would otherwise be queued for nothing.
+    fn may_send_to(&self, id: RequestId, to: &Server) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let may = |s: &Server| request.may_repeat(self.now, Some(&s.entry)) && request.may_probe(s);
-        let last = request.attempts.last().map(|a| a.to.server);
-        let again = last == Some(to.entry.server);
-        may(to) && !(again && self.rotated().any(|s| Some(s.entry.server) != last && may(s)))
+        let last = request.attempts.last().map(|a| a.entry.server);
+        let same_server = last == Some(to.entry.server);
+        may(to) && !(same_server && self.rotation().any(|s| Some(s.entry.server) != last && may(s)))
     }
 
     fn send(&mut self, id: RequestId, to: ServerId) {
-        let Some(rest) = self.servers.get(&to).map(|s| self.rest(s)) else { return };
-        let (least, Some(request)) = (self.least_limit(), self.requests.get_mut(&id)) else { return };
+        let Some(pause) = self.servers.get(&to).map(|s| self.send_pause(s)) else { return };
+        let (min_limit, Some(request)) = (self.min_limit(), self.requests.get_mut(&id)) else { return };
         let Some(server) = self.servers.get_mut(&to) else { return };
-        let (alone, allowed) = (server.out.is_empty(), server.allowed(self.fleet, least));
+        let (only_attempt, limit) =
+            (server.in_flight.is_empty(), server.usable_limit(self.fleet_factor, min_limit));
         let timeout = request.worth_until() - self.now;
-        if request.body == Body::Kept {
-            server.out.push((id, request.attempts.len()));
+        if request.body == Body::Buffered {
+            server.in_flight.push((id, request.attempts.len()));
         }
-        let rested = self.now - server.last_sent;
+        let gap = self.now - server.last_sent;
         (server.last_sent, server.stagger) = (self.now, 1.0);
         let at_limit =
-            if allowed < 1.0 { rested <= 2.0 * rest } else { 2.0 * server.out.len() as f64 >= allowed };
-        let (entry, sent) = (server.entry.clone(), self.now);
-        request.attempts.push(Attempt { to: entry, sent, at_limit, alone, outcome: None });
+            if limit < 1.0 { gap <= 2.0 * pause } else { 2.0 * server.in_flight.len() as f64 >= limit };
+        let (entry, sent_at) = (server.entry.clone(), self.now);
+        request.attempts.push(Attempt { entry, sent_at, at_limit, only_attempt, outcome: None });
         self.actions.push(Action::Send { id, server: to, timeout: Some(timeout.max(0.001)) });
     }
 
-    /// How long its answer would take by what is usual for its class, and by how its work differs from that.
-    fn usual(&self, request: &Request) -> Millis {
-        (self.classes[request.class].mean + self.extra(request)).max(0.0)
+    /// Expected time to an answer: the mean of its class, corrected by its extra work.
+    fn expected_latency(&self, request: &Request) -> Millis {
+        (self.class_stats[request.class].latency + self.extra_work(request)).max(0.0)
     }
 
-    /// Its work beyond what is usual for its class.
-    fn extra(&self, request: &Request) -> Millis {
-        let usual = self.classes[request.class].work;
+    /// Its estimated work above the mean of its class.
+    fn extra_work(&self, request: &Request) -> Millis {
+        let usual = self.class_stats[request.class].mean_work;
         request.work.filter(|_| usual > 0.0).map_or(0.0, |work| work - usual)
     }
 
     fn on_streaming(&mut self, id: RequestId, attempt: usize) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.streaming = true;
-        let others = request.cancelled(id).filter(|a| *a != Action::Cancel { id, attempt });
+        let others = request.cancel_actions(id).filter(|a| *a != Action::Cancel { id, attempt });
         self.actions.extend(others);
     }
 
-    /// An attempt is no longer out at its server.
-    fn on_returned(&mut self, of: (RequestId, usize), at: ServerId, outcome: Outcome, took: Millis) {
-        if let Some(server) = self.servers.get_mut(&at) {
-            server.out.retain(|o| *o != of);
+    fn release(&mut self, attempt: (RequestId, usize), id: ServerId, outcome: Outcome, elapsed: Millis) {
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.in_flight.retain(|o| *o != attempt);
         }
-        // One that had little time says little of its server.
-        let request = self.requests.get(&of.0);
-        let aim = request.map_or(0.0, |r| r.class().slo);
-        let started = request.and_then(|r| r.attempts.get(of.1)).map(|a| a.to.started_at);
-        if outcome != Outcome::TimedOut || CUT * took >= aim {
-            self.detect_outlier(at, outcome, took, started);
+        // An attempt that had little time says little about its server.
+        let request = self.requests.get(&attempt.0);
+        let slo = request.map_or(0.0, |r| r.class().slo);
+        let start = request.and_then(|r| r.attempts.get(attempt.1)).map(|a| a.entry.started_at);
+        if outcome != Outcome::TimedOut || CUT_OFF_RATIO * elapsed >= slo {
+            self.observe(id, outcome, elapsed, start);
         }
-        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.out.is_empty());
+        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.in_flight.is_empty());
     }
 
-    /// What becomes of a request when one of its attempts has ended.
-    fn on_ended(&mut self, id: RequestId, attempt: usize, outcome: Outcome, took: Millis, finished: bool) {
+    fn on_ended(&mut self, id: RequestId, attempt: usize, outcome: Outcome, elapsed: Millis, answered: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(ended) = request.attempts.get_mut(attempt).filter(|a| a.outcome.is_none()) else { return };
         ended.outcome = Some(outcome);
         let (class, work, ended) = (request.class, request.work, ended.clone());
-        let open = request.pending() || request.streaming;
-        if let Some(part) = request.part(outcome, took) {
-            self.learn(class, work, &ended, took, part);
+        let open = request.has_outstanding() || request.streaming;
+        if let Some(ratio) = request.latency_ratio(outcome, elapsed) {
+            self.learn(class, work, &ended, elapsed, ratio);
         }
-        if finished {
-            if let Some(served) = self.forget(id).filter(|r| self.now - r.asked <= r.class().slo) {
-                self.tally(&served, |care| &mut care.served);
+        if answered {
+            if let Some(served) = self.remove_request(id).filter(|r| self.now - r.asked_at <= r.class().slo) {
+                self.record_worth(&served, |service| &mut service.served);
             }
         } else if !open {
-            self.further(id, outcome);
+            self.retry_or_conclude(id, outcome);
         }
-        self.serve_waiting();
+        self.serve_queue();
     }
 
-    /// What the end of an attempt says of its server's pace, for the limit, the share and the usual times.
-    fn learn(&mut self, class: usize, work: Option<Millis>, of: &Attempt, took: Millis, part: f64) {
+    /// Updates limit, turn share and latency statistics; `ratio` is the attempt's latency by the SLO.
+    fn learn(&mut self, class: usize, work: Option<Millis>, attempt: &Attempt, elapsed: Millis, ratio: f64) {
         let (id, now, rules, done) =
-            (of.to.server, self.now, &self.set.rules, of.outcome == Some(Outcome::Success));
-        let (first, least_limit) = (self.first_limit(), self.least_limit());
+            (attempt.entry.server, self.now, &self.settings.rules, attempt.outcome == Some(Outcome::Success));
+        let (initial_limit, min_limit) = (self.initial_limit(), self.min_limit());
         let warm = |s: &Server| s.warmth(now, rules) >= 1.0;
         if done && self.subset.binary_search(&id).is_ok() && self.servers.get(&id).is_some_and(warm) {
-            // Measured on warm servers alone: measured on cold ones too, a cold budget would feed on itself.
-            // The weight of one that has left the rotation is no longer in it.
-            let size: f64 = self.rotated().filter(|s| warm(s)).map(|s| s.size).sum();
-            self.pace.add(now, rules.overload_window, 1.0 / size.max(f64::MIN_POSITIVE));
+            // Warm servers only: cold ones would make their budget feed on itself. The sum leaves out servers
+            // that have left the rotation.
+            let size: f64 = self.rotation().filter(|s| warm(s)).map(|s| s.size).sum();
+            self.service_rate.add(now, rules.overload_window, 1.0 / size.max(f64::MIN_POSITIVE));
         }
-        let pace = &mut self.classes[class];
+        let stats = &mut self.class_stats[class];
         if done {
-            pace.seen = pace.seen.saturating_add(1);
-            let part = 1.0 / f64::from(pace.seen.min(200));
-            pace.mean += (took - pace.mean) * part;
-            // A guess is believed no further than the time that it took.
-            pace.work += work.map_or(0.0, |work| (work.clamp(0.0, took) - pace.work) * part);
+            stats.answers = stats.answers.saturating_add(1);
+            let gain = 1.0 / f64::from(stats.answers.min(200));
+            stats.latency += (elapsed - stats.latency) * gain;
+            // An estimate is trusted no further than the time that the request took.
+            stats.mean_work += work.map_or(0.0, |work| (work.clamp(0.0, elapsed) - stats.mean_work) * gain);
         }
-        // All answers tell that the fleet slows down long before each limit has heard enough of its own.
-        // Where half as many are late as come well in time, there is too much out.
-        let step = LIMIT_GAIN * (LATE - PACE_TARGET) / (self.subset.len().max(1) as f64).sqrt();
-        if part >= 1.0 {
-            self.fleet = (self.fleet * (-2.0 * step).exp()).max(LIMITS.1);
-        } else if part <= PACE_TARGET {
-            self.fleet = (self.fleet * step.exp()).min(FLEET_RESERVE);
+        // All answers together show a slowdown of the fleet long before each limit has seen enough of its
+        // own. With half as many late as clearly timely ones, concurrency is too high.
+        let step = LIMIT_GAIN * (LATE_RATIO - TARGET_RATIO) / (self.subset.len().max(1) as f64).sqrt();
+        if ratio >= 1.0 {
+            self.fleet_factor = (self.fleet_factor * (-2.0 * step).exp()).max(MIN_LIMIT);
+        } else if ratio <= TARGET_RATIO {
+            self.fleet_factor = (self.fleet_factor * step.exp()).min(MAX_FLEET_FACTOR);
         }
-        let Some(s) = self.servers.get_mut(&id) else { return };
-        // To be turned away takes no time: rests that went by it would keep a full server full.
-        s.last_took = if of.outcome == Some(Outcome::Rejected) { s.last_took } else { took };
-        if done && of.alone {
-            let classes = self.set.classes.len();
-            let time = &mut self.times.entry(s.entry.kind).or_insert_with(|| vec![0.0; classes])[class];
-            *time += (took - *time) * if *time > 0.0 { TIME_GAIN } else { 1.0 };
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        // A rejection takes no time: pauses based on it would keep a full server full.
+        server.last_latency =
+            if attempt.outcome == Some(Outcome::Rejected) { server.last_latency } else { elapsed };
+        if done && attempt.only_attempt {
+            let classes = self.settings.classes.len();
+            let latency =
+                &mut self.base_latency.entry(server.entry.kind).or_insert_with(|| vec![0.0; classes])[class];
+            *latency += (elapsed - *latency) * if *latency > 0.0 { BASE_LATENCY_GAIN } else { 1.0 };
         }
         // Corrects for sizes not listed: a server whose latency above the threshold exceeds the fleet's has
         // too many turns. In calm no latency is above the threshold and turns stay even.
-        let excess = (part - SHARE_FROM).max(0.0);
-        pace.excess += (excess - pace.excess) * SHARE_GAIN.0;
-        s.share = s.share.powf(1.0 - SHARE_GAIN.1) * (SHARE_GAIN.0 * (pace.excess - excess)).exp();
-        let unused = s.allowed(self.fleet, least_limit) > 2.0 * (s.out.len() as f64 + 1.0);
-        if unused || (s.limit < 1.0 && !of.at_limit) {
-            // A limit that was never reached protects nobody when the fleet slows down at once.
-            s.limit *= 1.0 - LIMIT_FADE;
+        let excess = (ratio - TURN_SHARE_THRESHOLD).max(0.0);
+        stats.mean_excess += (excess - stats.mean_excess) * TURN_SHARE_GAIN;
+        server.turn_share = server.turn_share.powf(1.0 - TURN_SHARE_DECAY)
+            * (TURN_SHARE_GAIN * (stats.mean_excess - excess)).exp();
+        let unused =
+            server.usable_limit(self.fleet_factor, min_limit) > 2.0 * (server.in_flight.len() as f64 + 1.0);
+        if unused || (server.limit < 1.0 && !attempt.at_limit) {
+            // A limit that was never reached does not protect when the fleet suddenly slows down.
+            server.limit *= 1.0 - LIMIT_DECAY;
         }
-        if s.limit < first.min(1.0) && part <= PACE_TARGET && of.at_limit {
-            // Answers are rare below one: a server that was slow for seconds would stay out for minutes. Only
-            // to where limits begin: from there on many nodes would crowd it.
-            s.limit *= (LIMIT_GAIN * (LATE - PACE_TARGET)).exp();
-        } else if of.at_limit {
-            // One attempt at a time that still comes in time is not too much, even where the whole fleet is
-            // so slow that it misses the target.
-            let least = if part < 1.0 { s.limit.min(1.0) } else { least_limit };
-            s.limit = (s.limit * (LIMIT_GAIN * (PACE_TARGET - part)).exp()).max(least);
+        if server.limit < initial_limit.min(1.0) && ratio <= TARGET_RATIO && attempt.at_limit {
+            // Below one, answers are rare: a server slow for seconds would stay limited for minutes. Only up
+            // to where limits begin: above that many nodes would overload it.
+            server.limit *= (LIMIT_GAIN * (LATE_RATIO - TARGET_RATIO)).exp();
+        } else if attempt.at_limit {
+            // One attempt at a time that is in time is not too much, even if the fleet misses the target.
+            let lower_bound = if ratio < 1.0 { server.limit.min(1.0) } else { min_limit };
+            server.limit = (server.limit * (LIMIT_GAIN * (TARGET_RATIO - ratio)).exp()).max(lower_bound);
         }
     }
 
-    /// What becomes of a request whose attempts have all failed.
-    fn further(&mut self, id: RequestId, outcome: Outcome) {
+    /// Retries a request whose attempts have all failed, or gives up on it.
+    fn retry_or_conclude(&mut self, id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get(&id) else { return };
-        let time = request.worth_until() - self.now > self.usual(request);
-        let free = outcome.never_ran();
-        let may = self.rotated().any(|s| request.may_repeat(self.now, Some(&s.entry)));
-        let budget = &mut self.classes[request.class].retry_budget;
-        if time && may && (free || *budget >= 1.0) {
-            *budget -= if free { 0.0 } else { 1.0 };
-            self.waiting.push(id);
+        let has_time = request.worth_until() - self.now > self.expected_latency(request);
+        let not_executed = outcome.never_ran();
+        let may_repeat = self.rotation().any(|s| request.may_repeat(self.now, Some(&s.entry)));
+        let budget = &mut self.class_stats[request.class].retry_budget;
+        if has_time && may_repeat && (not_executed || *budget >= 1.0) {
+            *budget -= if not_executed { 0.0 } else { 1.0 };
+            self.queue.push(id);
         } else {
             self.conclude(id);
         }
     }
 
-    /// The final answer of a request that is not served: refused where rule 2 lets it, else failed.
+    /// The final answer of a request that is not served: a refusal if rule 2 allows it, else a failure.
     fn conclude(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let retry_after = (STAY_AWAY * request.class().slo).min(request.set.limits.max_retry_after);
+        let retry_after =
+            (RETRY_AFTER_FRACTION * request.class().slo).min(request.settings.limits.max_retry_after);
         let harmless = request.may_repeat(self.now, None);
         self.actions.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail(id) });
-        self.forget(id);
+        self.remove_request(id);
     }
 
-    /// Drops a request that is over; attempts that are still out are of no use any more.
-    fn forget(&mut self, id: RequestId) -> Option<Request> {
+    /// Drops a finished request; attempts still outstanding are of no more use.
+    fn remove_request(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(&id)?;
-        self.actions.extend(request.cancelled(id).filter(|_| !request.streaming));
+        self.actions.extend(request.cancel_actions(id).filter(|_| !request.streaming));
         Some(request)
     }
 
-    /// Sends what is held, in the order of what it adds to the goal for the work it takes, and answers what
-    /// has waited too long. First come, first served would shed by the length of the aims, not by worth.
-    fn serve_waiting(&mut self) {
-        let last = 2.0 * self.period;
-        let mut held = Vec::new();
-        for id in std::mem::take(&mut self.waiting) {
+    /// Sends queued requests in the order of their gain for the goal per unit of work, and answers those
+    /// queued too long. First come, first served would shed by the length of the SLOs, not by worth.
+    fn serve_queue(&mut self) {
+        let margin = 2.0 * self.sweep_interval;
+        let mut queued = Vec::new();
+        for id in std::mem::take(&mut self.queue) {
             let Some(request) = self.requests.get(&id) else { continue };
-            // As long as an answer may still come in time.
-            let spare = request.useful_until() - self.usual(request);
+            let latest = request.full_worth_until() - self.expected_latency(request);
             let end = if request.attempts.is_empty() {
-                // In a lasting overload a long hold helps nobody: all that is served has lost its time.
-                let aim = request.class().slo;
-                let lasting = self.held_since.is_some_and(|since| self.now - since > aim);
-                (request.came + aim * if lasting { HOLD.1 } else { HOLD.0 }).min(spare).max(request.came)
+                // In a lasting overload long queueing helps nobody: whatever is served has lost its time.
+                let slo = request.class().slo;
+                let lasting = self.queue_since.is_some_and(|since| self.now - since > slo);
+                (request.arrived + slo * if lasting { OVERLOAD_QUEUE_FRACTION } else { MAX_QUEUE_FRACTION })
+                    .min(latest)
+                    .max(request.arrived)
             } else {
-                spare
+                latest
             };
-            if self.now <= end.min(request.deadline - last) {
-                held.push(id);
+            if self.now <= end.min(request.deadline - margin) {
+                queued.push(id);
                 continue;
             }
-            self.shed = if request.attempts.is_empty() { self.now } else { self.shed };
+            self.last_shed = if request.attempts.is_empty() { self.now } else { self.last_shed };
             self.conclude(id);
         }
-        // A held request that no ready server may have would else use up the turns of all the others.
-        while let Some(server) = self.next_turn(|b, s| b.ready(s) && held.iter().any(|id| b.may_go(*id, s))) {
-            let Some(place) = self.best_held(&held, server) else { break };
-            self.send(held.swap_remove(place), server);
+        // A queued request that no ready server may take would otherwise use up the turns of all others.
+        while let Some(server) =
+            self.take_turn(|b, s| b.is_ready(s) && queued.iter().any(|id| b.may_send_to(*id, s)))
+        {
+            let Some(index) = self.best_queued(&queued, server) else { break };
+            self.send(queued.swap_remove(index), server);
         }
-        if held.is_empty() {
-            (self.held_since, self.period) = (None, self.set.period());
+        if queued.is_empty() {
+            (self.queue_since, self.sweep_interval) = (None, self.settings.sweep_interval());
         } else {
-            self.held_since.get_or_insert(self.now);
+            self.queue_since.get_or_insert(self.now);
         }
-        self.waiting = held;
+        self.queue = queued;
     }
 
-    /// Which held request this server's turn goes to: the one that adds most to the goal for the time that
-    /// its class takes there; of equal ones the newest, as the oldest has lost the time of its hold.
-    fn best_held(&self, held: &[RequestId], server: ServerId) -> Option<usize> {
+    /// The queued request with the highest gain for the goal per unit of time that its class takes at this
+    /// server; among equals the newest, as the oldest has lost the time it was queued.
+    fn best_queued(&self, queued: &[RequestId], server: ServerId) -> Option<usize> {
         let to = self.servers.get(&server)?;
-        let mut may = (0..held.len()).filter(|i| self.may_go(held[*i], to));
-        if held.len() == 1 {
+        let mut may = (0..queued.len()).filter(|i| self.may_send_to(queued[*i], to));
+        if queued.len() == 1 {
             return may.next_back();
         }
-        let goal = &self.set.goal;
-        let asked: f64 = self.classes.iter().map(|c| c.care.asked.at(self.now, MEMORY)).sum();
-        let by_class = self.goal_weights(self.classes.iter().map(|c| &c.care), goal.worst_class);
-        let by_tenant = self.goal_weights(self.tenants.iter().map(|t| &t.care), goal.worst_tenant);
-        let times = self.times.get(&to.entry.kind);
-        let key = |place: usize| {
-            let r = self.requests.get(&held[place])?;
+        let goal = &self.settings.goal;
+        let requested: f64 =
+            self.class_stats.iter().map(|c| c.service.requested.at(self.now, SERVICE_WINDOW)).sum();
+        let by_class = self.goal_gains(self.class_stats.iter().map(|c| &c.service), goal.worst_class);
+        let by_tenant = self.goal_gains(self.tenant_stats.iter().map(|t| &t.service), goal.worst_tenant);
+        let latencies = self.base_latency.get(&to.entry.kind);
+        let score = |index: usize| {
+            let r = self.requests.get(&queued[index])?;
             let tenant = r.tenant.map_or(0.0, |t| by_tenant[t]);
-            let slope = goal.worth / asked.max(f64::MIN_POSITIVE) + by_class[r.class] + tenant;
-            let usual = self.classes[r.class].mean;
-            let time = times.map_or(usual, |t| if t[r.class] > 0.0 { t[r.class] } else { usual });
-            Some((r.worth * slope / time.max(f64::MIN_POSITIVE), r.came))
+            let gain = goal.worth / requested.max(f64::MIN_POSITIVE) + by_class[r.class] + tenant;
+            let mean = self.class_stats[r.class].latency;
+            let time = latencies.map_or(mean, |t| if t[r.class] > 0.0 { t[r.class] } else { mean });
+            Some((r.worth * gain / time.max(f64::MIN_POSITIVE), r.arrived))
         };
-        let keyed = may.filter_map(|place| Some((place, key(place)?)));
-        let best = keyed.max_by(|(_, a), (_, b)| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        best.map(|(place, _)| place)
+        let scored = may.filter_map(|index| Some((index, score(index)?)));
+        let best = scored.max_by(|(_, a), (_, b)| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        best.map(|(index, _)| index)
     }
 
-    /// What time brings.
     fn sweep(&mut self) {
         let now = self.now;
-        self.swept = now;
-        match self.call {
-            Call::AskAt(at, failures) if now >= at => {
-                self.call = Call::Asked(now, failures);
+        self.last_sweep = now;
+        match self.subscription {
+            Subscription::Due(at, failures) if now >= at => {
+                self.subscription = Subscription::Pending(now, failures);
                 self.actions.push(Action::Subscribe);
             }
-            // No answer at all: taken for a failure.
-            Call::Asked(at, _) if now - at >= self.set.rules.discovery_deadline => self.on_list_failed(),
+            // No answer at all counts as a failure.
+            Subscription::Pending(at, _) if now - at >= self.settings.rules.discovery_deadline => {
+                self.on_list_failed()
+            }
             _ => {}
         }
-        let due = self.rotated().filter(|s| !s.probing && s.ejected.is_some_and(|at| now >= at));
+        let due = self.rotation().filter(|s| !s.probing && s.ejected_until.is_some_and(|at| now >= at));
         for id in due.map(|s| s.entry.server).collect::<Vec<_>>() {
             let Some(server) = self.servers.get_mut(&id) else { continue };
             if server.suspect {
-                server.ejected = None;
-            } else if self.set.limits.probes {
+                server.ejected_until = None;
+            } else if self.settings.limits.probes {
                 server.probing = true;
                 self.actions.push(Action::Probe(id));
             } else {
-                self.on_probed(id, Outcome::Success);
+                self.on_probe_ended(id, Outcome::Success);
             }
         }
-        if self.rulings.values().any(|(_, lapse)| now >= *lapse) {
-            self.rulings.retain(|_, (_, lapse)| now < *lapse);
-            self.regroup();
+        if self.verdicts.values().any(|(_, lapse)| now >= *lapse) {
+            self.verdicts.retain(|_, (_, lapse)| now < *lapse);
+            self.update_members();
         }
-        if now >= self.warmer_at() {
+        if now >= self.next_warmup_step() {
             self.choose_subset();
         }
-        self.serve_waiting();
+        self.serve_queue();
     }
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -187,8 +187,8 @@
     let changes: [(&str, Change); 11] = [
         ("node_index", |s| s.node_index = 1),
         ("node_count", |s| s.node_count = 3),
-        ("classes: their number", |s| s.classes.truncate(1)),
-        ("classes: an effect", |s| s.classes[UNSAFE].idempotency = Idempotency::Safe),
+        ("classes: count", |s| s.classes.truncate(1)),
+        ("classes: idempotency", |s| s.classes[UNSAFE].idempotency = Idempotency::Safe),
         ("tenants", |s| s.tenants.push(Tenant { quota_per_s: 1.0 })),
         ("rules", |s| s.rules.cold_capacity = 1.0),
         ("discovery", |s| s.discovery = Discovery::Subscribed),
