--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,4 +1,5 @@
-//! A node in small: one request served, one after a failed connection, one past a server that drains.
+//! Drives the decision module by hand: one request is served, one is resent after a failed connection, one avoids
+//! a draining server.
 
 use tulipmount::*;
 
@@ -45,8 +46,8 @@
     Entry { server: ServerId(id), zone: 0, cell: 0, kind: 0, state, weight: 1.0, started_at: None }
 }
 
-/// Hands over one event and prints what is to be done; gives the server of a send.
-fn tell(balancer: &mut Balancer, now: Millis, event: Event) -> Option<ServerId> {
+/// Passes one event to the balancer and prints the resulting actions; returns the server of a send.
+fn handle(balancer: &mut Balancer, now: Millis, event: Event) -> Option<ServerId> {
     let mut actions = Vec::new();
     balancer.handle(now, event, &mut actions);
     for action in actions.iter().filter(|a| !matches!(a, Action::SetTimer(_))) {
@@ -62,9 +63,9 @@
 fn main() -> Result<(), SettingsError> {
     let mut balancer = Balancer::new(settings(), 42)?;
     let entries = (1..=3).map(|id| entry(id, ServerState::Up)).collect();
-    tell(&mut balancer, 0.0, Event::List { entries, saved: false });
+    handle(&mut balancer, 0.0, Event::List { entries, saved: false });
 
-    let ask = |id, now| Event::Request {
+    let request = |id, now| Event::Request {
         id,
         class: 0,
         tenant: None,
@@ -74,20 +75,21 @@
         estimated_work: None,
     };
     let first = RequestId(1);
-    let server = tell(&mut balancer, 10.0, ask(first, 10.0)).expect("three servers are ready");
-    tell(&mut balancer, 22.0, ended(first, 0, server, Outcome::Success));
+    let server = handle(&mut balancer, 10.0, request(first, 10.0)).expect("three servers are ready");
+    handle(&mut balancer, 22.0, ended(first, 0, server, Outcome::Success));
 
-    // The second request is refused a connection: it never ran, so it goes to the next turn.
+    // The connection for the second request is refused. The request was not executed, so it is resent at once.
     let second = RequestId(2);
-    let server = tell(&mut balancer, 30.0, ask(second, 30.0)).expect("three servers are ready");
-    let server = tell(&mut balancer, 42.0, ended(second, 0, server, Outcome::ConnectFailed)).expect("resent");
-    tell(&mut balancer, 54.0, ended(second, 1, server, Outcome::Success));
+    let server = handle(&mut balancer, 30.0, request(second, 30.0)).expect("three servers are ready");
+    let server =
+        handle(&mut balancer, 42.0, ended(second, 0, server, Outcome::ConnectFailed)).expect("resent");
+    handle(&mut balancer, 54.0, ended(second, 1, server, Outcome::Success));
 
-    // Server 1 drains: the third goes past it.
-    tell(&mut balancer, 60.0, Event::ListChange(vec![entry(1, ServerState::Draining)]));
+    // Server 1 drains, so the third request goes to another server.
+    handle(&mut balancer, 60.0, Event::ListChange(vec![entry(1, ServerState::Draining)]));
     let third = RequestId(3);
-    let server = tell(&mut balancer, 70.0, ask(third, 70.0)).expect("two servers are left");
+    let server = handle(&mut balancer, 70.0, request(third, 70.0)).expect("two servers are left");
     assert_eq!(server, ServerId(2));
-    tell(&mut balancer, 82.0, ended(third, 0, server, Outcome::Success));
+    handle(&mut balancer, 82.0, ended(third, 0, server, Outcome::Success));
     Ok(())
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of a load-balancing proxy in front of a fleet of HTTP servers.
+//! Decision module of a load-balancing proxy in front of a fleet of HTTP servers.
 //!
-//! [`Balancer`] takes [`Event`]s and answers with [`Action`]s; it does no I/O and reads no clock. [`api`] is
-//! its whole interface, [`wire`] an adapter that drives many instances over lines of JSON.
+//! [`Balancer`] consumes [`Event`]s and returns [`Action`]s; it does no I/O and reads no clock. [`api`] is its
+//! interface, [`wire`] an adapter that hosts many instances over lines of JSON for simulators.
 //!
 //! ```
 //! use tulipmount::*;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,5 +1,5 @@
-//! The adapter: hosts many instances of [`Balancer`] and translates between their events and actions and lines
-//! of JSON. It decides nothing.
+//! Adapter for simulators: hosts many [`Balancer`] instances and translates between their events and actions
+//! and lines of JSON. It makes no decisions.
 
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -14,12 +14,12 @@
 mod policy;
 pub use policy::settings_with_policy;
 
-/// The bit of a request's marks that says its client's guess at the work holds.
-const GUESSED: u64 = 1;
-/// The bit that says its client repeats it.
-const REPEAT: u64 = 2;
+/// Bit of a request's marks: the client's work estimate is valid.
+const MARK_WORK_ESTIMATED: u64 = 1;
+/// Bit of a request's marks: the client marked it as a retry.
+const MARK_RETRY: u64 = 2;
 
-/// A line that cannot be understood.
+/// Describes a line or settings object that cannot be read, beginning with the field's path.
 pub type WireError = String;
 
 type Names = Vec<String>;
@@ -30,7 +30,7 @@
     tenants: Names,
 }
 
-/// All instances that one process hosts.
+/// The instances hosted by one process.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u64, Instance>,
@@ -63,35 +63,35 @@
     value.as_array().ok_or_else(|| format!("{what}: array expected"))
 }
 
-/// What a number of the settings may be, and that in words.
+/// A check of a number in the settings and its description for errors.
 type Bound = (fn(f64) -> bool, &'static str);
 
 const AMOUNT: Bound = (|n| n >= 0.0, "an amount of 0 or more");
 const SHARE: Bound = (|n| (0.0..=1.0).contains(&n), "a share from 0 to 1");
-const TIME: Bound = (|n| (0.0..=LONGEST).contains(&n), "a time from 0 to 10^12 ms");
-const TIME_ABOVE: Bound = (|n| n > 0.0 && n <= LONGEST, "a time above 0, up to 10^12 ms");
+const TIME: Bound = (|n| (0.0..=MAX_TIME_MS).contains(&n), "a time from 0 to 10^12 ms");
+const TIME_ABOVE: Bound = (|n| n > 0.0 && n <= MAX_TIME_MS, "a time above 0, up to 10^12 ms");
 const COUNT: Bound = (|n| n >= 1.0 && n.fract() == 0.0, "a whole number from 1 on");
 const NODES: Bound =
-    (|n| (1.0..=NODES_MOST).contains(&n) && n.fract() == 0.0, "a whole number from 1 to 100,000");
+    (|n| (1.0..=MAX_NODE_COUNT).contains(&n) && n.fract() == 0.0, "a whole number from 1 to 100,000");
 const FACTOR: Bound = (|n| SERVER_WEIGHT_RANGE.contains(&n), "a factor from 0.01 to 100");
 
-/// The longest time that settings may name: servers may remember keys for weeks.
-const LONGEST: Millis = 1e12;
-/// The most nodes: the module fills a table of twice as many places.
-const NODES_MOST: f64 = 100_000.0;
+/// The longest time accepted in settings; servers may remember keys for weeks.
+const MAX_TIME_MS: Millis = 1e12;
+/// The most nodes accepted: the module fills a table of twice as many slots.
+const MAX_NODE_COUNT: f64 = 100_000.0;
 
-/// A number within its bound.
-fn within(value: &Value, what: &str, (fits, words): Bound) -> Result<f64, WireError> {
+/// Reads a number and checks its bound.
+fn within(value: &Value, what: &str, (fits, description): Bound) -> Result<f64, WireError> {
     let found = number(value, what)?;
-    fits(found).then_some(found).ok_or_else(|| format!("{what}: {found} is not {words}"))
+    fits(found).then_some(found).ok_or_else(|| format!("{what}: {found} is not {description}"))
 }
 
-/// The fields of one object; an absent optional value takes its default, an absent required one is an
-/// error. Errors begin with the field's path.
+/// The fields of one object. An absent optional field takes its default, an absent required one is an error.
+/// Errors begin with the field's path.
 struct Fields<'a> {
-    /// `None` where the whole object is absent.
+    /// `None` if the whole object is absent.
     map: Option<&'a Map<String, Value>>,
-    /// Empty for the settings themselves.
+    /// Empty for the top-level settings.
     path: String,
 }
 
@@ -154,27 +154,27 @@
         self.get(key).map_or(Ok(&[]), |v| list(v, &self.at(key)).map(Vec::as_slice))
     }
 
-    /// An object in it; without fields where it is absent.
+    /// A nested object; one without fields if it is absent.
     fn object(&self, key: &str) -> Result<Self, WireError> {
         let path = self.at(key);
         self.get(key).map_or(Ok(Self { map: None, path: path.clone() }), |v| Self::of(v, &path))
     }
 
-    /// A list of objects that are told apart by their names.
+    /// A list of objects with unique names.
     fn named<T>(
         &self,
         key: &str,
         read: impl Fn(&Self) -> Result<T, WireError>,
     ) -> Result<(Names, Vec<T>), WireError> {
         let (mut names, mut all) = (Names::new(), Vec::new());
-        for (n, value) in self.list(key)?.iter().enumerate() {
-            let item = Self::of(value, &format!("{}[{n}]", self.at(key)))?;
+        for (index, value) in self.list(key)?.iter().enumerate() {
+            let item = Self::of(value, &format!("{}[{index}]", self.at(key)))?;
             let (name, path) = (item.text("Name")?, item.at("Name"));
             if name.is_empty() || name.contains(char::is_control) {
-                return Err(format!("{path}: {name:?} is not a name of characters that can be seen"));
+                return Err(format!("{path}: {name:?} is empty or has control characters"));
             }
-            if names.iter().any(|before| before == name) {
-                return Err(format!("{path}: {name:?} is there already"));
+            if names.iter().any(|other| other == name) {
+                return Err(format!("{path}: {name:?} is used twice"));
             }
             names.push(name.to_string());
             all.push(read(&item)?);
@@ -183,30 +183,30 @@
     }
 }
 
-fn class(f: &Fields<'_>) -> Result<Class, WireError> {
-    // The narrowest group is the safe reading of an absent one.
-    let scope = match f.text_or("DedupScope", "cell")? {
+fn class(fields: &Fields<'_>) -> Result<Class, WireError> {
+    // The narrowest scope is the safe default.
+    let scope = match fields.text_or("DedupScope", "cell")? {
         "all" => DedupScope::All,
         "zone" => DedupScope::Zone,
         "cell" => DedupScope::Cell,
-        other => return Err(format!("{}: {other} is unknown", f.at("DedupScope"))),
+        other => return Err(format!("{}: {other} is unknown", fields.at("DedupScope"))),
     };
-    let idempotency = match f.text("Idempotency")? {
+    let idempotency = match fields.text("Idempotency")? {
         "pure" => Idempotency::Safe,
-        "token" => Idempotency::Keyed { scope, dedup_window: f.within_or("MemorySpan", TIME, 0.0)? },
+        "token" => Idempotency::Keyed { scope, dedup_window: fields.within_or("MemorySpan", TIME, 0.0)? },
         "side_effect" => Idempotency::Unsafe,
-        other => return Err(format!("{}: {other} is unknown", f.at("Idempotency"))),
+        other => return Err(format!("{}: {other} is unknown", fields.at("Idempotency"))),
     };
     Ok(Class {
-        slo: f.within("Slo", TIME_ABOVE)?,
-        worth: f.within_or("Value", AMOUNT, 1.0)?,
-        deadline: f.within_or("Deadline", TIME_ABOVE, f64::INFINITY)?,
-        late_worth: f.within_or("LateValue", SHARE, 0.0)?,
+        slo: fields.within("Slo", TIME_ABOVE)?,
+        worth: fields.within_or("Value", AMOUNT, 1.0)?,
+        deadline: fields.within_or("Deadline", TIME_ABOVE, f64::INFINITY)?,
+        late_worth: fields.within_or("LateValue", SHARE, 0.0)?,
         idempotency,
     })
 }
 
-/// Votes are read, and refused, as the control group does it.
+/// Reads the vote settings with the same checks as the control group.
 fn votes(value: &Value) -> Result<VoteSettings, WireError> {
     let figures = Figures::deserialize(value).map_err(|e| format!("Votes: {e}"))?;
     figures.check().map_err(|e| e.to_string())?;
@@ -222,51 +222,52 @@
     })
 }
 
-/// What the settings object says: the module's part, and what only a node on sockets needs.
+/// A parsed settings object: the module's settings and those that only a node on sockets needs.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// The module's settings.
     pub settings: Settings,
-    /// The names of the classes, by index.
+    /// Class names, by index.
     pub class_names: Vec<String>,
-    /// The names of the tenants, by index.
+    /// Tenant names, by index.
     pub tenant_names: Vec<String>,
     /// The longest time that a client waits in any class.
     pub max_deadline: Millis,
     /// Servers close connections that have been idle for this long.
     pub keepalive: Millis,
-    /// The most requests that may be open at a node.
+    /// Maximum number of open requests at a node.
     pub max_open_requests: usize,
-    /// The operators' factors to servers' sizes, by the servers' names; who knows the servers' ids puts them
-    /// into the settings.
+    /// The operators' factors for servers' sizes, by server name. The caller, who knows the servers' ids,
+    /// adds them to the settings.
     pub server_weights: BTreeMap<String, f64>,
-    /// The names of the servers that get nothing new.
+    /// Names of servers that get nothing new.
     pub bans: Vec<String>,
 }
 
-/// Reads the settings object that an instance, or a node on sockets, is given.
+/// Parses the settings object of an instance or of a node on sockets.
 ///
 /// # Errors
 /// Names the first field that is missing or malformed.
 pub fn parse_settings(value: &Value) -> Result<NodeSettings, WireError> {
-    let f = Fields::of(value, "")?;
-    let (class_names, classes) = f.named("Classes", class)?;
+    let fields = Fields::of(value, "")?;
+    let (class_names, classes) = fields.named("Classes", class)?;
     if classes.is_empty() {
         return Err("Classes: no classes, one is needed at least".to_string());
     }
     let max_deadline = classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     let tenant = |t: &Fields<'_>| Ok(Tenant { quota_per_s: t.within("QuotaPerS", AMOUNT)? });
-    let (tenant_names, tenants) = f.named("Customers", tenant)?;
-    let l = Fields::of(f.need("Limits")?, "Limits")?;
-    let r = Fields::of(f.need("Contract")?, "Contract")?;
-    let (g, t, e) = (f.object("Goal")?, f.object("Retry")?, f.object("Ejection")?);
-    let (retry, ejection) = (RetryBudget::default(), Ejection::default());
-    let weights = f.object("ServerWeights")?;
+    let (tenant_names, tenants) = fields.named("Customers", tenant)?;
+    let limits = Fields::of(fields.need("Limits")?, "Limits")?;
+    let rules = Fields::of(fields.need("Contract")?, "Contract")?;
+    let (goal, retry, ejection) =
+        (fields.object("Goal")?, fields.object("Retry")?, fields.object("Ejection")?);
+    let (default_retry, default_ejection) = (RetryBudget::default(), Ejection::default());
+    let weights = fields.object("ServerWeights")?;
     let factor =
         |(name, factor): (&String, &Value)| Ok((name.clone(), within(factor, &weights.at(name), FACTOR)?));
     let factors = weights.map.into_iter().flatten().map(factor);
-    let bans = f.list("ServerBans")?.iter().map(|name| text(name, "ServerBans").map(str::to_string));
-    let (number, nodes) = (f.whole("Me")?, f.within("PeersTotal", NODES)?);
+    let bans = fields.list("ServerBans")?.iter().map(|name| text(name, "ServerBans").map(str::to_string));
+    let (number, nodes) = (fields.whole("Me")?, fields.within("PeersTotal", NODES)?);
     if number as f64 >= nodes {
         return Err(format!("Me: {number} is not below PeersTotal"));
     }
@@ -275,69 +276,72 @@
         node_count: nodes as usize,
         classes,
         tenants,
-        over_quota_worth: f.within_or("OverShareWorth", SHARE, 1.0)?,
+        over_quota_worth: fields.within_or("OverShareWorth", SHARE, 1.0)?,
         goal: Goal {
-            worth: g.within_or("Whole", AMOUNT, 1.0)? + g.within_or("WorstWindow", AMOUNT, 0.0)?,
-            worst_class: g.within_or("WorstClass", AMOUNT, 0.0)?,
-            worst_tenant: g.within_or("WorstTenant", AMOUNT, 0.0)?,
+            worth: goal.within_or("Whole", AMOUNT, 1.0)? + goal.within_or("WorstWindow", AMOUNT, 0.0)?,
+            worst_class: goal.within_or("WorstClass", AMOUNT, 0.0)?,
+            worst_tenant: goal.within_or("WorstTenant", AMOUNT, 0.0)?,
         },
         limits: Limits {
-            max_attempts: l.within("AttemptsCap", COUNT)? as usize,
-            hedging: l.flag_or("MayDuplicate", false)?,
-            cancel: l.flag_or("Cancel", false)?,
-            probes: l.flag_or("Probes", false)?,
-            connect_timeout: l.within("ConnectTimeout", TIME)?,
-            max_retry_after: if l.flag_or("RetryAfter", false)? {
-                l.within_or("MaxRetryAfter", TIME, 0.0)?
+            max_attempts: limits.within("AttemptsCap", COUNT)? as usize,
+            hedging: limits.flag_or("MayDuplicate", false)?,
+            cancel: limits.flag_or("Cancel", false)?,
+            probes: limits.flag_or("Probes", false)?,
+            connect_timeout: limits.within("ConnectTimeout", TIME)?,
+            max_retry_after: if limits.flag_or("RetryAfter", false)? {
+                limits.within_or("MaxRetryAfter", TIME, 0.0)?
             } else {
                 0.0
             },
         },
         retry_budget: RetryBudget {
-            ratio: t.within_or("BudgetShare", SHARE, retry.ratio)?,
-            max: t.within_or("BudgetMax", AMOUNT, retry.max)?,
+            ratio: retry.within_or("BudgetShare", SHARE, default_retry.ratio)?,
+            max: retry.within_or("BudgetMax", AMOUNT, default_retry.max)?,
         },
         ejection: Ejection {
-            consecutive_failures: e.within_or("Failures", COUNT, f64::from(ejection.consecutive_failures))?
-                as u32,
-            max_fraction: e.within_or("AtMost", SHARE, ejection.max_fraction)?,
+            consecutive_failures: ejection.within_or(
+                "Failures",
+                COUNT,
+                f64::from(default_ejection.consecutive_failures),
+            )? as u32,
+            max_fraction: ejection.within_or("AtMost", SHARE, default_ejection.max_fraction)?,
         },
-        votes: f.get("Votes").map(votes).transpose()?,
+        votes: fields.get("Votes").map(votes).transpose()?,
         server_weights: BTreeMap::new(),
         rules: Rules {
-            discovery_deadline: r.within_or("AskWithin", TIME, 10_000.0)?,
-            cold_capacity: r.within("ColdShare", SHARE)?,
-            warmup_time: r.within("WarmWithin", TIME)?,
-            overload_multiple: r.within("FallMultiple", AMOUNT)?,
-            overload_window: r.within("Fall", TIME)?,
+            discovery_deadline: rules.within_or("AskWithin", TIME, 10_000.0)?,
+            cold_capacity: rules.within("ColdShare", SHARE)?,
+            warmup_time: rules.within("WarmWithin", TIME)?,
+            overload_multiple: rules.within("FallMultiple", AMOUNT)?,
+            overload_window: rules.within("Fall", TIME)?,
         },
-        discovery: match f.text_or("Discovery", "automatic")? {
+        discovery: match fields.text_or("Discovery", "automatic")? {
             "subscribe" => Discovery::Subscribed,
             "automatic" => Discovery::Pushed,
             other => return Err(format!("Discovery: {other} is unknown")),
         },
-        weights: match f.text_or("Weights", "silent")? {
+        weights: match fields.text_or("Weights", "silent")? {
             "nominal" | "rough" => Weights::Static,
             "live" => Weights::Live,
             "silent" => Weights::None,
             other => return Err(format!("Weights: {other} is unknown")),
         },
-        tick: f.within_or("Tick", TIME, 1.0)?,
+        tick: fields.within_or("Tick", TIME, 1.0)?,
     };
     Ok(NodeSettings {
         settings,
         class_names,
         tenant_names,
         max_deadline,
-        keepalive: l.within_or("Keepalive", TIME, 15_000.0)?,
-        max_open_requests: l.within_or("OpenCap", COUNT, 20_000.0)? as usize,
+        keepalive: limits.within_or("Keepalive", TIME, 15_000.0)?,
+        max_open_requests: limits.within_or("OpenCap", COUNT, 20_000.0)? as usize,
         server_weights: factors.collect::<Result<_, WireError>>()?,
         bans: bans.collect::<Result<_, WireError>>()?,
     })
 }
 
-fn outcome(word: &str) -> Result<Outcome, WireError> {
-    Ok(match word {
+fn outcome(name: &str) -> Result<Outcome, WireError> {
+    Ok(match name {
         "done" => Outcome::Success,
         "err" => Outcome::Error,
         "busy" => Outcome::Rejected,
@@ -350,7 +354,7 @@
     })
 }
 
-/// The place of a name in a list; settings and zones are short.
+/// The index of a name; the lists of classes, tenants and zones are short.
 fn index(names: &[String], value: &Value) -> Option<usize> {
     value.as_str().and_then(|name| names.iter().position(|n| n == name))
 }
@@ -368,21 +372,22 @@
 }
 
 impl Adapter {
-    /// Reads one batch and gives the reply, without its line end.
+    /// Handles one batch and returns the reply, without a line end.
     ///
     /// # Errors
-    /// Says what is malformed; the line then has no reply, and the host should not be used any further.
+    /// Describes what is malformed. There is no reply to such a line, and the adapter should not be used any
+    /// further.
     pub fn handle_line(&mut self, line: &str) -> Result<String, WireError> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
-        let f = Fields::of(&batch, "batch")?;
-        let now = f.number("Time")?;
-        let round = f.whole("round")?;
+        let fields = Fields::of(&batch, "batch")?;
+        let now = fields.number("Time")?;
+        let round = fields.whole("round")?;
         let mut parts = Vec::new();
-        for part in f.list("parts")? {
-            let p = Fields::of(part, "parts")?;
-            let number = p.whole("I")?;
+        for part in fields.list("parts")? {
+            let part = Fields::of(part, "parts")?;
+            let number = part.whole("I")?;
             let mut steps = Vec::new();
-            for input in p.list("input")? {
+            for input in part.list("input")? {
                 self.input(now, number, list(input, "input")?, &mut steps)?;
             }
             if !steps.is_empty() {
@@ -410,17 +415,17 @@
                 self.instances.remove(&me);
             }
             _ => {
-                // What comes for an instance that was killed is void.
+                // Input for an instance that was stopped is ignored.
                 let Some(instance) = self.instances.get_mut(&me) else { return Ok(()) };
                 let Some(event) = instance.event(&self.tables, input)? else { return Ok(()) };
                 let mut actions = Vec::new();
                 let balancer = &mut instance.balancer;
                 match catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, &mut actions))) {
                     Ok(()) => steps.extend(actions.iter().map(action)),
-                    Err(fault) => {
-                        let fixed = fault.downcast_ref::<&str>().map(|s| (*s).to_string());
-                        let words = fixed.or_else(|| fault.downcast_ref::<String>().cloned());
-                        steps.push(json!(["EXCEPTION", words.unwrap_or_else(|| "panic".to_string())]));
+                    Err(panic) => {
+                        let literal = panic.downcast_ref::<&str>().map(|s| (*s).to_string());
+                        let message = literal.or_else(|| panic.downcast_ref::<String>().cloned());
+                        steps.push(json!(["EXCEPTION", message.unwrap_or_else(|| "panic".to_string())]));
                     }
                 }
             }
@@ -431,7 +436,7 @@
     fn entry(&mut self, value: &Value) -> Result<Entry, WireError> {
         let row = list(value, "entry")?;
         let at = |i: usize| row.get(i).unwrap_or(&Value::Null);
-        // Zones and kinds are only ever compared: any number that is the same for the same name will do.
+        // Zones and machine kinds are only compared, so any unique number per name will do.
         let mut name = |value: &Value| {
             index(&self.names, value).unwrap_or_else(|| {
                 self.names.push(value.as_str().unwrap_or_default().to_string());
@@ -457,7 +462,7 @@
 }
 
 impl Instance {
-    /// Translates an event; `None` for one that is not known or says nothing.
+    /// Translates an event; `None` if it is unknown or of no interest.
     fn event(&self, tables: &BTreeMap<u64, Vec<Entry>>, input: &[Value]) -> Result<Option<Event>, WireError> {
         let at = |i: usize| input.get(i).unwrap_or(&Value::Null);
         let id = || whole(at(1), "Corr").map(RequestId);
@@ -483,10 +488,10 @@
                 tenant: index(&self.tenants, at(3)),
                 deadline: number(at(5), "DropDead")?,
                 streaming_body: false,
-                is_retry: at(7).as_u64().is_some_and(|marks| marks & REPEAT != 0),
+                is_retry: at(7).as_u64().is_some_and(|marks| marks & MARK_RETRY != 0),
                 estimated_work: at(6)
                     .as_f64()
-                    .filter(|_| at(7).as_u64().is_some_and(|marks| marks & GUESSED != 0)),
+                    .filter(|_| at(7).as_u64().is_some_and(|marks| marks & MARK_WORK_ESTIMATED != 0)),
             },
             "STREAMING" => Event::Streaming { id: id()?, attempt: attempt()? },
             "RESPONSE" => Event::AttemptEnded {
--- a/src/wire/policy.rs
+++ b/src/wire/policy.rs
@@ -1,4 +1,5 @@
-//! A policy over a node's settings object: names and kinds are [`member::policy`]'s, what fits is the settings'.
+//! Lays a policy over a node's settings object. Names and kinds are checked by [`member::policy`], values by
+//! the settings.
 
 use member::policy::PolicyError;
 use member::Policy;
@@ -6,15 +7,15 @@
 
 use super::{parse_settings, NodeSettings};
 
-/// Reads a node's settings object with a policy laid over it.
+/// Parses a node's settings object with a policy laid over it.
 ///
 /// # Errors
-/// Names the first field of the policy that may not change, is unknown or has no proper value.
+/// Names the first field of the policy that may not change, is unknown or has an invalid value.
 pub fn settings_with_policy(settings: &Value, policy: &Policy) -> Result<NodeSettings, PolicyError> {
-    let wrong = |e: &dyn std::fmt::Display| PolicyError::Settings(e.to_string());
-    let before = parse_settings(settings).map_err(|e| wrong(&e))?;
-    let after = parse_settings(&policy.over(settings)?).map_err(|e| wrong(&e))?;
-    before.settings.check_update(&after.settings).map_err(|e| wrong(&e))?;
+    let invalid = |e: &dyn std::fmt::Display| PolicyError::Settings(e.to_string());
+    let before = parse_settings(settings).map_err(|e| invalid(&e))?;
+    let after = parse_settings(&policy.over(settings)?).map_err(|e| invalid(&e))?;
+    before.settings.check_update(&after.settings).map_err(|e| invalid(&e))?;
     Ok(after)
 }
 
@@ -36,14 +37,14 @@
         })
     }
 
-    fn with(policy: Value) -> Result<NodeSettings, String> {
+    fn parse_with(policy: Value) -> Result<NodeSettings, String> {
         settings_with_policy(&settings(), &Policy(policy.as_object().expect("an object").clone()))
             .map_err(|e| e.to_string())
     }
 
     #[test]
-    fn a_policy_sets_what_it_names_and_nothing_else() {
-        let told = with(json!({
+    fn policy_changes_only_the_fields_it_names() {
+        let changed = parse_with(json!({
             "Classes": [{"Name": "note", "Slo": 90, "LateValue": 0.5}],
             "Customers": [{"Name": "west", "QuotaPerS": 25}],
             "Limits": {"AttemptsCap": 1, "OpenCap": 77},
@@ -51,41 +52,44 @@
             "ServerWeights": {"s-1": 0.5}, "ServerBans": ["s-2"], "Votes": {"Failed": 0.4}
         }))
         .expect("a good policy");
-        let set = &told.settings;
-        assert_eq!((set.classes[0].slo, set.classes[1].slo, set.classes[1].late_worth), (100.0, 90.0, 0.5));
+        let module = &changed.settings;
         assert_eq!(
-            (set.tenants[0].quota_per_s, set.limits.max_attempts, told.max_open_requests),
+            (module.classes[0].slo, module.classes[1].slo, module.classes[1].late_worth),
+            (100.0, 90.0, 0.5)
+        );
+        assert_eq!(
+            (module.tenants[0].quota_per_s, module.limits.max_attempts, changed.max_open_requests),
             (25.0, 1, 77)
         );
         assert_eq!(
-            (set.retry_budget.ratio, set.retry_budget.max, set.limits.max_retry_after),
+            (module.retry_budget.ratio, module.retry_budget.max, module.limits.max_retry_after),
             (0.05, 10.0, 900.0)
         );
-        assert_eq!((set.ejection.consecutive_failures, set.ejection.max_fraction), (5, 0.25));
+        assert_eq!((module.ejection.consecutive_failures, module.ejection.max_fraction), (5, 0.25));
         assert_eq!(
-            set.votes.as_ref().map(|v| (v.failure_threshold, v.contact_timeout)),
+            module.votes.as_ref().map(|v| (v.failure_threshold, v.contact_timeout)),
             Some((0.4, 5_000.0))
         );
         assert_eq!(
-            (told.server_weights.get("s-1"), told.bans.as_slice()),
+            (changed.server_weights.get("s-1"), changed.bans.as_slice()),
             (Some(&0.5), &["s-2".to_string()][..])
         );
-        let plain = with(json!({})).expect("no change");
+        let unchanged = parse_with(json!({})).expect("no change");
         assert_eq!(
-            format!("{plain:?}"),
+            format!("{unchanged:?}"),
             format!("{:?}", super::parse_settings(&settings()).expect("good settings"))
         );
     }
 
     #[test]
-    fn what_does_not_fit_the_settings_is_refused() {
-        for (policy, words) in [
+    fn policy_that_does_not_fit_the_settings_is_refused() {
+        for (policy, message) in [
             (json!({"Classes": [{"Name": "sell", "Slo": 1}]}), "Classes[sell]: is unknown"),
             (json!({"Limits": {"Probes": true}}), "Limits.Probes: may not change"),
             (json!({"Votes": {"Majority": 0.5}}), "Votes.Majority: a number above 0.5, up to 1 expected"),
         ] {
-            let error = with(policy).expect_err(words);
-            assert!(error.starts_with(words), "{error}");
+            let error = parse_with(policy).expect_err(message);
+            assert!(error.starts_with(message), "{error}");
         }
         assert_eq!(member::policy::SERVER_WEIGHTS, crate::api::SERVER_WEIGHT_RANGE);
     }
