--- a/src/balance.rs
+++ b/src/balance.rs
@@ -792,6 +792,7 @@
             return None;
         }
         for id in &self.subset {
+            // As a cold server warms up its turns come closer together.
             let Some(server) = self.servers.get_mut(id).filter(|s| s.fraction < 1.0) else { continue };
             let warmth = server.turn_fraction(self.now, &self.settings);
             server.next_turn = self.cursor + (server.next_turn - self.cursor) * server.fraction / warmth;
@@ -904,8 +905,7 @@
             Outcome::ConnectFailed if elapsed >= 0.9 * self.settings.limits.connect_timeout => {
                 self.eject(id, true)
             }
-            // The network may break some connections, or all for a moment; if the process is down, all fail
-            // for longer.
+            // Networks break some connections, or all briefly; if the process is down, all fail for longer.
             Outcome::ConnectFailed | Outcome::Reset => {
                 if server.connection_failures == 0 {
                     server.failing_since = self.now;
