--- a/crates/control/src/edge/calls.rs
+++ b/crates/control/src/edge/calls.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use consensus::{WriteError, BODY_MOST};
+use consensus::{WriteError, MAX_BODY_BYTES};
 use http_body_util::{BodyExt, Either, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
-use member::{Abort, Beat, ChangeId, Ended, Epoch, Policy};
+use member::{AbortReason, ChangeId, EndedChange, Epoch, Heartbeat, Policy};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::json;
@@ -122,8 +122,8 @@
         match place {
             Place::Letter => {
                 let _pass = self.letters.enter().map_err(shut)?;
-                let body = whole(body, BODY_MOST).await?;
-                let (status, answer) = self.replica.serve(path, body).await;
+                let body = whole(body, MAX_BODY_BYTES).await?;
+                let (status, answer) = self.replica.handle_message(path, body).await;
                 Ok(raw(status, answer))
             }
             Place::Session => self.beat(peer, parse(&whole(body, BEAT_MOST).await?)?).await,
@@ -149,13 +149,13 @@
         }
     }
 
-    async fn beat(&self, peer: SocketAddr, beat: Beat) -> Answered {
+    async fn beat(&self, peer: SocketAddr, beat: Heartbeat) -> Answered {
         if !is_name(&beat.process.name, NAME_MOST) {
             let advice =
                 format!("a node's name has 1 to {NAME_MOST} letters, digits, dots, dashes or underscores");
             return Err(Refused::bad("process.name is no name", advice));
         }
-        let life = beat.life;
+        let life = beat.liveness_addr;
         // A connection to it that is refused is taken for the process's end: it must be an address of that process.
         if life.port() == 0
             || life.ip().is_unspecified()
@@ -188,7 +188,7 @@
         let in_touch = *self.in_touch.borrow();
         self.replica.read(|agreement, version| {
             let book = agreement.book();
-            let ended: Vec<&Ended> = book.ended().collect();
+            let ended: Vec<&EndedChange> = book.ended().collect();
             json!({
                 "version": version, "in_touch": in_touch, "epoch": book.epoch(), "policy": book.policy(),
                 "change": book.change(), "ended": ended,
@@ -199,7 +199,7 @@
     /// What is on the log, and at the leader what it knows of votes besides.
     async fn verdicts(&self) -> Answered {
         let votes = self.actor.votes().await;
-        let leading = self.replica.leading().borrow().clone();
+        let leading = self.replica.watch_leadership().borrow().clone();
         let leader = leading.leader.map(|(_, address)| address);
         let (leads, votes) = (votes.is_ok(), votes.ok().flatten());
         let in_touch = *self.in_touch.borrow();
@@ -241,7 +241,7 @@
         let terms = &self.config.terms;
         let most = terms.stage_ms + 2.0 * terms.promise_ms.max(terms.lease_ms) + terms.session_ms;
         let end = Instant::now() + Duration::from_secs_f64(most / 1000.0) + MARGIN;
-        let mut applied = self.replica.applied();
+        let mut applied = self.replica.watch_applied();
         let mut stopping = self.stopping.subscribe();
         let ended = loop {
             applied.borrow_and_update();
@@ -261,7 +261,7 @@
                 return Err(Refused::unavailable(error, advice).with("change", change).with("epoch", epoch));
             }
         };
-        match ended.aborted {
+        match ended.abort_reason {
             None => {
                 let done = json!({"epoch": epoch, "outcome": "committed", "change": change});
                 Ok(json(StatusCode::OK, &done))
@@ -279,10 +279,11 @@
         let change = self.replica.read(|agreement, _| agreement.book().change().map(|change| change.id));
         let Some(change) = change else {
             // What this replica knows may be old.
-            self.replica.confirm().await?;
+            self.replica.confirm_leadership().await?;
             return Err(none());
         };
-        match self.write(Command::Policy(PolicyCommand::Abort { change, why: Abort::Operator })).await? {
+        match self.write(Command::Policy(PolicyCommand::Abort { change, why: AbortReason::Operator })).await?
+        {
             Outcome::Done => Ok(json(StatusCode::OK, &json!({"outcome": "aborted", "change": change}))),
             Outcome::Over => Err(none()),
             other => Err(unexpected(&other)),
@@ -319,7 +320,7 @@
 
     async fn status(&self) -> serde_json::Value {
         let store = self.store.clone();
-        let disk_bytes = tokio::task::spawn_blocking(move || store.size().ok()).await.ok().flatten();
+        let disk_bytes = tokio::task::spawn_blocking(move || store.file_size().ok()).await.ok().flatten();
         let (epoch, members) =
             self.replica.read(|agreement, _| (agreement.book().epoch(), agreement.roster().len()));
         json!({
@@ -366,8 +367,8 @@
     fn unanswered(&self, unanswered: Unanswered) -> Refused {
         match unanswered {
             Unanswered::NotLeader => {
-                let leading = self.replica.leading().borrow().clone();
-                Refused::not_leader(leading.leader.filter(|_| !leading.me).map(|(_, address)| address))
+                let leading = self.replica.watch_leadership().borrow().clone();
+                Refused::not_leader(leading.leader.filter(|_| !leading.is_local).map(|(_, address)| address))
             }
             Unanswered::Busy => Refused::unavailable("too many calls at a time", "ask again soon"),
             Unanswered::Refused(why) => {
@@ -388,17 +389,17 @@
 }
 
 /// Why a change was aborted, and what to do about it.
-fn words(why: &Abort) -> (String, &'static str) {
+fn words(why: &AbortReason) -> (String, &'static str) {
     match why {
-        Abort::Refused { node, words } => {
+        AbortReason::Refused { node, reason: words } => {
             (format!("node {node} refused it: {words}"), "mend the policy, or that node's settings, and propose again")
         }
-        Abort::Silent { nodes } => (
+        AbortReason::Unresponsive { nodes } => (
             format!("not staged in time by {}", nodes.join(", ")),
             "see whether they run and reach the leader; one that is gone for good is removed: DELETE /v1/nodes/NAME",
         ),
-        Abort::Operator => ("operators called it off".to_owned(), "propose again when you are ready"),
-        Abort::Late => ("the group could not end it in time".to_owned(), "propose again"),
+        AbortReason::Operator => ("operators called it off".to_owned(), "propose again when you are ready"),
+        AbortReason::NoLeader => ("the group could not end it in time".to_owned(), "propose again"),
     }
 }
 
--- a/src/api.rs
+++ b/src/api.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-pub use member::votes::{Evidence, Stand};
+pub use member::votes::{Evidence, Vote};
 
 /// A point in time or a duration, in milliseconds. The clock may start at any value but never runs backwards.
 pub type Millis = f64;
@@ -449,8 +449,8 @@
         let count = |kind| u32::from(self == kind);
         Evidence {
             attempts: u32::from(!matches!(self, Self::Rejected | Self::Cancelled | Self::NotSent)),
-            connects: count(Self::ConnectFailed),
-            breaks: count(Self::Reset),
+            connect_failures: count(Self::ConnectFailed),
+            connection_resets: count(Self::Reset),
             timeouts: count(Self::TimedOut),
             errors: count(Self::Error),
         }
@@ -608,7 +608,7 @@
     /// The server.
     pub server: ServerId,
     /// For or against its removal.
-    pub stand: Stand,
+    pub vote: Vote,
     /// Observed within the window, of the server's listed process.
     pub evidence: Evidence,
 }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -288,7 +288,7 @@
 
     fn recent_evidence(&self, half: i64) -> Evidence {
         let recent = self.evidence.iter().filter(|(at, _)| *at == half || *at == half - 1);
-        recent.fold(Evidence::default(), |sum, (_, more)| sum.and(more))
+        recent.fold(Evidence::default(), |sum, (_, more)| sum.combined(more))
     }
 
     /// The limit on this node's attempts, after the fleet factor and the lower bound.
@@ -516,13 +516,13 @@
         let seen = up.clone().map(|s| (s.entry.server, s.recent_evidence(votes.half_window(self.now))));
         let ballot = |(server, evidence): (ServerId, Evidence)| {
             let failed =
-                f64::from(evidence.failed()) >= votes.failure_threshold * f64::from(evidence.attempts);
-            LocalBallot { server, stand: if failed { Stand::For } else { Stand::Against }, evidence }
+                f64::from(evidence.failures()) >= votes.failure_threshold * f64::from(evidence.attempts);
+            LocalBallot { server, vote: if failed { Vote::For } else { Vote::Against }, evidence }
         };
         let ballots: Vec<_> = seen.filter(|(_, e)| e.attempts >= votes.min_attempts).map(ballot).collect();
         // Of two servers that a node shares, one may be bad.
         let max_removals = (votes.self_doubt_threshold * ballots.len() as f64).max(1.0);
-        let self_doubt = ballots.iter().filter(|b| b.stand == Stand::For).count() as f64 > max_removals;
+        let self_doubt = ballots.iter().filter(|b| b.vote == Vote::For).count() as f64 > max_removals;
         let panic_mode =
             self.servers.iter().any(|(id, s)| s.removal.is_none() && self.verdicts.contains_key(id));
         let (isolated, suspects) = (self.active_votes().is_none(), up.filter(|s| s.suspect).count());
@@ -889,7 +889,7 @@
             for halves in [&mut server.evidence, &mut server.failure_run] {
                 let slot = &mut halves[(half & 1) as usize];
                 let before = if slot.0 == half { slot.1 } else { Evidence::default() };
-                *slot = (half, before.and(&outcome.evidence()));
+                *slot = (half, before.combined(&outcome.evidence()));
             }
         }
         match outcome {
