--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -12,7 +12,7 @@
 use crate::draw::{us_from_ms, Draw};
 use crate::plan::{Idempotency, Rules};
 use crate::server::Us;
-use crate::world::{Ask, Got, Out, Reach, Reply, World};
+use crate::world::{ClientTry, Effect, Reachability, ServerReply, TryOutcome, World};
 
 /// A connection that does not come up has failed after this.
 const CONNECT: Us = 150_000;
@@ -71,11 +71,11 @@
 
 impl Player {
     fn run(&mut self) {
-        while !self.world.over() {
+        while !self.world.is_over() {
             let wait = self.waits.peek().map(|Reverse((at, ..))| *at);
             let Some(due) = [self.world.next_due(), wait].into_iter().flatten().min() else { return };
             self.world.advance(due);
-            while let Some(out) = self.world.take() {
+            while let Some(out) = self.world.next_effect() {
                 self.carry_out(due, out);
             }
             while let Some(Reverse((at, ask, wait))) =
@@ -90,32 +90,32 @@
         }
     }
 
-    fn carry_out(&mut self, now: Us, out: Out) {
+    fn carry_out(&mut self, now: Us, out: Effect) {
         match out {
-            Out::Ask(ask) => {
+            Effect::DeliverRequest(ask) => {
                 if self.asked.len() <= ask {
                     self.asked.resize(ask + 1, (0, false));
                     self.last.resize(ask + 1, None);
                 }
-                if self.down.contains(&self.world.asked(ask).node) {
-                    self.world.ask_ended(now, ask, Got::NotTaken);
+                if self.down.contains(&self.world.client_try(ask).node) {
+                    self.world.try_ended(now, ask, TryOutcome::NoConnection);
                 } else {
-                    let asked = self.world.asked(ask);
-                    self.waits.push(Reverse((asked.at + asked.wait, ask, Wait::Time)));
+                    let asked = self.world.client_try(ask);
+                    self.waits.push(Reverse((asked.sent_at + asked.timeout, ask, Wait::Time)));
                     self.attempt(now, ask);
                 }
             }
-            Out::Leave(ask) => {
+            Effect::ClientDisconnect(ask) => {
                 self.asked[ask].1 = true;
                 self.close(now, ask);
             }
-            Out::Reply { attempt, reply } => {
-                let ask = self.world.ask_of(attempt);
+            Effect::DeliverReply { attempt, reply } => {
+                let ask = self.world.try_of(attempt);
                 match reply {
-                    Reply::Served => self.end(now, ask, 200, Some(attempt)),
-                    Reply::TurnedAway => self.attempt(now, ask),
-                    Reply::Garbled | Reply::Error | Reply::Reset => {
-                        let effect = self.world.draw().classes[self.world.asked(ask).class].idempotency;
+                    ServerReply::Served => self.end(now, ask, 200, Some(attempt)),
+                    ServerReply::TurnedAway => self.attempt(now, ask),
+                    ServerReply::Truncated | ServerReply::Error | ServerReply::Reset => {
+                        let effect = self.world.draw().classes[self.world.client_try(ask).class].idempotency;
                         if effect == Idempotency::Unsafe {
                             self.end(now, ask, 502, None);
                         } else {
@@ -124,28 +124,28 @@
                     }
                 }
             }
-            Out::Tell { node, to, .. } => self.world.told(now, node, to),
-            Out::Signal(node, crate::world::Signal::Kill | crate::world::Signal::Terminate) => {
+            Effect::SendListUpdate { node, to, .. } => self.world.list_delivered(now, node, to),
+            Effect::SignalNode(node, crate::world::Signal::Kill | crate::world::Signal::Terminate) => {
                 self.down.insert(node);
                 self.world.node_ended(now, node);
             }
-            Out::Start(node) => {
+            Effect::StartNode(node) => {
                 self.down.remove(&node);
                 self.world.node_ready(now, node);
             }
-            Out::Crowd { .. }
-            | Out::Signal(..)
-            | Out::Reach { .. }
-            | Out::Drop { .. }
-            | Out::EndWatches(_)
-            | Out::Strike(_)
-            | Out::Heal(_) => {}
+            Effect::OpenIdleConnections { .. }
+            | Effect::SignalNode(..)
+            | Effect::SetReachability { .. }
+            | Effect::CloseConnections { .. }
+            | Effect::CloseWatches(_)
+            | Effect::BeginGroupFault(_)
+            | Effect::EndGroupFault(_) => {}
         }
     }
 
     fn end(&mut self, now: Us, ask: usize, status: u16, attempt: Option<usize>) {
         if !std::mem::replace(&mut self.asked[ask].1, true) {
-            self.world.ask_ended(now, ask, Got::Answer { status, retry_after: None, attempt });
+            self.world.try_ended(now, ask, TryOutcome::Answer { status, retry_after: None, attempt });
             self.close(now, ask);
         }
     }
@@ -163,8 +163,8 @@
         if over {
             return;
         }
-        let asked = self.world.asked(ask);
-        let left = (asked.at + asked.wait).saturating_sub(now);
+        let asked = self.world.client_try(ask);
+        let left = (asked.sent_at + asked.timeout).saturating_sub(now);
         let server = if made >= self.attempts_most || left < us_from_ms(10.0) {
             None
         } else {
@@ -173,25 +173,25 @@
         let Some(server) = server else { return self.end(now, ask, 503, None) };
         self.asked[ask].0 += 1;
         let zone = self.world.node_zone(asked.node);
-        match self.world.reach(server, zone) {
-            Reach::Refused => {
-                let heard = now + 2 * self.world.delay(asked.node, server);
+        match self.world.reachability(server, zone) {
+            Reachability::Refused => {
+                let heard = now + 2 * self.world.link_delay(asked.node, server);
                 self.waits.push(Reverse((heard, ask, Wait::Connect)));
             }
-            Reach::Dark => self.waits.push(Reverse((now + CONNECT, ask, Wait::Connect))),
-            Reach::Open => {
+            Reachability::Unreachable => self.waits.push(Reverse((now + CONNECT, ask, Wait::Connect))),
+            Reachability::Open => {
                 let txn = self.world.txn(ask);
-                if let Some(attempt) = self.world.attempt(now, server, zone, &txn, false) {
+                if let Some(attempt) = self.world.start_attempt(now, server, zone, &txn, false) {
                     self.last[ask] = Some(attempt);
                 }
             }
         }
     }
 
-    fn choose(&mut self, now: Us, asked: &Ask) -> Option<usize> {
+    fn choose(&mut self, now: Us, asked: &ClientTry) -> Option<usize> {
         match self.policy {
             BaselinePolicy::Random => {
-                let listed = self.world.listed(asked.node);
+                let listed = self.world.listed_servers(asked.node);
                 if listed.is_empty() {
                     None
                 } else {
@@ -200,18 +200,19 @@
             }
             BaselinePolicy::Oracle => {
                 let zone = self.world.node_zone(asked.node);
-                let listed = self.world.listed(asked.node);
-                let reached = listed.into_iter().filter(|s| self.world.reach(*s, zone) == Reach::Open);
+                let listed = self.world.listed_servers(asked.node);
+                let reached =
+                    listed.into_iter().filter(|s| self.world.reachability(*s, zone) == Reachability::Open);
                 let done = |server: usize| {
-                    let (capacity, backlog) = self.world.truth(server)?;
+                    let (capacity, backlog) = self.world.capacity_and_backlog(server)?;
                     let cores = self.world.draw().servers.first()?.parameters.cores as f64;
                     // What it holds is spread over its cores; a request runs on one.
                     let wait = (backlog / capacity).max(0.0) + asked.work * cores / capacity;
-                    Some((wait + 2.0 * self.world.delay(asked.node, server) as f64, server))
+                    Some((wait + 2.0 * self.world.link_delay(asked.node, server) as f64, server))
                 };
                 let first = reached.filter_map(done).min_by(|a, b| a.0.total_cmp(&b.0));
                 let aim = self.world.draw().classes[asked.class].aim;
-                let left = (asked.at + aim.min(asked.wait)).saturating_sub(now) as f64;
+                let left = (asked.sent_at + aim.min(asked.timeout)).saturating_sub(now) as f64;
                 first.filter(|(wait, _)| *wait < left).map(|(_, server)| server)
             }
         }
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64;
 
 use crate::plan::{Direction, Fault, FaultKind, Idempotency, Plan, Range, WorkDistribution};
-use crate::server::{Choke, Figures, Us};
+use crate::server::{ChokeParameters, ServerParameters, Us};
 
 /// The most first tries of one draw.
 pub const MAX_ARRIVALS: usize = 2_000_000;
@@ -43,7 +43,7 @@
     /// Its cell.
     pub cell: u64,
     /// What it is like.
-    pub parameters: Figures,
+    pub parameters: ServerParameters,
 }
 
 /// A class as drawn.
@@ -386,29 +386,29 @@
     let count = count(rng, fleet.servers);
     let (speed, cv) = (take(rng, kind.speed), take(rng, kind.speed_cv));
     let cores = kind.cores as f64;
-    let model = Figures {
+    let model = ServerParameters {
         cores: kind.cores,
         speed,
-        queue: (take(rng, kind.queue_per_core) * cores) as usize,
-        thrash_at: take(rng, kind.thrash_at),
-        thrash: take(rng, kind.thrash),
-        cold_from: take(rng, kind.cold_from),
-        cold: us_from_s(take(rng, kind.cold_s)),
+        max_waiting: (take(rng, kind.queue_per_core) * cores) as usize,
+        thrash_threshold: take(rng, kind.thrash_at),
+        thrash_slowdown: take(rng, kind.thrash),
+        initial_warmth: take(rng, kind.cold_from),
+        warm_up: us_from_s(take(rng, kind.cold_s)),
         error_rate: take(rng, kind.error_rate),
         drops_cancelled: rng.random::<f64>() < take(rng, kind.drops_cancelled),
-        connections: (take(rng, kind.connections_per_core) * cores) as usize,
-        full_tax: take(rng, kind.full_tax),
-        handshake: take(rng, kind.handshake_ms) * 1e3,
-        choke: Choke {
-            at: take(rng, kind.choke_at),
-            over: us_from_s(take(rng, kind.choke_over_s)),
-            slower: take(rng, kind.choke_slower),
-            below: take(rng, kind.choke_below),
-            rest: us_from_s(take(rng, kind.choke_rest_s)),
-            most: us_from_s(take(rng, kind.choke_most_s)),
+        max_connections: (take(rng, kind.connections_per_core) * cores) as usize,
+        connection_overhead: take(rng, kind.full_tax),
+        handshake_work: take(rng, kind.handshake_ms) * 1e3,
+        choke: ChokeParameters {
+            threshold: take(rng, kind.choke_at),
+            onset: us_from_s(take(rng, kind.choke_over_s)),
+            slowdown: take(rng, kind.choke_slower),
+            recovery_threshold: take(rng, kind.choke_below),
+            recovery: us_from_s(take(rng, kind.choke_rest_s)),
+            max_duration: us_from_s(take(rng, kind.choke_most_s)),
         },
-        fall_multiple: plan.rules.fall_multiple,
-        fall_window: us_from_ms(plan.rules.fall_ms),
+        overload_multiple: plan.rules.fall_multiple,
+        overload_window: us_from_ms(plan.rules.fall_ms),
     };
     // The largest remainders get what rounding leaves over; the zones in turn where weights are alike.
     let total: f64 = weights.iter().sum();
@@ -424,7 +424,7 @@
     let spread = Normal::new(1.0, cv).ok();
     let specs = zones.into_iter().enumerate().map(|(n, zone)| {
         let factor = spread.map_or(1.0, |d| d.sample(rng)).clamp(0.5, 1.5);
-        let figures = Figures { speed: speed * factor, ..model.clone() };
+        let figures = ServerParameters { speed: speed * factor, ..model.clone() };
         ServerSpec { zone, cell: (n / CELL) as u64, parameters: figures }
     });
     specs.collect()
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -167,11 +167,11 @@
         all.extend(each! {
             LabError::Addresses(_) => LabError::Addresses(reason.clone()),
             LabError::Listen { .. } => LabError::Listen { at, source: io() },
-            LabError::Start { .. } => LabError::Start { who: "node n1".into(), words: reason },
+            LabError::Start { .. } => LabError::Start { process: "node n1".into(), reason },
             LabError::NotReady { .. } =>
-                LabError::NotReady { who: "node n1".into(), within: 1.0, last: "on its way".into() },
+                LabError::NotReady { process: "node n1".into(), timeout_s: 1.0, last_log_line: "on its way".into() },
             LabError::Io { .. } => LabError::Io { what: "logs".into(), source: io() },
-            LabError::Unended => LabError::Unended,
+            LabError::TaskLeak => LabError::TaskLeak,
         });
         for (line, advice) in all {
             assert!(!line.is_empty() && !line.contains('\n'), "{line}");
--- a/crates/lab/src/live/agent.rs
+++ b/crates/lab/src/live/agent.rs
@@ -68,17 +68,17 @@
     if request.uri().path() != "/v1/endpoints" {
         return Ok(plain(StatusCode::NOT_FOUND, Bytes::new()));
     }
-    if stage.world().silent() {
+    if stage.world().list_unavailable() {
         std::future::pending::<()>().await;
     }
     let from =
         request.uri().query().filter(|q| q.contains("watch=1")).map(|q| {
             q.split('&').find_map(|part| part.strip_prefix("from=")?.parse::<u64>().ok()).unwrap_or(0)
         });
-    let version = stage.world().version(node);
+    let version = stage.world().agent_version(node);
     let Some(from) = from else {
         let line = line(stage, node, 0, version);
-        stage.with(|world, now| world.told(now, node, version));
+        stage.with(|world, now| world.list_delivered(now, node, version));
         return Ok(plain(StatusCode::OK, line));
     };
     let (lines, body) = Channel::new(LINES);
@@ -92,7 +92,7 @@
 
 fn line(stage: &Stage, node: usize, from: u64, to: u64) -> Bytes {
     // Plain data always has a text.
-    let mut text = serde_json::to_string(&stage.world().line(node, from, to)).unwrap_or_default();
+    let mut text = serde_json::to_string(&stage.world().list_update(node, from, to)).unwrap_or_default();
     text.push('\n');
     text.into()
 }
@@ -108,7 +108,7 @@
     fn tell(&mut self, stage: &Rc<Stage>, node: usize, from: u64, to: u64) -> bool {
         let said = self.lines.try_send(Frame::data(line(stage, node, from, to))).is_ok();
         if said {
-            stage.with(|world, now| world.told(now, node, to));
+            stage.with(|world, now| world.list_delivered(now, node, to));
         }
         said
     }
@@ -124,7 +124,7 @@
         !watches.is_empty()
     };
     if told {
-        stage.with(|world, now| world.told(now, node, to));
+        stage.with(|world, now| world.list_delivered(now, node, to));
     }
 }
 
@@ -137,7 +137,7 @@
 async fn quiet(stage: Rc<Stage>, node: usize) {
     loop {
         tokio::time::sleep(QUIET).await;
-        if !stage.world().silent() {
+        if !stage.world().list_unavailable() {
             let empty = || Frame::data(Bytes::from_static(b"\n"));
             stage.agents[node].watches.borrow_mut().retain_mut(|watch| watch.lines.try_send(empty()).is_ok());
         }
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -17,7 +17,7 @@
 use super::Stage;
 use crate::draw::us_from_s;
 use crate::plan::Idempotency;
-use crate::world::Got;
+use crate::world::TryOutcome;
 
 /// The largest body of an answer.
 const BODY_MOST: usize = 64 * 1024;
@@ -73,23 +73,23 @@
 /// Writes a client's request and tells what came of it.
 pub async fn ask(stage: Rc<Stage>, ask: usize) {
     let got = converse(&stage, ask).await;
-    stage.with(|world, now| world.ask_ended(now, ask, got));
+    stage.with(|world, now| world.try_ended(now, ask, got));
     stage.asked_for(ask);
 }
 
-async fn converse(stage: &Rc<Stage>, ask: usize) -> Got {
+async fn converse(stage: &Rc<Stage>, ask: usize) -> TryOutcome {
     let pool = stage.pool(ask);
-    let Ok(_place) = pool.most.acquire().await else { return Got::NotTaken };
+    let Ok(_place) = pool.most.acquire().await else { return TryOutcome::NoConnection };
     if let Some(mut conn) = pool.idle() {
         // A node may close a connection between requests: a request that crosses that goes out once more.
         if let Ok(answer) = conn.send.send_request(request(stage, ask)).await {
             return hear(stage, &pool, ask, conn, answer).await;
         }
     }
-    let Some(mut conn) = pool.open().await else { return Got::NotTaken };
+    let Some(mut conn) = pool.open().await else { return TryOutcome::NoConnection };
     match conn.send.send_request(request(stage, ask)).await {
         Ok(answer) => hear(stage, &pool, ask, conn, answer).await,
-        Err(_) => Got::Broken { begun: false },
+        Err(_) => TryOutcome::ConnectionLost { partial_answer: false },
     }
 }
 
@@ -99,20 +99,22 @@
     ask: usize,
     conn: Conn,
     answer: Response<hyper::body::Incoming>,
-) -> Got {
+) -> TryOutcome {
     let (head, body) = answer.into_parts();
-    let Ok(body) = Limited::new(body, BODY_MOST).collect().await else { return Got::Broken { begun: true } };
+    let Ok(body) = Limited::new(body, BODY_MOST).collect().await else {
+        return TryOutcome::ConnectionLost { partial_answer: true };
+    };
     stage.admitted(ask, &head);
     let after = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
     let body = body.to_bytes();
     pool.idle.borrow_mut().push(conn);
-    let attempt = stage.world().of_body(&body);
-    Got::Answer { status: head.status.as_u16(), retry_after: after.map(us_from_s), attempt }
+    let attempt = stage.world().attempt_of_body(&body);
+    TryOutcome::Answer { status: head.status.as_u16(), retry_after: after.map(us_from_s), attempt }
 }
 
 fn request(stage: &Stage, ask: usize) -> Request<Full<Bytes>> {
     let world = stage.world();
-    let asked = world.asked(ask);
+    let asked = world.client_try(ask);
     let class = &world.draw().classes[asked.class];
     let (method, body) = match class.idempotency {
         Idempotency::Safe => (Method::GET, Bytes::new()),
@@ -133,9 +135,9 @@
     };
     header("host", "service.internal".into());
     header("x-txn", world.txn(ask));
-    header("x-remaining-ms", (asked.wait / 1000).to_string());
-    header("x-estimate", format!("{:.0}", asked.guess));
-    if asked.again {
+    header("x-remaining-ms", (asked.timeout / 1000).to_string());
+    header("x-estimate", format!("{:.0}", asked.work_estimate));
+    if asked.is_retry {
         header("x-resent", "1".into());
     }
     if class.idempotency == Idempotency::Keyed {
--- a/crates/lab/src/live/group.rs
+++ b/crates/lab/src/live/group.rs
@@ -182,11 +182,14 @@
         tokio::select! {
             () = process::until_ready(group.at(replica)) => {}
             () = gone => {
-                return Err(LabError::Start { who: who(), words: format!("it ended at once: {}", last()) });
+                return Err(LabError::Start {
+                    process: who(),
+                    reason: format!("it ended at once: {}", last()),
+                });
             }
             () = tokio::time::sleep(stage.ready_within) => {
-                let within = stage.ready_within.as_secs_f64();
-                return Err(LabError::NotReady { who: who(), within, last: last() });
+                let timeout_s = stage.ready_within.as_secs_f64();
+                return Err(LabError::NotReady { process: who(), timeout_s, last_log_line: last() });
             }
         }
     }
@@ -197,7 +200,7 @@
     let who = format!("replica r{}", replica + 1);
     let file = group.folder.join(format!("r{}.toml", replica + 1));
     std::fs::write(&file, group.config(replica).to_string())
-        .map_err(|e| LabError::Start { who: who.clone(), words: e.to_string() })?;
+        .map_err(|e| LabError::Start { process: who.clone(), reason: e.to_string() })?;
     let mut command = Command::new(&group.program);
     command.arg("control").arg("--config").arg(&file);
     let process = spawn(&who, command, &group.log(replica))?;
@@ -340,11 +343,11 @@
             let body = json!({"base": u64::MAX, "policy": {}});
             while !done.get() && !stage.closed.get() {
                 let told = call(at, Method::PUT, "/v1/policy", Some(&body), PATIENCE).await;
-                let over = stage.world().over();
+                let over = stage.world().is_over();
                 let written = told.is_some_and(|(status, _)| status == 409);
                 if (written || over) && !done.replace(true) {
                     let gap = stage.now().saturating_sub(struck);
-                    stage.with(|world, _| world.write_gap(written.then_some(gap)));
+                    stage.with(|world, _| world.record_write_gap(written.then_some(gap)));
                 }
                 tokio::time::sleep(PROBE).await;
             }
@@ -424,7 +427,7 @@
             newest = newest.into_iter().chain(word).max_by_key(|word| word.version);
         }
         if let Some(word) = newest {
-            stage.with(|world, now| world.group_says(now, word));
+            stage.with(|world, now| world.record_verdicts(now, word));
         }
         tokio::time::sleep(LOOK).await;
     }
--- a/crates/lab/src/live/liar.rs
+++ b/crates/lab/src/live/liar.rs
@@ -25,7 +25,7 @@
     loop {
         let over = stage.now() >= fault.until || stage.closed.get();
         beat["bye"] = json!(over);
-        let (up, ballots) = stage.world().lies(&fault.targets);
+        let (up, ballots) = stage.world().false_vote_report(&fault.targets);
         // Plain data always has a JSON form.
         beat["votes"] = serde_json::to_value(VoteReport {
             zone: Some(zone.clone()),
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -33,7 +33,7 @@
 use crate::draw::{us_from_ms, Draw};
 use crate::plan::Plan;
 use crate::server::Us;
-use crate::world::{Out, Signal, World};
+use crate::world::{Effect, Signal, World};
 
 /// Between the last node's being ready and the first client.
 const SETTLE: Duration = Duration::from_millis(300);
@@ -57,22 +57,22 @@
         source: std::io::Error,
     },
     /// A process could not be started, or ended before it was ready.
-    #[error("{who} could not be started: {words}")]
+    #[error("{process} could not be started: {reason}")]
     Start {
         /// The node or replica.
-        who: String,
+        process: String,
         /// What happened.
-        words: String,
+        reason: String,
     },
     /// A process did not get ready in its time.
-    #[error("{who} was not ready within {within} s; its last line: {last}")]
+    #[error("{process} was not ready within {timeout_s} s; its last log line: {last_log_line}")]
     NotReady {
         /// The node or replica.
-        who: String,
+        process: String,
         /// The time, in seconds.
-        within: f64,
+        timeout_s: f64,
         /// The last line of its log.
-        last: String,
+        last_log_line: String,
     },
     /// A file or the runtime failed.
     #[error("{what}: {source}")]
@@ -84,7 +84,7 @@
     },
     /// A task of the run goes on though it is over.
     #[error("a task outlived the run")]
-    Unended,
+    TaskLeak,
 }
 
 impl LabError {
@@ -96,12 +96,12 @@
             Self::Start { .. } => "try the program by hand; its log is in the run's logs",
             Self::NotReady { .. } => "read its log in the run's logs; node.ready_s gives it more time",
             Self::Io { .. } => "see that the folder can be written and descriptors are left",
-            Self::Unended => "play it again, and report it: this is a fault of the lab's",
+            Self::TaskLeak => "play it again, and report it: this is a fault of the lab's",
         }
     }
 
-    fn start(node: usize, words: impl std::fmt::Display) -> Self {
-        Self::Start { who: format!("node n{node}"), words: words.to_string() }
+    fn start(node: usize, reason: impl std::fmt::Display) -> Self {
+        Self::Start { process: format!("node n{node}"), reason: reason.to_string() }
     }
 }
 
@@ -118,15 +118,15 @@
 }
 
 /// What a run leaves.
-pub struct Played {
+pub struct CompletedRun {
     /// The world at its end.
     pub world: World,
     /// It was broken off.
     pub interrupted: bool,
     /// The most memory that a node held, in MiB, and the most descriptors.
-    pub held: (f64, u64),
+    pub node_peak_usage: (f64, u64),
     /// Processor time of the lab itself, as a share of one core.
-    pub busy: f64,
+    pub lab_cpu_share: f64,
 }
 
 /// All that the parties on sockets share.
@@ -161,7 +161,7 @@
 ///
 /// # Errors
 /// Where it could not be played; all that was started has ended then.
-pub fn play(plan: &Plan, draw: Rc<Draw>, options: &Options) -> Result<Played, LabError> {
+pub fn play(plan: &Plan, draw: Rc<Draw>, options: &Options) -> Result<CompletedRun, LabError> {
     raise_descriptors();
     let io = |what: &str| {
         let what = what.to_string();
@@ -214,8 +214,13 @@
     drop(local);
     let interrupted = played?;
     let held = stage.held.get();
-    let stage = Rc::into_inner(stage).ok_or(LabError::Unended)?;
-    Ok(Played { world: stage.world.into_inner(), interrupted, held, busy })
+    let stage = Rc::into_inner(stage).ok_or(LabError::TaskLeak)?;
+    Ok(CompletedRun {
+        world: stage.world.into_inner(),
+        interrupted,
+        node_peak_usage: held,
+        lab_cpu_share: busy,
+    })
 }
 
 /// As many descriptors as the system gives: there are many parties.
@@ -273,38 +278,38 @@
 
     fn carry_out(self: &Rc<Self>) {
         while !self.closed.get() {
-            let Some(out) = self.world.borrow_mut().take() else { return };
+            let Some(out) = self.world.borrow_mut().next_effect() else { return };
             match out {
-                Out::Ask(ask) => {
+                Effect::DeliverRequest(ask) => {
                     let task = spawn_local(clients::ask(self.clone(), ask));
                     self.asking.borrow_mut().insert(ask, task.abort_handle());
                 }
-                Out::Leave(ask) => {
+                Effect::ClientDisconnect(ask) => {
                     if let Some(task) = self.asking.borrow_mut().remove(&ask) {
                         task.abort();
                     }
                 }
-                Out::Reply { attempt, reply } => self.doors.reply(attempt, reply),
-                Out::Reach { server, zone, reach } => {
-                    if let Err(error) = self.doors.set(self, server, zone, reach) {
+                Effect::DeliverReply { attempt, reply } => self.doors.reply(attempt, reply),
+                Effect::SetReachability { server, zone, reachability } => {
+                    if let Err(error) = self.doors.set(self, server, zone, reachability) {
                         self.fail(error);
                     }
                 }
-                Out::Drop { server, zone } => self.doors.drop_connections(server, zone),
-                Out::Tell { node, from, to } => agent::tell(self, node, from, to),
-                Out::EndWatches(node) => agent::end_watches(self, node),
-                Out::Crowd { node, count, until } => {
+                Effect::CloseConnections { server, zone } => self.doors.drop_connections(server, zone),
+                Effect::SendListUpdate { node, from, to } => agent::tell(self, node, from, to),
+                Effect::CloseWatches(node) => agent::end_watches(self, node),
+                Effect::OpenIdleConnections { node, count, until } => {
                     let stay = Duration::from_micros(until.saturating_sub(self.now()));
                     drop(spawn_local(clients::crowd(self.addresses.node(node), count, stay)));
                 }
-                Out::Signal(node, signal) => {
+                Effect::SignalNode(node, signal) => {
                     if let Some(id) = self.nodes[node].id.get() {
                         process::signal(id, signal);
                     }
                 }
-                Out::Start(node) => drop(spawn_local(self.clone().start_again(node))),
-                Out::Strike(fault) => drop(spawn_local(group::strike(self.clone(), fault))),
-                Out::Heal(fault) => group::heal(self, fault),
+                Effect::StartNode(node) => drop(spawn_local(self.clone().start_again(node))),
+                Effect::BeginGroupFault(fault) => drop(spawn_local(group::strike(self.clone(), fault))),
+                Effect::EndGroupFault(fault) => group::heal(self, fault),
             }
         }
     }
@@ -317,12 +322,12 @@
         let told = head.headers.get("x-policy-epoch").and_then(|v| v.to_str().ok()?.parse().ok());
         // A node that admits under no epoch refuses; whatever else answers so was not asked to be admitted.
         if told.is_some() || head.status.as_u16() == 503 {
-            self.with(|world, now| world.admitted(now, ask, told));
+            self.with(|world, now| world.record_admission(now, ask, told));
         }
     }
 
     fn pool(&self, ask: usize) -> Rc<Pool> {
-        self.pools[self.world().asked(ask).node].clone()
+        self.pools[self.world().client_try(ask).node].clone()
     }
 
     fn asked_for(&self, ask: usize) {
@@ -336,7 +341,7 @@
         let state = &self.nodes[node];
         let known = {
             let world = self.world();
-            serde_json::to_value(world.line(node, 0, world.version(node)))
+            serde_json::to_value(world.list_update(node, 0, world.agent_version(node)))
         };
         let known = known.map_err(|e| LabError::start(node, e))?;
         let control = self.group.as_ref().map(|group| {
@@ -367,9 +372,9 @@
             () = gone => Err(LabError::start(node, format!("it ended at once: {}", last()))),
             () = tokio::time::sleep(self.ready_within) => {
                 Err(LabError::NotReady {
-                    who: format!("node n{node}"),
-                    within: self.ready_within.as_secs_f64(),
-                    last: last(),
+                    process: format!("node n{node}"),
+                    timeout_s: self.ready_within.as_secs_f64(),
+                    last_log_line: last(),
                 })
             }
         }
@@ -421,8 +426,8 @@
     async fn play(self: Rc<Self>, options: &Options<'_>) -> Result<bool, LabError> {
         for server in 0..self.world().server_count() {
             for zone in 0..self.world().draw().zones.len() {
-                let reach = self.world().reach(server, zone);
-                self.doors.set(&self, server, zone, reach)?;
+                let reachability = self.world().reachability(server, zone);
+                self.doors.set(&self, server, zone, reachability)?;
             }
         }
         for node in 0..self.nodes.len() {
@@ -446,9 +451,9 @@
         }
         tokio::time::sleep(SETTLE).await;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.world.borrow_mut().begin_at(unix.as_secs_f64() * 1e3);
+        self.world.borrow_mut().set_unix_start(unix.as_secs_f64() * 1e3);
         self.start.set(Some(Instant::now()));
-        if self.world().votes_wanted() {
+        if self.world().voting_enabled() {
             spawn_local(group::watch_verdicts(self.clone()));
         }
         tokio::select! {
@@ -457,9 +462,9 @@
             _ = &mut interrupt => return Ok(true),
         }
         if self.group.is_some() {
-            let acknowledged = self.world().acknowledged();
+            let acknowledged = self.world().acknowledged_epoch();
             let agreed = group::agreed_at_end(&self, acknowledged).await;
-            self.with(|world, now| world.group_asked(now, agreed));
+            self.with(|world, now| world.record_final_epoch(now, agreed));
         }
         Ok(false)
     }
@@ -473,7 +478,7 @@
             if let Some(error) = self.failed.borrow_mut().take() {
                 return Err(error);
             }
-            if self.world().over() {
+            if self.world().is_over() {
                 return Ok(());
             }
             let due = self.world().next_due().map_or(SAMPLE, Duration::from_micros);
@@ -496,7 +501,7 @@
                 self.held.set((most.0.max(memory), most.1.max(descriptors)));
                 if memory > limits.0 || descriptors > limits.1 {
                     let words = format!("it holds {memory:.1} MiB and {descriptors} descriptors");
-                    self.with(|world, now| world.over_limits(now, node, words));
+                    self.with(|world, now| world.record_limit_breach(now, node, words));
                 }
             }
             let (now, world) = (self.now(), self.world());
--- a/crates/lab/src/live/process.rs
+++ b/crates/lab/src/live/process.rs
@@ -128,7 +128,7 @@
 /// # Errors
 /// Names who could not be started.
 pub fn spawn(who: &str, command: std::process::Command, log: &Path) -> Result<Process, LabError> {
-    let fail = |words: String| LabError::Start { who: who.into(), words };
+    let fail = |reason: String| LabError::Start { process: who.into(), reason };
     let program = command.get_program().to_string_lossy().into_owned();
     let open = File::options().create(true).append(true).open(log);
     let (out, err) = open.and_then(|log| Ok((log.try_clone()?, log))).map_err(|e| fail(e.to_string()))?;
--- a/crates/lab/src/live/servers.rs
+++ b/crates/lab/src/live/servers.rs
@@ -25,7 +25,7 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 use super::{LabError, Stage};
-use crate::world::{Reach, Reply};
+use crate::world::{Reachability, ServerReply};
 
 /// Connections that the kernel may hold until they are accepted.
 const BACKLOG: i32 = 1024;
@@ -40,7 +40,7 @@
     doors: RefCell<HashMap<(usize, usize), Door>>,
     /// By server, and zone of the nodes.
     conns: RefCell<HashMap<(usize, usize), JoinSet<()>>>,
-    waiting: RefCell<HashMap<usize, oneshot::Sender<Reply>>>,
+    waiting: RefCell<HashMap<usize, oneshot::Sender<ServerReply>>>,
 }
 
 /// One listener.
@@ -77,9 +77,15 @@
     ///
     /// # Errors
     /// Where an address can't be listened at.
-    pub fn set(&self, stage: &Rc<Stage>, server: usize, zone: usize, reach: Reach) -> Result<(), LabError> {
+    pub fn set(
+        &self,
+        stage: &Rc<Stage>,
+        server: usize,
+        zone: usize,
+        reach: Reachability,
+    ) -> Result<(), LabError> {
         let mut doors = self.doors.borrow_mut();
-        if reach == Reach::Refused {
+        if reach == Reachability::Refused {
             doors.remove(&(server, zone));
             return Ok(());
         }
@@ -93,7 +99,7 @@
             }
         };
         match reach {
-            Reach::Open if door.accepting.is_none() => {
+            Reachability::Open if door.accepting.is_none() => {
                 if let Some(filler) = door.filler.take() {
                     filler.abort();
                 }
@@ -101,7 +107,7 @@
                 let accept = accept(stage.clone(), door.listener.clone(), server, zone);
                 door.accepting = Some(tokio::task::spawn_local(accept).abort_handle());
             }
-            Reach::Dark if door.filler.is_none() => {
+            Reachability::Unreachable if door.filler.is_none() => {
                 if let Some(accepting) = door.accepting.take() {
                     accepting.abort();
                 }
@@ -124,7 +130,7 @@
     }
 
     /// What an attempt gets has reached its node.
-    pub fn reply(&self, attempt: usize, reply: Reply) {
+    pub fn reply(&self, attempt: usize, reply: ServerReply) {
         if let Some(to) = self.waiting.borrow_mut().remove(&attempt) {
             // A node that no longer waits has closed its connection.
             let _ = to.send(reply);
@@ -239,7 +245,7 @@
         let Some(txn) = txn else { return Ok(plain(StatusCode::NOT_FOUND, "")) };
         let fresh = self.fresh.replace(false);
         let (server, zone) = (self.server, self.zone);
-        let Some(attempt) = self.stage.with(|world, now| world.attempt(now, server, zone, &txn, fresh))
+        let Some(attempt) = self.stage.with(|world, now| world.start_attempt(now, server, zone, &txn, fresh))
         else {
             return Ok(plain(StatusCode::BAD_REQUEST, ""));
         };
@@ -249,19 +255,19 @@
         let reply = answered.await;
         drop(held);
         match reply {
-            Ok(Reply::Served) => Ok(plain(StatusCode::OK, &self.stage.world().body(attempt))),
-            Ok(Reply::Garbled) => {
-                let whole = self.stage.world().body(attempt);
+            Ok(ServerReply::Served) => Ok(plain(StatusCode::OK, &self.stage.world().answer_body(attempt))),
+            Ok(ServerReply::Truncated) => {
+                let whole = self.stage.world().answer_body(attempt);
                 let half = Bytes::copy_from_slice(&whole.as_bytes()[..whole.len() / 2]);
                 Ok(Response::new(Broken { half: Some(half), whole: whole.len() as u64 }.boxed_unsync()))
             }
-            Ok(Reply::Error) => Ok(plain(StatusCode::INTERNAL_SERVER_ERROR, "it failed")),
-            Ok(Reply::TurnedAway) => {
+            Ok(ServerReply::Error) => Ok(plain(StatusCode::INTERNAL_SERVER_ERROR, "it failed")),
+            Ok(ServerReply::TurnedAway) => {
                 let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "");
                 answer.headers_mut().insert("x-turned-away", hyper::header::HeaderValue::from_static("1"));
                 Ok(answer)
             }
-            Ok(Reply::Reset) | Err(_) => Err(io::ErrorKind::ConnectionReset.into()),
+            Ok(ServerReply::Reset) | Err(_) => Err(io::ErrorKind::ConnectionReset.into()),
         }
     }
 }
--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -29,7 +29,7 @@
 use crate::plan::{FaultKind, Plan};
 use crate::server::Us;
 use crate::settings::{fleet_settings, node_seed, node_settings};
-use crate::world::{Got, Out, Reach, Reply, Signal, World};
+use crate::world::{Effect, Reachability, ServerReply, Signal, TryOutcome, World};
 
 /// From a node's start until it can serve.
 const STARTS: Us = 20_000;
@@ -72,7 +72,7 @@
     /// Counts each node's starts; what is due belongs to one.
     lives: Vec<u32>,
     /// Nodes that stand still, with what reaches them meanwhile.
-    stopped: BTreeMap<usize, Vec<Out>>,
+    stopped: BTreeMap<usize, Vec<Effect>>,
     due: BinaryHeap<Reverse<(Us, usize, u32, Wake)>>,
     /// Where each attempt at a server comes from: node, its life, request, attempt.
     origins: Vec<(usize, u32, RequestId, usize)>,
@@ -91,7 +91,7 @@
 }
 
 /// What a look at the fleet shows; see [`play`].
-pub struct Look<'a> {
+pub struct Snapshot<'a> {
     /// The time.
     pub now: Us,
     /// The world.
@@ -101,13 +101,13 @@
 }
 
 /// Who looks at a play, and how often.
-pub type Watcher<'a> = (Us, &'a mut dyn FnMut(&Look<'_>));
+pub type SnapshotObserver<'a> = (Us, &'a mut dyn FnMut(&Snapshot<'_>));
 
 /// Plays a draw to its end, and has someone look at it every so often.
 ///
 /// # Errors
 /// Where the modules refuse the plan's settings.
-pub fn play(plan: &Plan, draw: &Rc<Draw>, look: Option<Watcher<'_>>) -> Result<World, ModelError> {
+pub fn play(plan: &Plan, draw: &Rc<Draw>, look: Option<SnapshotObserver<'_>>) -> Result<World, ModelError> {
     run(plan, fleet_settings(plan, draw), draw, look)
 }
 
@@ -116,7 +116,7 @@
     plan: &Plan,
     settings: Value,
     draw: &Rc<Draw>,
-    look: Option<Watcher<'_>>,
+    look: Option<SnapshotObserver<'_>>,
 ) -> Result<World, ModelError> {
     let dial = Rc::new(|server: usize, _: usize| SocketAddr::from(([127, 0, 0, 1], 1 + server as u16)));
     let nodes = draw.nodes.len();
@@ -132,7 +132,7 @@
         group: None,
         liars: Vec::new(),
     };
-    if fleet.world.votes_wanted() {
+    if fleet.world.voting_enabled() {
         let mut group = Group::default();
         group.come(0);
         fleet.group = Some(group);
@@ -152,16 +152,16 @@
 }
 
 impl Fleet {
-    fn run(&mut self, mut look: Option<Watcher<'_>>) -> Result<(), ModelError> {
+    fn run(&mut self, mut look: Option<SnapshotObserver<'_>>) -> Result<(), ModelError> {
         let mut shown = 0;
-        while !self.world.over() {
+        while !self.world.is_over() {
             let own = self.due.peek().map(|Reverse((at, ..))| *at);
             let Some(due) = [self.world.next_due(), own].into_iter().flatten().min() else { break };
             if let Some((every, look)) = &mut look {
                 while shown + *every <= due {
                     shown += *every;
                     let nodes = self.nodes.iter().flatten().map(Node::status).collect();
-                    look(&Look { now: shown, world: &self.world, nodes });
+                    look(&Snapshot { now: shown, world: &self.world, nodes });
                 }
             }
             self.now = due;
@@ -194,11 +194,13 @@
     }
 
     fn carry_out(&mut self) -> Result<(), ModelError> {
-        while let Some(out) = self.world.take() {
+        while let Some(out) = self.world.next_effect() {
             let to = match &out {
-                Out::Ask(ask) | Out::Leave(ask) => Some(self.world.asked(*ask).node),
-                Out::Reply { attempt, .. } => Some(self.origins[*attempt].0),
-                Out::Tell { node, .. } => Some(*node),
+                Effect::DeliverRequest(ask) | Effect::ClientDisconnect(ask) => {
+                    Some(self.world.client_try(*ask).node)
+                }
+                Effect::DeliverReply { attempt, .. } => Some(self.origins[*attempt].0),
+                Effect::SendListUpdate { node, .. } => Some(*node),
                 _ => None,
             };
             match to.and_then(|node| self.stopped.get_mut(&node)) {
@@ -210,74 +212,74 @@
     }
 
     /// A message of the world's is there.
-    fn reach(&mut self, out: Out) -> Result<(), ModelError> {
+    fn reach(&mut self, out: Effect) -> Result<(), ModelError> {
         match out {
-            Out::Ask(ask) => {
-                let asked = self.world.asked(ask);
+            Effect::DeliverRequest(ask) => {
+                let asked = self.world.client_try(ask);
                 match &mut self.nodes[asked.node] {
                     Some(node) if node.serves() => {
                         let wants = node.asked(self.now, ask, &asked);
                         self.want(asked.node, wants);
                     }
-                    _ => self.world.ask_ended(self.now, ask, Got::NotTaken),
+                    _ => self.world.try_ended(self.now, ask, TryOutcome::NoConnection),
                 }
             }
-            Out::Leave(ask) => {
-                let node = self.world.asked(ask).node;
+            Effect::ClientDisconnect(ask) => {
+                let node = self.world.client_try(ask).node;
                 let wants = self.nodes[node].as_mut().map(|n| n.left(self.now, RequestId(ask as u64)));
                 self.want(node, wants.unwrap_or_default());
             }
-            Out::Reply { attempt, reply } => {
+            Effect::DeliverReply { attempt, reply } => {
                 let outcome = match reply {
-                    Reply::Served => Outcome::Success,
-                    Reply::TurnedAway => Outcome::Rejected,
-                    Reply::Error => Outcome::Error,
-                    Reply::Garbled | Reply::Reset => Outcome::Reset,
+                    ServerReply::Served => Outcome::Success,
+                    ServerReply::TurnedAway => Outcome::Rejected,
+                    ServerReply::Error => Outcome::Error,
+                    ServerReply::Truncated | ServerReply::Reset => Outcome::Reset,
                 };
                 let (node, life, id, n) = self.origins[attempt];
                 if self.lives[node] == life {
                     self.ended(node, id, n, outcome);
                 }
             }
-            Out::Tell { node, from, to } => {
+            Effect::SendListUpdate { node, from, to } => {
                 if self.nodes[node].as_ref().is_some_and(Node::watches) {
                     self.tell(node, from, to);
                 }
             }
-            Out::EndWatches(node) => {
+            Effect::CloseWatches(node) => {
                 if let Some(n) = &mut self.nodes[node] {
                     n.watch(false);
                     self.at(node, self.now + WATCH_AGAIN, Wake::Watch);
                 }
             }
-            Out::Drop { server, zone } => {
+            Effect::CloseConnections { server, zone } => {
                 for node in 0..self.nodes.len() {
                     if zone.is_none_or(|zone| zone == self.world.node_zone(node)) {
                         self.drop_connections(node, server);
                     }
                 }
             }
-            Out::Signal(node, Signal::Kill) => self.end(node),
-            Out::Signal(node, Signal::Terminate) => {
+            Effect::SignalNode(node, Signal::Kill) => self.end(node),
+            Effect::SignalNode(node, Signal::Terminate) => {
                 if self.nodes[node].is_some() {
                     self.at(node, self.now + LINGERS, Wake::End);
                 }
             }
-            Out::Signal(node, Signal::Stop) => {
+            Effect::SignalNode(node, Signal::Stop) => {
                 self.stopped.entry(node).or_default();
             }
-            Out::Signal(node, Signal::Continue) => {
+            Effect::SignalNode(node, Signal::Continue) => {
                 for out in self.stopped.remove(&node).unwrap_or_default() {
                     self.reach(out)?;
                 }
             }
-            Out::Start(node) => {
+            Effect::StartNode(node) => {
                 self.start(node)?;
                 self.at(node, self.now + STARTS, Wake::Ready);
             }
-            Out::Strike(fault) => self.strike(fault)?,
-            Out::Heal(fault) => self.heal(fault),
-            Out::Reach { .. } | Out::Crowd { .. } => {}
+            Effect::BeginGroupFault(fault) => self.strike(fault)?,
+            Effect::EndGroupFault(fault) => self.heal(fault),
+            Effect::SetReachability { .. } | Effect::OpenIdleConnections { .. } => {}
         }
         Ok(())
     }
@@ -306,7 +308,7 @@
                 self.at(node, self.now + BEAT, Wake::Beat);
             }
             Wake::Watch => {
-                let version = self.world.version(node);
+                let version = self.world.agent_version(node);
                 if let Some(n) = &mut self.nodes[node] {
                     n.watch(true);
                     let from = n.version();
@@ -353,15 +355,15 @@
 
     /// It has its list, and the watch stands.
     fn ready(&mut self, node: usize) {
-        let version = self.world.version(node);
-        let saved = self.world.line(node, 0, version);
+        let version = self.world.agent_version(node);
+        let saved = self.world.list_update(node, 0, version);
         if let Some(n) = &mut self.nodes[node] {
             n.watch(true);
             let mut wants = n.begin(self.now, saved);
             wants.extend(n.alive(self.now));
             self.want(node, wants);
         }
-        self.world.told(self.now, node, version);
+        self.world.list_delivered(self.now, node, version);
         self.at(node, self.now + LOOK, Wake::Look);
         if let Some(group) = &mut self.group {
             group.join(process(node, self.lives[node]));
@@ -377,7 +379,7 @@
         let Some(ended) = self.nodes[node].take() else { return };
         let (asks, attempts, links) = ended.ends();
         for ask in asks {
-            self.world.ask_ended(self.now, ask, Got::Broken { begun: false });
+            self.world.try_ended(self.now, ask, TryOutcome::ConnectionLost { partial_answer: false });
         }
         for attempt in attempts {
             self.world.attempt_closed(self.now, attempt);
@@ -441,7 +443,7 @@
         let (Some(group), Some(n)) = (&mut self.group, &mut self.nodes[node]) else { return };
         let before = group.told();
         for liar in self.liars.iter_mut().filter(|liar| liar.spoke + BEAT <= self.now) {
-            let (up, ballots) = self.world.lies(&draw.faults[liar.fault].targets);
+            let (up, ballots) = self.world.false_vote_report(&draw.faults[liar.fault].targets);
             let votes =
                 VoteReport { zone: Some(liar.zone.clone()), up_servers: up, abstains: false, ballots };
             let answer = group.beat(self.now, liar.process.clone(), liar.stamp, votes);
@@ -457,14 +459,15 @@
         ballots.sort_by_key(|ballot| (ballot.vote, std::cmp::Reverse(ballot.evidence.failures())));
         ballots.truncate(MAX_BALLOTS);
         let zone = Some(draw.zones[self.world.node_zone(node)].clone());
-        let votes = VoteReport { zone, up_servers: self.world.up(), abstains: own.self_doubt, ballots };
+        let votes =
+            VoteReport { zone, up_servers: self.world.active_by_zone(), abstains: own.self_doubt, ballots };
         let echo = n.answer.as_ref().map(|(stamp, _)| *stamp);
         let Some(answer) = group.beat(self.now, process(node, self.lives[node]), echo, votes) else { return };
         n.answer = Some(answer);
         let Some(told) = group.told() else { return };
         // The watch tells all nodes what is new, the answer this one that it still is so.
         let new = before.is_none_or(|before| before.version != told.version);
-        self.world.group_says(self.now, votes::word(told.clone()));
+        self.world.record_verdicts(self.now, votes::word(told.clone()));
         for node in (0..self.nodes.len()).filter(|n| *n == node || new) {
             self.rule(node, &told);
         }
@@ -487,7 +490,7 @@
             match want {
                 Want::Timer(at) => self.at(node, at, Wake::Timer),
                 Want::Answer { ask, status, retry_after, attempt } => {
-                    self.world.ask_ended(self.now, ask, Got::Answer { status, retry_after, attempt });
+                    self.world.try_ended(self.now, ask, TryOutcome::Answer { status, retry_after, attempt });
                 }
                 Want::Send { id, attempt, server, until } => self.send(node, id, attempt, server, until),
                 Want::Close { attempt, link } => {
@@ -507,19 +510,19 @@
         self.at(node, until, Wake::TimeOut(id, n));
         let kept = self.nodes[node].as_mut().and_then(|node| node.take_link(now, server));
         let fresh = kept.is_none();
-        let life = kept.or_else(|| match self.world.reach(server, zone) {
-            Reach::Open => self.world.connect(now, server),
-            Reach::Refused | Reach::Dark => None,
+        let life = kept.or_else(|| match self.world.reachability(server, zone) {
+            Reachability::Open => self.world.connect(now, server),
+            Reachability::Refused | Reachability::Unreachable => None,
         });
         let Some(life) = life else {
-            let heard = match self.world.reach(server, zone) {
-                Reach::Dark => now + self.nodes[node].as_ref().map_or(0, Node::connect_time),
-                Reach::Refused | Reach::Open => now + 2 * self.world.delay(node, server),
+            let heard = match self.world.reachability(server, zone) {
+                Reachability::Unreachable => now + self.nodes[node].as_ref().map_or(0, Node::connect_time),
+                Reachability::Refused | Reachability::Open => now + 2 * self.world.link_delay(node, server),
             };
             return self.at(node, heard, Wake::NoConnection(id, n));
         };
         let txn = self.world.txn(id.0 as usize);
-        let Some(at) = self.world.attempt(now, server, zone, &txn, fresh) else { return };
+        let Some(at) = self.world.start_attempt(now, server, zone, &txn, fresh) else { return };
         // The world numbers attempts in this order.
         debug_assert_eq!(at, self.origins.len());
         self.origins.push((node, self.lives[node], id, n));
@@ -545,13 +548,13 @@
     }
 
     fn tell(&mut self, node: usize, from: u64, to: u64) {
-        let line = self.world.line(node, from, to);
+        let line = self.world.list_update(node, from, to);
         let Some(n) = &mut self.nodes[node] else { return };
         let (wants, whole) = n.told(self.now, line);
         if let Some(at) = n.confirm_at() {
             self.at(node, at, Wake::Confirm);
         }
-        self.world.told(self.now, node, to);
+        self.world.list_delivered(self.now, node, to);
         self.want(node, wants);
         if whole {
             self.whole(node);
@@ -562,7 +565,7 @@
     fn whole(&mut self, node: usize) {
         if let Some(n) = &mut self.nodes[node] {
             n.watch(true);
-            let version = self.world.version(node);
+            let version = self.world.agent_version(node);
             self.tell(node, 0, version);
         }
     }
@@ -634,7 +637,7 @@
 
     #[test]
     fn a_server_that_fails_is_removed_by_votes_and_back_once_it_is_mended() {
-        let votes = played(VOTES).votes().expect("a group");
+        let votes = played(VOTES).vote_metrics().expect("a group");
         assert_eq!(
             (votes.removed, votes.wrong_removals, votes.attempts_after_removal),
             (1, 0, 0),
@@ -644,7 +647,7 @@
         let first = votes.removals.first().expect("a server was removed");
         let last = votes.removals.last().expect("a server was removed");
         assert!(first.remove_ms < Some(4_000.0) && last.mended && last.return_ms.is_some(), "{votes:?}");
-        assert!(played("").votes().is_none());
+        assert!(played("").vote_metrics().is_none());
     }
 
     /// What an older list tells to be up again stays drained.
--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -14,7 +14,7 @@
 use crate::draw::us_from_ms;
 use crate::error::ModelError;
 use crate::server::Us;
-use crate::world::Ask;
+use crate::world::ClientTry;
 
 /// How long before a client's deadline the module's ends, at most, and as a part of the time.
 const MARGIN: (Us, Us) = (20_000, 8);
@@ -247,12 +247,12 @@
     }
 
     /// A client's request.
-    pub fn asked(&mut self, now: Us, ask: usize, asked: &Ask) -> Vec<Want> {
+    pub fn asked(&mut self, now: Us, ask: usize, asked: &ClientTry) -> Vec<Want> {
         let id = RequestId(ask as u64);
         self.requests.insert(id, Open { ask, owed: true, tries: Vec::new() });
-        let margin = MARGIN.0.min(asked.wait / MARGIN.1);
+        let margin = MARGIN.0.min(asked.timeout / MARGIN.1);
         // Its time is counted from when it was sent.
-        let deadline = millis((asked.at + asked.wait).saturating_sub(margin).max(now));
+        let deadline = millis((asked.sent_at + asked.timeout).saturating_sub(margin).max(now));
         self.feed(
             now,
             Event::Request {
@@ -261,8 +261,8 @@
                 tenant: None,
                 deadline,
                 streaming_body: false,
-                is_retry: asked.again,
-                estimated_work: Some(asked.guess / 1e3),
+                is_retry: asked.is_retry,
+                estimated_work: Some(asked.work_estimate / 1e3),
             },
         )
     }
--- a/crates/lab/src/result.rs
+++ b/crates/lab/src/result.rs
@@ -12,7 +12,7 @@
 use crate::draw::Draw;
 use crate::epochs::{ChangeMetrics, ControlMetrics, Outcome};
 use crate::error::{read_json, FileError};
-use crate::live::Played;
+use crate::live::CompletedRun;
 use crate::plan::{FaultKind, Plan};
 use crate::referee::Breach;
 use crate::removals::VoteMetrics;
@@ -357,7 +357,7 @@
     let each = |count: f64| count / requests.max(1) as f64;
     let attempts = sum(|s| s.attempts);
     let asked: f64 = tally.windows.iter().flatten().map(|w| w.offered_worth).sum();
-    let (cold_most, cold_sent) = world.cold_use();
+    let (cold_most, cold_sent) = world.cold_load();
     Cost {
         requests,
         tries: each(sum(|s| s.tries)),
@@ -365,9 +365,9 @@
         turned_away: sum(|s| s.turned_away) / attempts.max(1.0),
         connections: each(sum(|s| s.connections)),
         cross_zone: each(tally.cross_zone_attempts as f64),
-        wasted: world.wasted(),
+        wasted: world.wasted_share(),
         failed_late: tally.failed_late / asked.max(f64::MIN_POSITIVE),
-        overdriven: world.overdriven(),
+        overdriven: world.choked_share(),
         spread: tally.load_imbalance(SPREAD_OVER, seconds_of(world.draw())),
         cold_most,
         cold_sent,
@@ -390,7 +390,7 @@
 
 impl RunResult {
     /// What came of a run.
-    pub fn new(plan: &Plan, played: &Played, random: &World, oracle: &World) -> Self {
+    pub fn new(plan: &Plan, played: &CompletedRun, random: &World, oracle: &World) -> Self {
         let world = &played.world;
         let (tally, draw) = (world.tally(), world.draw());
         let length = seconds_of(draw);
@@ -427,7 +427,7 @@
             }
         });
         let (breaches, broken) = world.breaches();
-        let late_ms = percentiles(world.lateness().iter().copied());
+        let late_ms = percentiles(world.event_lateness_us().iter().copied());
         let messages: u64 = tally.seconds.iter().map(|s| s.tries + s.attempts).sum();
         let mut result = Self {
             schema: SCHEMA,
@@ -442,17 +442,17 @@
             service: service(world),
             baselines: Baselines { random: service(random), oracle: service(oracle) },
             classes: classes.collect(),
-            cost: cost(world, played.held),
+            cost: cost(world, played.node_peak_usage),
             seconds: seconds.collect(),
             server_load: tally.attempts_by_server.clone(),
             faults: faults.collect(),
-            control: world.control(),
-            votes: world.votes(),
+            control: world.control_metrics(),
+            votes: world.vote_metrics(),
             breaches,
             first_breaches: broken,
             lab: LabMetrics {
                 late_ms,
-                busy: played.busy,
+                busy: played.lab_cpu_share,
                 messages_per_s: messages as f64 / (draw.length as f64 / 1e6),
             },
             expectations: Vec::new(),
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -16,80 +16,80 @@
 
 /// What a server is like. Work is in microseconds of one core at speed 1.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct ServerParameters {
     /// Cores.
     pub cores: usize,
     /// Work that a core gets done in a microsecond.
     pub speed: f64,
     /// Requests that may wait.
-    pub queue: usize,
+    pub max_waiting: usize,
     /// Held requests for each core from which on it works less well ...
-    pub thrash_at: f64,
+    pub thrash_threshold: f64,
     /// ... by this part for each further one.
-    pub thrash: f64,
+    pub thrash_slowdown: f64,
     /// Capacity at the start, as a share.
-    pub cold_from: f64,
+    pub initial_warmth: f64,
     /// It is warm after this.
-    pub cold: Us,
+    pub warm_up: Us,
     /// The share of requests that fail.
     pub error_rate: f64,
     /// A cancelled request that waits is dropped.
     pub drops_cancelled: bool,
     /// The connections that it accepts.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The share of capacity that a full table of them takes.
-    pub full_tax: f64,
+    pub connection_overhead: f64,
     /// The work of a new one.
-    pub handshake: f64,
+    pub handshake_work: f64,
     /// Crowding.
-    pub choke: Choke,
+    pub choke: ChokeParameters,
     /// The rule on cold servers: it falls when sent this many times its capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over this window.
-    pub fall_window: Us,
+    pub overload_window: Us,
 }
 
 /// How a server is choked by crowding.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Choke {
+pub struct ChokeParameters {
     /// More held requests for each core than this ...
-    pub at: f64,
+    pub threshold: f64,
     /// ... for this long ...
-    pub over: Us,
+    pub onset: Us,
     /// ... make it slower by this ...
-    pub slower: f64,
+    pub slowdown: f64,
     /// ... until it held fewer than this ...
-    pub below: f64,
+    pub recovery_threshold: f64,
     /// ... for this long ...
-    pub rest: Us,
+    pub recovery: Us,
     /// ... or this has passed.
-    pub most: Us,
+    pub max_duration: Us,
 }
 
 /// What became of a request that arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Arrived {
+pub enum Admission {
     /// It runs or waits.
-    Taken,
+    Accepted,
     /// There was no room.
     TurnedAway,
     /// It was too much for a cold server, which is down from now on. `told` is the share of the work in the window
     /// that came from nodes which had been told of its start.
-    Fell {
+    Crashed {
         /// From 0 to 1.
-        told: f64,
+        informed_share: f64,
     },
 }
 
 /// What a server was sent while it was cold.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ColdUse {
+pub struct ColdLoad {
     /// The most in a window, as a part of what pushes it over.
-    pub most: f64,
+    pub peak: f64,
     /// All of it, as work.
     pub sent: f64,
     /// All that it could have done meanwhile, as work.
-    pub able: f64,
+    pub capacity: f64,
 }
 
 #[derive(Debug)]
@@ -107,7 +107,7 @@
 /// A server.
 #[derive(Debug)]
 pub struct Server {
-    figures: Figures,
+    parameters: ServerParameters,
     now: Us,
     /// When it started; `None` where it has been warm all along.
     born: Option<Us>,
@@ -121,16 +121,16 @@
     choked: Choked,
     /// Work that arrived in the fall window: when, how much, from a node that was told of the start.
     pressure: VecDeque<(Us, f64, bool)>,
-    cold_use: ColdUse,
+    cold_load: ColdLoad,
     /// Work that it has done in all.
     done: f64,
 }
 
 impl Server {
     /// A server that has been warm for long, or that starts at `born`.
-    pub fn new(figures: Figures, born: Option<Us>) -> Self {
+    pub fn new(parameters: ServerParameters, born: Option<Us>) -> Self {
         Self {
-            figures,
+            parameters,
             now: born.unwrap_or(0),
             born,
             running: Vec::new(),
@@ -141,18 +141,18 @@
             handshakes: 0.0,
             choked: Choked::No { crowded: None },
             pressure: VecDeque::new(),
-            cold_use: ColdUse::default(),
+            cold_load: ColdLoad::default(),
             done: 0.0,
         }
     }
 
     /// What it is like.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn parameters(&self) -> &ServerParameters {
+        &self.parameters
     }
 
     /// Requests that run or wait.
-    pub fn held(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
@@ -167,24 +167,25 @@
     }
 
     /// What it was sent while it was cold, up to now.
-    pub fn cold_use(&self, now: Us) -> ColdUse {
-        let (f, age) = (&self.figures, self.born.map_or(0, |born| now.saturating_sub(born)));
-        let age = age.min(f.cold) as f64;
-        let warmths = f.cold_from * age + (1.0 - f.cold_from) * age * age / (2.0 * f.cold.max(1) as f64);
-        ColdUse { able: f.speed * f.cores as f64 * warmths, ..self.cold_use }
+    pub fn cold_load(&self, now: Us) -> ColdLoad {
+        let (f, age) = (&self.parameters, self.born.map_or(0, |born| now.saturating_sub(born)));
+        let age = age.min(f.warm_up) as f64;
+        let warmths =
+            f.initial_warmth * age + (1.0 - f.initial_warmth) * age * age / (2.0 * f.warm_up.max(1) as f64);
+        ColdLoad { capacity: f.speed * f.cores as f64 * warmths, ..self.cold_load }
     }
 
     /// Is it still warming up?
-    pub fn cold(&self, now: Us) -> bool {
-        self.born.is_some_and(|born| now < born + self.figures.cold)
+    pub fn is_cold(&self, now: Us) -> bool {
+        self.born.is_some_and(|born| now < born + self.parameters.warm_up)
     }
 
     /// The share of its capacity that it has by its age.
     fn warmth(&self, now: Us) -> f64 {
-        let from = self.figures.cold_from;
+        let from = self.parameters.initial_warmth;
         match self.born {
-            Some(born) if now < born + self.figures.cold => {
-                from + (1.0 - from) * now.saturating_sub(born) as f64 / self.figures.cold as f64
+            Some(born) if now < born + self.parameters.warm_up => {
+                from + (1.0 - from) * now.saturating_sub(born) as f64 / self.parameters.warm_up as f64
             }
             _ => 1.0,
         }
@@ -192,31 +193,31 @@
 
     /// Work that a core gets done in a microsecond, as things are.
     fn rate(&self, now: Us) -> f64 {
-        let f = &self.figures;
-        let crowd = (self.held() as f64 / f.cores as f64 - f.thrash_at).max(0.0);
-        let table = (self.held_connections as f64 / f.connections.max(1) as f64).min(1.0);
-        let choke = if matches!(self.choked, Choked::Since { .. }) { f.choke.slower } else { 1.0 };
-        f.speed * self.warmth(now) * (1.0 - self.taken) * (1.0 - f.full_tax * table)
-            / (self.slower * choke * (1.0 + f.thrash * crowd))
+        let f = &self.parameters;
+        let crowd = (self.in_flight() as f64 / f.cores as f64 - f.thrash_threshold).max(0.0);
+        let table = (self.held_connections as f64 / f.max_connections.max(1) as f64).min(1.0);
+        let choke = if matches!(self.choked, Choked::Since { .. }) { f.choke.slowdown } else { 1.0 };
+        f.speed * self.warmth(now) * (1.0 - self.taken) * (1.0 - f.connection_overhead * table)
+            / (self.slower * choke * (1.0 + f.thrash_slowdown * crowd))
     }
 
     /// Work that it gets done in a microsecond with all cores busy.
     pub fn capacity(&self, now: Us) -> f64 {
-        self.rate(now) * self.figures.cores as f64
+        self.rate(now) * self.parameters.cores as f64
     }
 
     /// Makes it slower by a factor, and lets another program take a share of it.
-    pub fn burden(&mut self, slower: f64, taken: f64) {
+    pub fn set_slowdown(&mut self, slower: f64, taken: f64) {
         (self.slower, self.taken) = (slower.max(0.01), taken.clamp(0.0, 0.99));
     }
 
     /// One more connection; false where it has no room for it.
     pub fn connect(&mut self) -> bool {
-        if self.held_connections >= self.figures.connections {
+        if self.held_connections >= self.parameters.max_connections {
             return false;
         }
         self.held_connections += 1;
-        self.handshakes += self.figures.handshake;
+        self.handshakes += self.parameters.handshake_work;
         true
     }
 
@@ -226,25 +227,25 @@
     }
 
     /// A request arrives; [`Server::advance`] must have brought the server to this moment.
-    pub fn arrive(&mut self, job: u64, work: f64, told: bool) -> Arrived {
-        if let Some(told) = self.pressed(work, told) {
-            return Arrived::Fell { told };
+    pub fn arrive(&mut self, job: u64, work: f64, told: bool) -> Admission {
+        if let Some(informed_share) = self.pressed(work, told) {
+            return Admission::Crashed { informed_share };
         }
-        if self.running.len() < self.figures.cores {
+        if self.running.len() < self.parameters.cores {
             self.start(job, work);
-        } else if self.waiting.len() < self.figures.queue {
+        } else if self.waiting.len() < self.parameters.max_waiting {
             self.waiting.push_back((job, work));
         } else {
-            return Arrived::TurnedAway;
+            return Admission::TurnedAway;
         }
         self.crowd();
-        Arrived::Taken
+        Admission::Accepted
     }
 
     /// Notes what a cold server was sent; the told share where it was too much.
     fn pressed(&mut self, work: f64, told: bool) -> Option<f64> {
-        let (now, window) = (self.now, self.figures.fall_window);
-        if !self.cold(now) {
+        let (now, window) = (self.now, self.parameters.overload_window);
+        if !self.is_cold(now) {
             self.pressure.clear();
             return None;
         }
@@ -253,10 +254,10 @@
             self.pressure.pop_front();
         }
         let sent: f64 = self.pressure.iter().map(|p| p.1).sum();
-        let able = self.figures.speed * self.warmth(now) * self.figures.cores as f64;
-        let budget = self.figures.fall_multiple * able * window as f64 + FALL_SLACK;
-        self.cold_use.sent += work;
-        self.cold_use.most = self.cold_use.most.max(sent / budget);
+        let able = self.parameters.speed * self.warmth(now) * self.parameters.cores as f64;
+        let budget = self.parameters.overload_multiple * able * window as f64 + FALL_SLACK;
+        self.cold_load.sent += work;
+        self.cold_load.peak = self.cold_load.peak.max(sent / budget);
         let from_told = || self.pressure.iter().filter(|p| p.2).map(|p| p.1).sum::<f64>() / sent;
         (sent > budget).then(from_told)
     }
@@ -269,7 +270,7 @@
     /// Its node no longer wants this; true where it waited and is dropped.
     pub fn cancel(&mut self, job: u64) -> bool {
         let place = self.waiting.iter().position(|w| w.0 == job);
-        let dropped = self.figures.drops_cancelled && place.is_some();
+        let dropped = self.parameters.drops_cancelled && place.is_some();
         if let (true, Some(place)) = (dropped, place) {
             self.waiting.remove(place);
             self.crowd();
@@ -279,17 +280,17 @@
 
     /// Looks at how crowded it is, for how long, and what follows.
     fn crowd(&mut self) {
-        let (now, choke) = (self.now, &self.figures.choke);
-        let held = self.held() as f64 / self.figures.cores as f64;
+        let (now, choke) = (self.now, &self.parameters.choke);
+        let held = self.in_flight() as f64 / self.parameters.cores as f64;
         self.choked = match self.choked {
-            Choked::No { crowded } if held > choke.at => match crowded {
-                Some(since) if now >= since + choke.over => Choked::Since { at: now, rested: None },
+            Choked::No { crowded } if held > choke.threshold => match crowded {
+                Some(since) if now >= since + choke.onset => Choked::Since { at: now, rested: None },
                 since => Choked::No { crowded: since.or(Some(now)) },
             },
             Choked::No { .. } => Choked::No { crowded: None },
-            Choked::Since { at, .. } if now >= at + choke.most => Choked::No { crowded: None },
-            Choked::Since { at, rested } if held < choke.below => match rested {
-                Some(since) if now >= since + choke.rest => Choked::No { crowded: None },
+            Choked::Since { at, .. } if now >= at + choke.max_duration => Choked::No { crowded: None },
+            Choked::Since { at, rested } if held < choke.recovery_threshold => match rested {
+                Some(since) if now >= since + choke.recovery => Choked::No { crowded: None },
                 since => Choked::Since { at, rested: since.or(Some(now)) },
             },
             Choked::Since { at, .. } => Choked::Since { at, rested: None },
@@ -297,24 +298,24 @@
     }
 
     /// Is it slow from crowding?
-    pub fn choked(&self) -> bool {
+    pub fn is_choked(&self) -> bool {
         matches!(self.choked, Choked::Since { .. })
     }
 
     /// When something happens next, if nothing else comes.
     pub fn next_due(&self) -> Option<Us> {
-        let f = &self.figures;
+        let f = &self.parameters;
         let choke = match self.choked {
-            Choked::No { crowded } => crowded.map(|since| since + f.choke.over),
+            Choked::No { crowded } => crowded.map(|since| since + f.choke.onset),
             Choked::Since { at, rested } => {
-                let most = at + f.choke.most;
-                Some(rested.map_or(most, |since| most.min(since + f.choke.rest)))
+                let most = at + f.choke.max_duration;
+                Some(rested.map_or(most, |since| most.min(since + f.choke.recovery)))
             }
         };
         let least = self.running.iter().map(|r| r.left).min_by(f64::total_cmp);
         let done = least.map(|left| {
             let end = self.now + ((left / self.rate(self.now)).ceil() as Us).max(1);
-            if self.cold(self.now) {
+            if self.is_cold(self.now) {
                 end.min(self.now + WARMING_STEP)
             } else {
                 end
@@ -343,7 +344,7 @@
         let over = |r: &Running| r.left <= 1e-6;
         ended.extend(self.running.iter().filter(|r| over(r)).map(|r| (r.job, to)));
         self.running.retain(|r| !over(r));
-        while self.running.len() < self.figures.cores {
+        while self.running.len() < self.parameters.cores {
             let Some((job, work)) = self.waiting.pop_front() else { break };
             self.start(job, work);
         }
@@ -355,23 +356,30 @@
 mod tests {
     use super::*;
 
-    fn figures() -> Figures {
-        Figures {
+    fn parameters() -> ServerParameters {
+        ServerParameters {
             cores: 2,
             speed: 1.0,
-            queue: 4,
-            thrash_at: 100.0,
-            thrash: 0.1,
-            cold_from: 0.5,
-            cold: 4_000_000,
+            max_waiting: 4,
+            thrash_threshold: 100.0,
+            thrash_slowdown: 0.1,
+            initial_warmth: 0.5,
+            warm_up: 4_000_000,
             error_rate: 0.0,
             drops_cancelled: true,
-            connections: 3,
-            full_tax: 0.0,
-            handshake: 0.0,
-            choke: Choke { at: 2.0, over: 100_000, slower: 2.0, below: 0.5, rest: 50_000, most: 9_000_000 },
-            fall_multiple: 3.0,
-            fall_window: 1_500_000,
+            max_connections: 3,
+            connection_overhead: 0.0,
+            handshake_work: 0.0,
+            choke: ChokeParameters {
+                threshold: 2.0,
+                onset: 100_000,
+                slowdown: 2.0,
+                recovery_threshold: 0.5,
+                recovery: 50_000,
+                max_duration: 9_000_000,
+            },
+            overload_multiple: 3.0,
+            overload_window: 1_500_000,
         }
     }
 
@@ -383,19 +391,19 @@
 
     #[test]
     fn two_run_four_wait_and_the_seventh_is_turned_away() {
-        let mut server = Server::new(figures(), None);
+        let mut server = Server::new(parameters(), None);
         let came: Vec<_> = (0..7).map(|job| server.arrive(job, 10_000.0, true)).collect();
-        assert_eq!(came[..6], [Arrived::Taken; 6]);
-        assert_eq!(came[6], Arrived::TurnedAway);
+        assert_eq!(came[..6], [Admission::Accepted; 6]);
+        assert_eq!(came[6], Admission::TurnedAway);
         assert_eq!(ends(&mut server, 10_000), [(0, 10_000), (1, 10_000)]);
         assert!(server.cancel(5) && !server.cancel(2), "only what waits is dropped");
         assert_eq!(ends(&mut server, 40_000), [(2, 20_000), (3, 20_000), (4, 30_000)]);
-        assert_eq!((server.held(), server.work_done().round()), (0, 50_000.0));
+        assert_eq!((server.in_flight(), server.work_done().round()), (0, 50_000.0));
     }
 
     #[test]
     fn a_cold_one_takes_longer_the_colder_it_is() {
-        let mut server = Server::new(figures(), Some(0));
+        let mut server = Server::new(parameters(), Some(0));
         server.arrive(1, 10_000.0, true);
         let early = ends(&mut server, 1_000_000)[0].1;
         assert!((19_500..20_100).contains(&early), "{early}");
@@ -408,11 +416,11 @@
     #[test]
     fn a_cold_one_sent_three_times_its_capacity_falls_and_a_warm_one_does_not() {
         let push = |born| {
-            let mut server = Server::new(figures(), born);
+            let mut server = Server::new(parameters(), born);
             (0..2000u64).find_map(|n| {
                 ends(&mut server, n * 2_000);
                 match server.arrive(n, 10_000.0, n % 4 != 0) {
-                    Arrived::Fell { told } => Some((n * 2_000, told)),
+                    Admission::Crashed { informed_share } => Some((n * 2_000, informed_share)),
                     _ => None,
                 }
             })
@@ -425,39 +433,42 @@
 
     #[test]
     fn a_cold_one_s_use_counts_until_it_is_warm() {
-        let mut server = Server::new(figures(), Some(0));
+        let mut server = Server::new(parameters(), Some(0));
         for n in 0..100 {
             ends(&mut server, n * 50_000);
             server.arrive(n, 30_000.0, true);
         }
         // Cold for 4 s: 80 requests of 30 ms, and 0.75 of a core on average.
-        let used = server.cold_use(5_000_000);
-        assert_eq!((used.sent, used.able), (80.0 * 30_000.0, 3_000_000.0 * server.figures().cores as f64));
+        let used = server.cold_load(5_000_000);
+        assert_eq!(
+            (used.sent, used.capacity),
+            (80.0 * 30_000.0, 3_000_000.0 * server.parameters().cores as f64)
+        );
         assert!(
-            (0.1..0.2).contains(&used.most),
+            (0.1..0.2).contains(&used.peak),
             "0.6 of a core, over three times 1.2 and the slack: {used:?}"
         );
     }
 
     #[test]
     fn crowding_for_long_chokes_it_until_it_has_rested() {
-        let mut server = Server::new(figures(), None);
+        let mut server = Server::new(parameters(), None);
         for job in 0..6 {
             server.arrive(job, 200_000.0, true);
         }
         ends(&mut server, 90_000);
-        assert!(!server.choked());
+        assert!(!server.is_choked());
         ends(&mut server, 110_000);
-        assert!(server.choked());
+        assert!(server.is_choked());
         // 100 ms of work are left of the first two, at half the speed.
         assert_eq!(ends(&mut server, 400_000), [(0, 300_000), (1, 300_000)]);
         let last = ends(&mut server, 1_200_000).last().copied();
-        assert_eq!((last, server.choked()), (Some((5, 1_100_000)), false), "50 ms after the last");
+        assert_eq!((last, server.is_choked()), (Some((5, 1_100_000)), false), "50 ms after the last");
     }
 
     #[test]
     fn it_has_room_for_so_many_connections_and_their_work_comes_first() {
-        let mut server = Server::new(Figures { handshake: 5_000.0, ..figures() }, None);
+        let mut server = Server::new(ServerParameters { handshake_work: 5_000.0, ..parameters() }, None);
         assert_eq!(
             [server.connect(), server.connect(), server.connect(), server.connect()],
             [true, true, true, false]
@@ -471,13 +482,14 @@
     #[test]
     fn the_same_inputs_give_the_same_trace_and_none_is_lost() {
         let play = || {
-            let mut server = Server::new(Figures { thrash_at: 1.0, ..figures() }, Some(0));
+            let mut server = Server::new(ServerParameters { thrash_threshold: 1.0, ..parameters() }, Some(0));
             let mut trace = Vec::new();
             let mut taken = 0;
             for n in 0..300u64 {
                 server.advance(n * 7_001, &mut trace);
-                server.burden(if n % 50 < 25 { 1.0 } else { 3.0 }, 0.0);
-                taken += usize::from(server.arrive(n, 1_000.0 * (n % 17) as f64, true) == Arrived::Taken);
+                server.set_slowdown(if n % 50 < 25 { 1.0 } else { 3.0 }, 0.0);
+                taken +=
+                    usize::from(server.arrive(n, 1_000.0 * (n % 17) as f64, true) == Admission::Accepted);
             }
             server.advance(60_000_000, &mut trace);
             assert_eq!(trace.len(), taken);
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -9,7 +9,7 @@
     }
 
     /// The try that a text names.
-    pub fn named(&self, txn: &str) -> Option<usize> {
+    pub fn try_by_txn(&self, txn: &str) -> Option<usize> {
         let ask = usize::from_str_radix(txn.get(8..)?, 16).ok()?;
         (ask < self.tries.len() && self.txn(ask) == txn).then_some(ask)
     }
@@ -36,9 +36,16 @@
 
     /// An attempt at a try, whole at the server's machine; `fresh` where it is its connection's first. `None` where
     /// the text names no try: the referee notes that.
-    pub fn attempt(&mut self, now: Us, server: usize, zone: usize, txn: &str, fresh: bool) -> Option<usize> {
+    pub fn start_attempt(
+        &mut self,
+        now: Us,
+        server: usize,
+        zone: usize,
+        txn: &str,
+        fresh: bool,
+    ) -> Option<usize> {
         self.advance(now);
-        let Some(of) = self.named(txn) else {
+        let Some(of) = self.try_by_txn(txn) else {
             let about = BreachSubject { server: Some(server), ..BreachSubject::default() };
             self.referee.record_breach(Rule::Unknown, now, about, format!("no client sent {txn:?}"));
             return None;
@@ -58,7 +65,7 @@
         if uplink > 0.0 && self.chance.random::<f64>() < uplink {
             if self.chance.random() {
                 let back = now + self.jittered(self.draw.delays[zone][to]);
-                self.at(back, Ev::ReplyAtNode(attempt, Reply::Reset));
+                self.at(back, Ev::ReplyAtNode(attempt, ServerReply::Reset));
             }
         } else if self.passes(zone, to) && self.servers[server].power != Power::Dark {
             let trips = if fresh { 2.0 * self.draw.handshake_trips } else { 0.0 };
@@ -70,7 +77,7 @@
     }
 
     /// The try that an attempt is at.
-    pub fn ask_of(&self, attempt: usize) -> usize {
+    pub fn try_of(&self, attempt: usize) -> usize {
         self.attempts[attempt].of
     }
 
@@ -122,7 +129,7 @@
         let place = &mut self.servers[server];
         let fails = place.errors.max(place.build).max(place.spec.parameters.error_rate);
         if self.chance.random::<f64>() < fails {
-            return self.answer(attempt, self.now, Reply::Error);
+            return self.answer(attempt, self.now, ServerReply::Error);
         }
         let request = self.tries[self.attempts[attempt].of].request;
         let known = self.requests[request].kept.is_some_and(|until| self.now < until);
@@ -130,12 +137,12 @@
         // A repeat is dropped: it gets what the first one got.
         let work = if known { work.min(REPEAT) } else { work };
         match place.model.arrive(attempt as u64, work, told) {
-            Arrived::Taken => self.attempts[attempt].stage = Stage::Held,
-            Arrived::TurnedAway => {
+            Admission::Accepted => self.attempts[attempt].stage = Stage::Held,
+            Admission::TurnedAway => {
                 self.tally.second_mut(self.now).turned_away += 1;
-                self.answer(attempt, self.now, Reply::TurnedAway);
+                self.answer(attempt, self.now, ServerReply::TurnedAway);
             }
-            Arrived::Fell { told } => self.falls(attempt, told),
+            Admission::Crashed { informed_share } => self.falls(attempt, informed_share),
         }
         self.schedule(server);
     }
@@ -189,7 +196,7 @@
         }
         let mut ended = Vec::new();
         self.servers[server].model.advance(self.now, &mut ended);
-        if self.servers[server].model.choked() {
+        if self.servers[server].model.is_choked() {
             self.tally.choked_servers.insert(server);
         }
         for (attempt, at) in ended {
@@ -198,11 +205,11 @@
             let (late, by, garbled) = place.gray;
             let chance: f64 = self.chance.random();
             let reply = if self.chance.random::<f64>() < place.resets {
-                Reply::Reset
+                ServerReply::Reset
             } else if chance < garbled {
-                Reply::Garbled
+                ServerReply::Truncated
             } else {
-                Reply::Served
+                ServerReply::Served
             };
             let by = if (garbled..garbled + late).contains(&chance) { by } else { 0 };
             self.answer(attempt as usize, at + by, reply);
@@ -230,7 +237,7 @@
     }
 
     /// What a server sends back at a time; it arrives if the way is open.
-    fn answer(&mut self, attempt: usize, at: Us, reply: Reply) {
+    fn answer(&mut self, attempt: usize, at: Us, reply: ServerReply) {
         self.attempts[attempt].stage = Stage::Answered(reply);
         let a = &self.attempts[attempt];
         let (from, to) = (self.servers[a.server].spec.zone, a.zone);
@@ -240,30 +247,30 @@
         }
     }
 
-    pub(super) fn reply_at_node(&mut self, attempt: usize, reply: Reply) {
+    pub(super) fn reply_at_node(&mut self, attempt: usize, reply: ServerReply) {
         let a = &self.attempts[attempt];
         if self.servers[a.server].life != a.life {
             return;
         }
         match reply {
-            Reply::TurnedAway => self.referee.attempt_not_executed(a.of, a.place),
-            Reply::Served => self.tries[a.of].served = true,
-            Reply::Garbled | Reply::Error | Reply::Reset => self.failed(attempt),
+            ServerReply::TurnedAway => self.referee.attempt_not_executed(a.of, a.place),
+            ServerReply::Served => self.tries[a.of].served = true,
+            ServerReply::Truncated | ServerReply::Error | ServerReply::Reset => self.failed(attempt),
         }
         self.attempts[attempt].heard = true;
-        self.out.push_back(Out::Reply { attempt, reply });
+        self.out.push_back(Effect::DeliverReply { attempt, reply });
     }
 
     /// What the body of a served attempt says.
-    pub fn body(&self, attempt: usize) -> String {
+    pub fn answer_body(&self, attempt: usize) -> String {
         format!("{attempt} served {}\n{:.<200}\n", self.txn(self.attempts[attempt].of), "")
     }
 
     /// The attempt that a body names, if it is whole.
-    pub fn of_body(&self, body: &[u8]) -> Option<usize> {
+    pub fn attempt_of_body(&self, body: &[u8]) -> Option<usize> {
         let text = std::str::from_utf8(body).ok()?;
         let attempt = text.split(' ').next()?.parse().ok()?;
-        (attempt < self.attempts.len() && self.body(attempt) == text).then_some(attempt)
+        (attempt < self.attempts.len() && self.answer_body(attempt) == text).then_some(attempt)
     }
 }
 
@@ -281,9 +288,9 @@
         loop {
             let due = world.next_due().expect("a client comes");
             world.advance(due);
-            while let Some(out) = world.take() {
+            while let Some(out) = world.next_effect() {
                 match out {
-                    Out::Ask(ask) if due >= from => return (world, ask),
+                    Effect::DeliverRequest(ask) if due >= from => return (world, ask),
                     _ => {}
                 }
             }
@@ -291,13 +298,15 @@
     }
 
     /// How long an attempt takes from now on, and what it gets, where it gets anything within a second.
-    fn play(world: &mut World, attempt: usize) -> Option<(Us, Reply)> {
+    fn play(world: &mut World, attempt: usize) -> Option<(Us, ServerReply)> {
         let from = world.now();
         while let Some(due) = world.next_due().filter(|due| *due < from + 1_000_000) {
             world.advance(due);
-            while let Some(out) = world.take() {
+            while let Some(out) = world.next_effect() {
                 match out {
-                    Out::Reply { attempt: a, reply } if a == attempt => return Some((due - from, reply)),
+                    Effect::DeliverReply { attempt: a, reply } if a == attempt => {
+                        return Some((due - from, reply))
+                    }
                     _ => {}
                 }
             }
@@ -315,10 +324,11 @@
             let (mut world, ask) = begun(&class, 0);
             let txn = world.txn(ask);
             let took = [0, 1].map(|server| {
-                let attempt = world.attempt(world.now(), server, 0, &txn, false).expect("a known request");
+                let attempt =
+                    world.start_attempt(world.now(), server, 0, &txn, false).expect("a known request");
                 play(&mut world, attempt).expect("a reply")
             });
-            assert_eq!(took.map(|t| t.1), [Reply::Served; 2]);
+            assert_eq!(took.map(|t| t.1), [ServerReply::Served; 2]);
             assert!(took[0].0 > 20_000, "{effect}: {took:?}");
             assert_eq!(took[1].0 < 6_000, dropped, "{effect}: {took:?}");
         }
@@ -330,11 +340,11 @@
         let txn = world.txn(ask);
         let mut got = Vec::new();
         for _ in 0..20 {
-            let attempt = world.attempt(world.now(), 0, 0, &txn, false).expect("a known request");
+            let attempt = world.start_attempt(world.now(), 0, 0, &txn, false).expect("a known request");
             got.push(play(&mut world, attempt).map(|(_, reply)| reply));
         }
-        assert!(got.contains(&None) && got.contains(&Some(Reply::Reset)), "{got:?}");
-        assert!(got.iter().all(|g| matches!(g, None | Some(Reply::Reset))), "{got:?}");
+        assert!(got.contains(&None) && got.contains(&Some(ServerReply::Reset)), "{got:?}");
+        assert!(got.iter().all(|g| matches!(g, None | Some(ServerReply::Reset))), "{got:?}");
         assert_eq!(world.tally.failed_attempts[0], 0);
     }
 
@@ -344,10 +354,10 @@
             format!("[[fault]]\nkind = \"release\"\nat_s = {at}\nfor_s = 1\nids = [0]\n{more}")
         };
         let plan = format!("[discovery]\nnotice_s = 0\n{}{}", release(1, "factor = 1\n"), release(9, ""));
-        for (from, reply, wrong) in [(6, Reply::Error, true), (14, Reply::Served, false)] {
+        for (from, reply, wrong) in [(6, ServerReply::Error, true), (14, ServerReply::Served, false)] {
             let (mut world, ask) = begun(&plan, from * 1_000_000);
             let txn = world.txn(ask);
-            let attempt = world.attempt(world.now(), 0, 0, &txn, false).expect("a known request");
+            let attempt = world.start_attempt(world.now(), 0, 0, &txn, false).expect("a known request");
             assert_eq!(play(&mut world, attempt).map(|got| got.1), Some(reply), "{from} s");
             assert_eq!(
                 (world.removals.is_faulty(0, 0), world.tally.failed_attempts[0]),
@@ -366,7 +376,8 @@
         let servers = [0, 1, 2].map(|zone| of(&world, zone));
         for (node, answered) in [(0, [true, false, true]), (1, [false, true, true]), (2, [true; 3])] {
             for (server, answered) in servers.into_iter().zip(answered) {
-                let attempt = world.attempt(world.now(), server, node, &txn, false).expect("a known request");
+                let attempt =
+                    world.start_attempt(world.now(), server, node, &txn, false).expect("a known request");
                 assert_eq!(play(&mut world, attempt).is_some(), answered, "zone {node}, server {server}");
                 assert_eq!(world.removals.is_faulty(server, node), !answered);
             }
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -79,7 +79,7 @@
         // Whoever leaves sooner than its request is there was never heard of.
         if !self.tries[ask].left {
             self.tries[ask].sent = true;
-            self.out.push_back(Out::Ask(ask));
+            self.out.push_back(Effect::DeliverRequest(ask));
         }
     }
 
@@ -87,7 +87,7 @@
     fn leave(&mut self, ask: usize) {
         self.tries[ask].left = true;
         if self.tries[ask].sent {
-            self.out.push_back(Out::Leave(ask));
+            self.out.push_back(Effect::ClientDisconnect(ask));
         }
     }
 
@@ -121,23 +121,23 @@
     }
 
     /// What a node is asked.
-    pub fn asked(&self, ask: usize) -> Ask {
+    pub fn client_try(&self, ask: usize) -> ClientTry {
         let t = &self.tries[ask];
         let arrival = &self.draw.arrivals[t.request];
-        Ask {
+        ClientTry {
             node: t.node,
             class: arrival.class,
             request: t.request,
-            wait: t.wait,
-            at: t.at,
+            timeout: t.wait,
+            sent_at: t.at,
             work: arrival.work,
-            guess: arrival.work_estimate,
-            again: t.again,
+            work_estimate: arrival.work_estimate,
+            is_retry: t.again,
         }
     }
 
     /// A node's answer to a client, or what became of the connection.
-    pub fn ask_ended(&mut self, now: Us, ask: usize, got: Got) {
+    pub fn try_ended(&mut self, now: Us, ask: usize, got: TryOutcome) {
         self.advance(now);
         if self.tries[ask].got.is_some() || self.tries[ask].left {
             return;
@@ -146,11 +146,11 @@
         let t = &self.tries[ask];
         let (node, from, due) = (t.node, t.at, t.at + t.wait);
         match got {
-            Got::Answer { status, attempt, .. } => {
+            TryOutcome::Answer { status, attempt, .. } => {
                 let served = |a: usize| {
                     self.attempts
                         .get(a)
-                        .is_some_and(|a| a.of == ask && a.stage == Stage::Answered(Reply::Served))
+                        .is_some_and(|a| a.of == ask && a.stage == Stage::Answered(ServerReply::Served))
                 };
                 let genuine = attempt.is_some_and(served);
                 self.referee.request_answered(now, ask, status, genuine);
@@ -158,7 +158,7 @@
                     self.tally.overdue_answers += 1;
                 }
             }
-            Got::Broken { begun: false } => {
+            TryOutcome::ConnectionLost { partial_answer: false } => {
                 if !self.nodes[node].excused(from, now) {
                     self.tally.unanswered_closes += 1;
                     if self.tally.unanswered_closes * CLOSED_ONE_IN > self.draw.arrivals.len() as u64 {
@@ -168,7 +168,7 @@
                     }
                 }
             }
-            Got::NotTaken | Got::Broken { begun: true } => {}
+            TryOutcome::NoConnection | TryOutcome::ConnectionLost { partial_answer: true } => {}
         }
         let back = now + self.jittered(self.draw.client_delay);
         self.at(back, Ev::Hear(ask));
@@ -182,12 +182,12 @@
         let request = self.tries[ask].request;
         let arrival = &self.draw.arrivals[request];
         match self.tries[ask].got {
-            Some(Got::Answer { status: 200, .. }) => {
+            Some(TryOutcome::Answer { status: 200, .. }) => {
                 let late = self.now > arrival.at + self.draw.classes[arrival.class].aim;
                 self.tally.useful_work += arrival.work;
                 self.end(request, Some(if late { RequestOutcome::Late } else { RequestOutcome::InTime }));
             }
-            Some(Got::Answer { status: 429 | 503, retry_after, .. }) => {
+            Some(TryOutcome::Answer { status: 429 | 503, retry_after, .. }) => {
                 self.requests[request].last = RequestOutcome::Refused;
                 self.again(request, retry_after);
             }
--- a/crates/lab/src/world/control.rs
+++ b/crates/lab/src/world/control.rs
@@ -14,7 +14,7 @@
 
     /// A node's answer to a client's try says under which epoch it was admitted; `None` where it was held back for want
     /// of one.
-    pub fn admitted(&mut self, now: Us, ask: usize, epoch: Option<Epoch>) {
+    pub fn record_admission(&mut self, now: Us, ask: usize, epoch: Option<Epoch>) {
         self.advance(now);
         let (node, sent) = (self.tries[ask].node, self.tries[ask].at);
         let Some(epochs) = &mut self.epochs else { return };
@@ -44,21 +44,21 @@
     }
 
     /// How long nothing could be written after the leader was struck; `None` where it went on to the end.
-    pub fn write_gap(&mut self, gap: Option<Us>) {
+    pub fn record_write_gap(&mut self, gap: Option<Us>) {
         if let Some(epochs) = &mut self.epochs {
             epochs.record_write_gap(gap);
         }
     }
 
     /// The play is over; the newest epoch that the replicas know, `None` where none answers.
-    pub fn group_asked(&mut self, now: Us, agreed: Option<Epoch>) {
+    pub fn record_final_epoch(&mut self, now: Us, agreed: Option<Epoch>) {
         self.advance(now);
         let found = self.epochs.as_ref().map_or(Vec::new(), |epochs| epochs.final_breaches(agreed));
         self.note_all(now, found);
     }
 
     /// The newest epoch that was acknowledged to the operator.
-    pub fn acknowledged(&self) -> Epoch {
+    pub fn acknowledged_epoch(&self) -> Epoch {
         self.epochs.as_ref().and_then(EpochTracker::newest_acknowledged).unwrap_or(0)
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// What came of the changes of policy; `None` where no group agrees on any.
-    pub fn control(&self) -> Option<ControlMetrics> {
+    pub fn control_metrics(&self) -> Option<ControlMetrics> {
         self.epochs.as_ref().map(EpochTracker::metrics)
     }
 
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -18,12 +18,16 @@
             FaultKind::Pause => {
                 for node in &fault.targets {
                     self.nodes[*node].away.push((self.now, fault.until));
-                    self.out.push_back(Out::Signal(*node, Signal::Stop));
+                    self.out.push_back(Effect::SignalNode(*node, Signal::Stop));
                 }
             }
             FaultKind::IdleConnections => {
                 let (count, until) = (fault.factor as usize, fault.until);
-                self.out.extend(fault.targets.iter().map(|node| Out::Crowd { node: *node, count, until }));
+                self.out.extend(fault.targets.iter().map(|node| Effect::OpenIdleConnections {
+                    node: *node,
+                    count,
+                    until,
+                }));
             }
             FaultKind::Vanish => {
                 for server in &fault.targets {
@@ -63,7 +67,7 @@
             | FaultKind::GroupOutage
             | FaultKind::PartitionControl
             | FaultKind::PartitionReplica
-            | FaultKind::FaultyVoters => self.out.push_back(Out::Strike(n)),
+            | FaultKind::FaultyVoters => self.out.push_back(Effect::BeginGroupFault(n)),
         }
         self.look_over();
     }
@@ -74,7 +78,7 @@
         match fault.kind {
             FaultKind::Kill => fault.targets.iter().for_each(|t| self.start_node(*t)),
             FaultKind::Pause => {
-                let signal = |t: &usize| Out::Signal(*t, Signal::Continue);
+                let signal = |t: &usize| Effect::SignalNode(*t, Signal::Continue);
                 self.out.extend(fault.targets.iter().map(signal));
             }
             FaultKind::Vanish | FaultKind::Crash => fault.targets.iter().for_each(|t| self.start_server(*t)),
@@ -101,7 +105,7 @@
             | FaultKind::GroupOutage
             | FaultKind::PartitionControl
             | FaultKind::PartitionReplica
-            | FaultKind::FaultyVoters => self.out.push_back(Out::Heal(n)),
+            | FaultKind::FaultyVoters => self.out.push_back(Effect::EndGroupFault(n)),
         }
         self.look_over();
     }
@@ -122,7 +126,7 @@
             self.settle(*server);
             let place = &mut self.servers[*server];
             change(place);
-            place.model.burden(place.slower, place.taken);
+            place.model.set_slowdown(place.slower, place.taken);
             self.schedule(*server);
         }
     }
@@ -168,7 +172,7 @@
             let here = self.servers[server].spec.zone;
             let zones = (0..self.draw.zones.len()).filter(|z| *z != here);
             let broken = zones.filter(|z| fault.targets.contains(z) || fault.targets.contains(&here));
-            self.out.extend(broken.map(|zone| Out::Drop { server, zone: Some(zone) }));
+            self.out.extend(broken.map(|zone| Effect::CloseConnections { server, zone: Some(zone) }));
         }
     }
 
--- a/crates/lab/src/world/figures.rs
+++ b/crates/lab/src/world/figures.rs
@@ -14,11 +14,11 @@
     /// Work that they get done, in seconds of a standard core a second, as crowded as they are.
     pub capacity: f64,
     /// Requests that they hold for each core, on average.
-    pub held: f64,
+    pub in_flight_per_core: f64,
     /// The most that one holds for each core.
-    pub most_held: f64,
+    pub max_in_flight_per_core: f64,
     /// Work done by all servers since the start, in seconds of a standard core.
-    pub done: f64,
+    pub work_done_s: f64,
 }
 
 impl World {
@@ -33,32 +33,32 @@
     }
 
     /// How late each event was looked at, in microseconds.
-    pub fn lateness(&self) -> &[u32] {
+    pub fn event_lateness_us(&self) -> &[u32] {
         &self.lateness
     }
 
     /// Work that servers have done, over work that was asked for, without what answers brought their clients.
-    pub fn wasted(&self) -> f64 {
+    pub fn wasted_share(&self) -> f64 {
         let done: f64 = self.servers.iter().map(|p| p.done_before + p.model.work_done()).sum();
         (done - self.tally.useful_work).max(0.0) / self.tally.offered_work.max(1.0)
     }
 
     /// The share of servers that were choked by crowding.
-    pub fn overdriven(&self) -> f64 {
+    pub fn choked_share(&self) -> f64 {
         self.tally.choked_servers.len() as f64 / self.draw.servers.len() as f64
     }
 
     /// What servers were sent while they were cold: in the most pushed one's worst window as a part of what pushes it
     /// over, and in all, over what they could have done meanwhile.
-    pub fn cold_use(&self) -> (f64, f64) {
+    pub fn cold_load(&self) -> (f64, f64) {
         let lives =
-            self.servers.iter().map(|p| p.model.cold_use(self.now)).chain(self.cold_before.iter().copied());
-        let all = lives.fold(ColdUse::default(), |all, one| ColdUse {
-            most: all.most.max(one.most),
+            self.servers.iter().map(|p| p.model.cold_load(self.now)).chain(self.cold_before.iter().copied());
+        let all = lives.fold(ColdLoad::default(), |all, one| ColdLoad {
+            peak: all.peak.max(one.peak),
             sent: all.sent + one.sent,
-            able: all.able + one.able,
+            capacity: all.capacity + one.capacity,
         });
-        (all.most, all.sent / all.able.max(1.0))
+        (all.peak, all.sent / all.capacity.max(1.0))
     }
 
     /// How many rules were broken, and the first of them with names.
@@ -77,11 +77,11 @@
 
     /// True capacity and backlog of a server, for a policy that sees them; `None` where it is not up, or where one more
     /// request would begin to crowd it.
-    pub fn truth(&self, server: usize) -> Option<(f64, f64)> {
+    pub fn capacity_and_backlog(&self, server: usize) -> Option<(f64, f64)> {
         let place = self.servers.get(server).filter(|p| p.power == Power::Up)?;
         let figures = &place.spec.parameters;
-        let crowded =
-            (place.model.held() + 1) as f64 > figures.choke.at.min(figures.thrash_at) * figures.cores as f64;
+        let crowded = (place.model.in_flight() + 1) as f64
+            > figures.choke.threshold.min(figures.thrash_threshold) * figures.cores as f64;
         (!crowded).then(|| (place.model.capacity(self.now), place.model.backlog()))
     }
 
@@ -90,20 +90,20 @@
         let active = |n: &usize| self.list.newest_entry(*n).is_some_and(|e| e.health == Health::Active);
         let usable = (0..self.servers.len()).filter(active).map(|n| &self.servers[n]);
         let usable: Vec<&Place> = usable.filter(|p| p.power == Power::Up).collect();
-        let held = |p: &&Place| p.model.held() as f64 / p.model.figures().cores as f64;
+        let held = |p: &&Place| p.model.in_flight() as f64 / p.model.parameters().cores as f64;
         FleetState {
             servers: usable.len(),
-            idle: usable.iter().filter(|p| p.model.held() == 0).count(),
-            cold: usable.iter().filter(|p| p.model.cold(self.now)).count(),
+            idle: usable.iter().filter(|p| p.model.in_flight() == 0).count(),
+            cold: usable.iter().filter(|p| p.model.is_cold(self.now)).count(),
             capacity: usable.iter().map(|p| p.model.capacity(self.now)).sum(),
-            held: usable.iter().map(held).sum::<f64>() / usable.len().max(1) as f64,
-            most_held: usable.iter().map(held).fold(0.0, f64::max),
-            done: self.servers.iter().map(|p| p.done_before + p.model.work_done()).sum::<f64>() / 1e6,
+            in_flight_per_core: usable.iter().map(held).sum::<f64>() / usable.len().max(1) as f64,
+            max_in_flight_per_core: usable.iter().map(held).fold(0.0, f64::max),
+            work_done_s: self.servers.iter().map(|p| p.done_before + p.model.work_done()).sum::<f64>() / 1e6,
         }
     }
 
     /// The servers that a node's agent has listed as in service.
-    pub fn listed(&self, node: usize) -> Vec<usize> {
+    pub fn listed_servers(&self, node: usize) -> Vec<usize> {
         let mut active = BTreeMap::new();
         for (server, entry) in self.list.changes_between(0, self.nodes[node].version) {
             active.insert(server, entry.health == Health::Active);
@@ -117,7 +117,7 @@
     }
 
     /// One way between a node's zone and a server.
-    pub fn delay(&self, node: usize, server: usize) -> Us {
+    pub fn link_delay(&self, node: usize, server: usize) -> Us {
         self.draw.delays[self.nodes[node].zone][self.servers[server].spec.zone]
     }
 
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -28,7 +28,7 @@
     }
 
     /// What a node holds, against what it may.
-    pub fn over_limits(&mut self, now: Us, node: usize, words: String) {
+    pub fn record_limit_breach(&mut self, now: Us, node: usize, words: String) {
         self.advance(now);
         let about = BreachSubject { node: Some(node), ..BreachSubject::default() };
         self.referee.record_breach(Rule::Limits, now, about, words);
@@ -38,7 +38,7 @@
         let n = &mut self.nodes[node];
         if std::mem::replace(&mut n.running, false) {
             n.away.push((self.now, self.now));
-            self.out.push_back(Out::Signal(node, Signal::Kill));
+            self.out.push_back(Effect::SignalNode(node, Signal::Kill));
             self.at(self.now + self.draw.front_detection_delay, Ev::FrontNotices(node));
         }
     }
@@ -59,7 +59,7 @@
         (n.running, n.restart, n.terminated) = (true, false, None);
         n.away.push((self.now, self.now));
         self.referee.node_started(self.now, node, self.nodes[node].version, &self.list);
-        self.out.push_back(Out::Start(node));
+        self.out.push_back(Effect::StartNode(node));
     }
 
     pub(super) fn restart_node(&mut self, node: usize) {
@@ -69,7 +69,7 @@
             return;
         }
         (n.terminated, n.restart) = (Some(now), true);
-        self.out.push_back(Out::Signal(node, Signal::Terminate));
+        self.out.push_back(Effect::SignalNode(node, Signal::Terminate));
         let longest = self.draw.classes.iter().map(|c| c.deadline).max().unwrap_or(0).min(LONGEST_MOST);
         self.at(now + FRONT_LINGERS, Ev::FrontLeaves(node));
         self.at(now + longest + KILL_AFTER, Ev::KillNode(node, now));
@@ -77,20 +77,20 @@
 
     pub(super) fn reaches(&mut self, server: usize) {
         for zone in 0..self.draw.zones.len() {
-            let reach = self.reach(server, zone);
-            self.out.push_back(Out::Reach { server, zone, reach });
+            let reachability = self.reachability(server, zone);
+            self.out.push_back(Effect::SetReachability { server, zone, reachability });
         }
     }
 
     /// How new connections from a zone to a server fare.
-    pub fn reach(&self, server: usize, zone: usize) -> Reach {
+    pub fn reachability(&self, server: usize, zone: usize) -> Reachability {
         let place = &self.servers[server];
         let both = self.passes(zone, place.spec.zone) && self.passes(place.spec.zone, zone);
         match place.power {
-            Power::Dark => Reach::Dark,
-            _ if !both => Reach::Dark,
-            Power::Off => Reach::Refused,
-            Power::Up => Reach::Open,
+            Power::Dark => Reachability::Unreachable,
+            _ if !both => Reachability::Unreachable,
+            Power::Off => Reachability::Refused,
+            Power::Up => Reachability::Open,
         }
     }
 
@@ -106,7 +106,7 @@
         self.settle(server);
         let place = &mut self.servers[server];
         (place.power, place.due) = (Power::Off, None);
-        self.out.push_back(Out::Drop { server, zone: None });
+        self.out.push_back(Effect::CloseConnections { server, zone: None });
         self.reaches(server);
         self.look_over();
     }
@@ -119,13 +119,13 @@
             return;
         }
         place.done_before += place.model.work_done();
-        self.cold_before.push(place.model.cold_use(now));
+        self.cold_before.push(place.model.cold_load(now));
         place.model = Server::new(place.spec.parameters.clone(), Some(now));
-        place.model.burden(place.slower, place.taken);
+        place.model.set_slowdown(place.slower, place.taken);
         (place.power, place.born_ms, place.life, place.due) = (Power::Up, born_ms, place.life + 1, None);
         place.build = place.next_build;
         let life = place.life;
-        self.out.push_back(Out::Drop { server, zone: None });
+        self.out.push_back(Effect::CloseConnections { server, zone: None });
         self.reaches(server);
         self.look_over();
         self.at(now + self.draw.discovery.join_delay, Ev::ListBack(server, life));
--- a/crates/lab/src/world/list.rs
+++ b/crates/lab/src/world/list.rs
@@ -4,7 +4,7 @@
 
 impl World {
     /// The play begins at this Unix time.
-    pub fn begin_at(&mut self, unix_ms: f64) {
+    pub fn set_unix_start(&mut self, unix_ms: f64) {
         self.unix_start_ms = unix_ms;
     }
 
@@ -42,9 +42,9 @@
             return;
         }
         // A list that is behind goes on from there.
-        let from = self.version(node);
+        let from = self.agent_version(node);
         self.nodes[node].version = version;
-        let to = self.version(node);
+        let to = self.agent_version(node);
         if to == from {
             return;
         }
@@ -55,12 +55,12 @@
             self.nodes[node].overtaken = Some(from);
             return;
         }
-        self.out.push_back(Out::Tell { node, from, to });
-        self.out.extend(before.map(|before| Out::Tell { node, from: before, to: from }));
+        self.out.push_back(Effect::SendListUpdate { node, from, to });
+        self.out.extend(before.map(|before| Effect::SendListUpdate { node, from: before, to: from }));
     }
 
     /// The version that a node's agent tells whoever asks.
-    pub fn version(&self, node: usize) -> u64 {
+    pub fn agent_version(&self, node: usize) -> u64 {
         self.nodes[node].version.saturating_sub(self.behind).max(1)
     }
 
@@ -71,10 +71,10 @@
             let version = self.nodes[node].version;
             let from = version.saturating_sub(before).max(1);
             if versions > 0 {
-                self.out.push_back(Out::EndWatches(node));
+                self.out.push_back(Effect::CloseWatches(node));
             } else if from < version {
                 self.referee.agent_received(self.now, node, version, false);
-                self.out.push_back(Out::Tell { node, from, to: version });
+                self.out.push_back(Effect::SendListUpdate { node, from, to: version });
             }
         }
     }
@@ -85,18 +85,18 @@
         for node in 0..self.nodes.len() {
             if let Some(before) = self.nodes[node].overtaken.take() {
                 let to = self.nodes[node].version;
-                self.out.push_back(Out::Tell { node, from: before, to });
+                self.out.push_back(Effect::SendListUpdate { node, from: before, to });
             }
         }
     }
 
     /// Is the list silent?
-    pub fn silent(&self) -> bool {
+    pub fn list_unavailable(&self) -> bool {
         self.silent
     }
 
     /// The line that brings a node from a version to another; the whole list from 0 on.
-    pub fn line(&self, node: usize, from: u64, to: u64) -> Update {
+    pub fn list_update(&self, node: usize, from: u64, to: u64) -> Update {
         let zone = self.nodes[node].zone;
         let dial = |server| (self.dial)(server, zone);
         if from == 0 {
@@ -107,7 +107,7 @@
     }
 
     /// A version was written to a node.
-    pub fn told(&mut self, now: Us, node: usize, version: u64) {
+    pub fn list_delivered(&mut self, now: Us, node: usize, version: u64) {
         self.advance(now);
         self.referee.node_notified(now, node, version, &self.list);
     }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -35,7 +35,7 @@
 use crate::plan::{Direction, FaultKind, Idempotency, Rules};
 use crate::referee::{Breach, BreachSubject, Referee, Rule};
 use crate::removals::RemovalReferee;
-use crate::server::{Arrived, ColdUse, Server, Us};
+use crate::server::{Admission, ColdLoad, Server, Us};
 use crate::server_list::{ServerEntry, ServerList};
 use crate::tally::{RequestOutcome, Tally};
 
@@ -66,36 +66,36 @@
 
 /// What whoever drives the world has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Out {
+pub enum Effect {
     /// A client's request reaches its node.
-    Ask(usize),
+    DeliverRequest(usize),
     /// Its client closes the connection.
-    Leave(usize),
+    ClientDisconnect(usize),
     /// What an attempt gets reaches its node.
-    Reply {
+    DeliverReply {
         /// The attempt.
         attempt: usize,
         /// What it gets.
-        reply: Reply,
+        reply: ServerReply,
     },
     /// How new connections from a zone to a server fare from now on.
-    Reach {
+    SetReachability {
         /// The server.
         server: usize,
         /// The zone of the nodes.
         zone: usize,
         /// How they fare.
-        reach: Reach,
+        reachability: Reachability,
     },
     /// All connections to a server end; those from the nodes of one zone where it is named.
-    Drop {
+    CloseConnections {
         /// The server.
         server: usize,
         /// The zone.
         zone: Option<usize>,
     },
     /// A node's agent has a line for its watches.
-    Tell {
+    SendListUpdate {
         /// The node.
         node: usize,
         /// What it had before.
@@ -104,9 +104,9 @@
         to: u64,
     },
     /// The watches at a node's agent end.
-    EndWatches(usize),
+    CloseWatches(usize),
     /// So many strangers connect to a node and say nothing, until that time.
-    Crowd {
+    OpenIdleConnections {
         /// The node.
         node: usize,
         /// How many.
@@ -115,22 +115,22 @@
         until: Us,
     },
     /// A signal to a node.
-    Signal(usize, Signal),
+    SignalNode(usize, Signal),
     /// A node is started anew.
-    Start(usize),
+    StartNode(usize),
     /// The control group's part in a fault begins.
-    Strike(usize),
+    BeginGroupFault(usize),
     /// It ends.
-    Heal(usize),
+    EndGroupFault(usize),
 }
 
 /// What an attempt gets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reply {
+pub enum ServerReply {
     /// 200 and a body.
     Served,
     /// 200 and a body that breaks off.
-    Garbled,
+    Truncated,
     /// 500.
     Error,
     /// 503, turned away.
@@ -141,13 +141,13 @@
 
 /// How new connections fare.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reach {
+pub enum Reachability {
     /// They are accepted.
     Open,
     /// They are refused: no process listens.
     Refused,
     /// They never come up.
-    Dark,
+    Unreachable,
 }
 
 /// A signal to a node's process.
@@ -165,7 +165,7 @@
 
 /// What a node's client got in the end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Got {
+pub enum TryOutcome {
     /// A whole answer.
     Answer {
         /// Its status.
@@ -176,17 +176,17 @@
         attempt: Option<usize>,
     },
     /// No connection: the node never had it.
-    NotTaken,
+    NoConnection,
     /// The connection ended with no whole answer; `begun` where a part of one came.
-    Broken {
-        /// Some of an answer came.
-        begun: bool,
+    ConnectionLost {
+        /// Part of an answer was received.
+        partial_answer: bool,
     },
 }
 
 /// What a node is asked, for whoever writes it or plays the node.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct ClientTry {
     /// The node.
     pub node: usize,
     /// The class.
@@ -194,15 +194,15 @@
     /// The request, the same for each try of it.
     pub request: usize,
     /// How long the client waits, from when it sent it.
-    pub wait: Us,
+    pub timeout: Us,
     /// When it sent it.
-    pub at: Us,
+    pub sent_at: Us,
     /// Its work.
     pub work: f64,
     /// What its client guesses that to be.
-    pub guess: f64,
+    pub work_estimate: f64,
     /// It is a client's retry.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -217,7 +217,7 @@
     AtServer(usize),
     CancelAtServer(usize),
     Step(usize),
-    ReplyAtNode(usize, Reply),
+    ReplyAtNode(usize, ServerReply),
     Tell(usize, u64),
     Begin(usize),
     Finish(usize),
@@ -331,7 +331,7 @@
     at: Us,
     wait: Us,
     again: bool,
-    got: Option<Got>,
+    got: Option<TryOutcome>,
     /// The client no longer waits for it.
     over: bool,
     /// It was written to its node.
@@ -346,7 +346,7 @@
 enum Stage {
     OnWay,
     Held,
-    Answered(Reply),
+    Answered(ServerReply),
     Closed,
 }
 
@@ -387,7 +387,7 @@
     lateness: Vec<u32>,
     queue: BinaryHeap<Reverse<Due>>,
     order: u64,
-    out: VecDeque<Out>,
+    out: VecDeque<Effect>,
     chance: Pcg64,
     unix_start_ms: f64,
     dial: Dial,
@@ -406,7 +406,7 @@
     referee: Referee,
     tally: Tally,
     /// What servers' former lives were sent while cold.
-    cold_before: Vec<ColdUse>,
+    cold_before: Vec<ColdLoad>,
     epochs: Option<EpochTracker>,
     removals: RemovalReferee,
 }
@@ -500,12 +500,12 @@
     }
 
     /// What is to be carried out next.
-    pub fn take(&mut self) -> Option<Out> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.out.pop_front()
     }
 
     /// Is the play over: no client waits for anything, and no fault goes on?
-    pub fn over(&self) -> bool {
+    pub fn is_over(&self) -> bool {
         let faults = self.draw.faults.iter().map(|f| f.until).max().unwrap_or(0);
         let longest = self.draw.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let end = self.draw.length.max(faults) + longest + LOST_AFTER + 500_000;
--- a/crates/lab/src/world/votes.rs
+++ b/crates/lab/src/world/votes.rs
@@ -20,7 +20,7 @@
 
 impl World {
     /// Does a policy of the plan let nodes vote on servers?
-    pub fn votes_wanted(&self) -> bool {
+    pub fn voting_enabled(&self) -> bool {
         self.draw.faults.iter().any(|f| f.policy.contains_key("Votes"))
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// What the group says of servers by now.
-    pub fn group_says(&mut self, now: Us, word: GroupVerdicts) {
+    pub fn record_verdicts(&mut self, now: Us, word: GroupVerdicts) {
         self.advance(now);
         let numbers: BTreeMap<String, usize> =
             (0..self.servers.len()).map(|server| (name_of(&self.draw, server), server)).collect();
@@ -66,12 +66,12 @@
     }
 
     /// What came of votes on servers; `None` where the group was never heard of them.
-    pub fn votes(&self) -> Option<VoteMetrics> {
+    pub fn vote_metrics(&self) -> Option<VoteMetrics> {
         self.removals.metrics()
     }
 
     /// How many servers of each zone are listed as in service.
-    pub fn up(&self) -> Vec<(String, u32)> {
+    pub fn active_by_zone(&self) -> Vec<(String, u32)> {
         let mut up = BTreeMap::new();
         for entry in (0..self.servers.len()).filter_map(|server| self.active(server)) {
             *up.entry(entry.zone.clone()).or_default() += 1;
@@ -96,9 +96,9 @@
     }
 
     /// What a liar says: servers up, and ballots for the removal of those of `targets`.
-    pub fn lies(&self, targets: &[usize]) -> (Vec<(String, u32)>, Vec<Ballot>) {
+    pub fn false_vote_report(&self, targets: &[usize]) -> (Vec<(String, u32)>, Vec<Ballot>) {
         let evidence = Evidence { attempts: CLAIMED, errors: CLAIMED, ..Evidence::default() };
         let ballots = targets.iter().filter_map(|server| self.ballot(*server, Vote::For, evidence));
-        (self.up(), ballots.take(MAX_BALLOTS).collect())
+        (self.active_by_zone(), ballots.take(MAX_BALLOTS).collect())
     }
 }
--- a/crates/lab/tests/fleets.rs
+++ b/crates/lab/tests/fleets.rs
@@ -59,14 +59,14 @@
 fn many_nodes_that_share_a_server_begin_with_less_than_one_attempt_each() {
     // Servers that a moment of crowding chokes, all of them needed.
     let busy = "[server]\nchoke_at = 3\nchoke_over_s = 0.8\n[load]\nof_capacity = 1.0\nswing = 0\n";
-    let choked: f64 = (1..=4).map(|seed| play(busy, seed).overdriven() / 4.0).sum();
+    let choked: f64 = (1..=4).map(|seed| play(busy, seed).choked_share() / 4.0).sum();
     assert!(choked < 0.4, "{choked} of the servers were choked");
 }
 
 #[test]
 fn work_that_there_is_no_time_for_is_not_begun() {
     // One request in twenty or so is more work than an overloaded fleet can do in its aim.
-    let wasted = |seed| play("[load]\nof_capacity = 1.3\nswing = 0\n", seed).wasted();
+    let wasted = |seed| play("[load]\nof_capacity = 1.3\nswing = 0\n", seed).wasted_share();
     let mean = (1..=4).map(|seed| wasted(seed) / 4.0).sum::<f64>();
     assert!(mean < 0.13, "{mean} of the work asked for was done in vain");
 }
--- a/crates/lab/tests/referee.rs
+++ b/crates/lab/tests/referee.rs
@@ -7,7 +7,7 @@
 use lab::baseline::{self, BaselinePolicy};
 use lab::draw::Draw;
 use lab::epochs::{ControlMetrics, Outcome};
-use lab::live::{self, Options, Played};
+use lab::live::{self, CompletedRun, Options};
 use lab::plan::Plan;
 use lab::referee::{Breach, Rule};
 use lab::result::RunResult;
@@ -34,8 +34,8 @@
     let begun = Instant::now();
     loop {
         let world = play(script, replica, more);
-        let late =
-            world.lateness().iter().filter(|late| **late > 5000).count() * 100 > world.lateness().len();
+        let late = world.event_lateness_us().iter().filter(|late| **late > 5000).count() * 100
+            > world.event_lateness_us().len();
         let seen = see(world);
         if fits(&seen) || !late || begun.elapsed() > PATIENCE {
             return seen;
@@ -169,7 +169,7 @@
 
 #[test]
 fn fair_nodes_under_an_agreed_policy_break_none() {
-    let see = |world: World| (breaches(&world), world.control().expect("a group"));
+    let see = |world: World| (breaches(&world), world.control_metrics().expect("a group"));
     let fits = |(breaches, control): &(Vec<Breach>, ControlMetrics)| {
         let change = &control.changes[0];
         breaches.is_empty()
@@ -212,7 +212,8 @@
         let plan = Plan::read("x.toml", &format!("{FLEET}{more}")).expect("it was played");
         let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
             .map(|policy| baseline::play(world.draw(), &plan.rules, policy));
-        let played = Played { world, interrupted: false, held: (0.0, 0), busy: 0.0 };
+        let played =
+            CompletedRun { world, interrupted: false, node_peak_usage: (0.0, 0), lab_cpu_share: 0.0 };
         let result = RunResult::new(&plan, &played, &random, &oracle);
         let failed: Vec<String> =
             result.expectations.into_iter().filter(|h| !h.held).map(|h| h.key).collect();
--- a/crates/stoneshift/src/failure.rs
+++ b/crates/stoneshift/src/failure.rs
@@ -90,7 +90,7 @@
         }
         let all = each! {
             Failure::Plan(_) => Failure::Plan(PlanError::Read { file: "x".into(), source: io() }),
-            Failure::Lab(_) => Failure::Lab(LabError::Unended),
+            Failure::Lab(_) => Failure::Lab(LabError::TaskLeak),
             Failure::Model(_) => Failure::Model(ModelError::Settings("no".into())),
             Failure::File(_) => Failure::File(file()),
             Failure::Out(_) => Failure::Out(file()),
--- a/crates/stoneshift/src/model.rs
+++ b/crates/stoneshift/src/model.rs
@@ -6,8 +6,8 @@
 use clap::Args;
 use lab::baseline::{self, BaselinePolicy};
 use lab::draw::Draw;
-use lab::live::Played;
-use lab::modules::{self, Look, Watcher};
+use lab::live::CompletedRun;
+use lab::modules::{self, Snapshot, SnapshotObserver};
 use lab::plan::{FaultKind, Plan};
 use lab::plot;
 use lab::result::{Ends, RunResult, Verdict};
@@ -63,12 +63,14 @@
                 draw.servers.len(),
                 draw.arrivals.len()
             );
-            let mut show = |look: &Look<'_>| state(look);
-            let look: Option<Watcher<'_>> = if self.seconds { Some((1_000_000, &mut show)) } else { None };
+            let mut show = |look: &Snapshot<'_>| state(look);
+            let look: Option<SnapshotObserver<'_>> =
+                if self.seconds { Some((1_000_000, &mut show)) } else { None };
             let world = modules::play(&plan, &draw, look)?;
             let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
                 .map(|policy| baseline::play(&draw, &plan.rules, policy));
-            let played = Played { world, interrupted: false, held: (0.0, 0), busy: 0.0 };
+            let played =
+                CompletedRun { world, interrupted: false, node_peak_usage: (0.0, 0), lab_cpu_share: 0.0 };
             let result = RunResult::new(&plan, &played, &random, &oracle);
             if let Some(out) = &self.out {
                 let out = out.join(seed.to_string());
@@ -87,7 +89,7 @@
 }
 
 /// A line of what there truly is, and of what the modules believe on average.
-fn state(look: &Look<'_>) {
+fn state(look: &Snapshot<'_>) {
     let f = look.world.fleet_state();
     let mean =
         |of: fn(&Status) -> f64| look.nodes.iter().map(of).sum::<f64>() / look.nodes.len().max(1) as f64;
@@ -99,9 +101,9 @@
         f.idle,
         f.cold,
         f.capacity,
-        f.done,
-        f.held,
-        f.most_held,
+        f.work_done_s,
+        f.in_flight_per_core,
+        f.max_in_flight_per_core,
         mean(|s| s.servers as f64),
         mean(|s| s.cold as f64),
         mean(|s| s.ejected as f64),
