--- a/crates/stoneshift/tests/control.rs
+++ b/crates/stoneshift/tests/control.rs
@@ -101,7 +101,7 @@
     assert_eq!(running.end(Signal::SIGTERM).0, Some(0));
     let west = file(folder.path(), "west", 1, at, "");
     let (code, words) = failed(&control(&west).output().expect("it runs"));
-    assert!(code == Some(1) && words.contains("point this replica at its own directory"), "{words}");
+    assert!(code == Some(1) && words.contains("give this replica its own directory"), "{words}");
 
     let running = Running::start(&east, at);
     let told = ask(at, "GET /v1/policy");
