--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -7,8 +7,8 @@
 
 use crate::ConsensusError;
 
-/// Maximum number of replicas that form a group.
-const MAX_PEERS: usize = 9;
+/// Maximum number of replicas whose first start forms a group. Replicas that are added later are not counted.
+const MAX_FOUNDING_PEERS: usize = 9;
 /// Maximum length of a cluster's name, in bytes.
 const MAX_CLUSTER_NAME_BYTES: usize = 64;
 /// Upper limit of [`ReplicaConfig::max_command_bytes`]: twice this fits in a body of [`crate::MAX_BODY_BYTES`] with the
@@ -49,7 +49,7 @@
     pub snapshot_after: u64,
     /// Number of entries that are kept behind the snapshot, so that a replica that was away briefly needs no snapshot.
     pub retained_entries: u64,
-    /// Maximum size of a snapshot, in bytes.
+    /// Maximum size of a snapshot, in bytes. [`store::MAX_SNAPSHOT_BYTES`] also applies.
     pub max_snapshot_bytes: usize,
     /// Maximum number of writes in flight.
     pub max_concurrent_writes: usize,
@@ -79,16 +79,22 @@
         }
     }
 
-    /// Validates every field and returns the library's configuration.
+    /// Returns the library's configuration.
+    ///
+    /// Validates all fields but `id`, `address`, `retained_entries` and `max_snapshot_bytes`, for which any value is
+    /// accepted; `address` is only compared with this replica's entry in `peers`.
+    ///
+    /// # Errors
+    /// [`ConsensusError::Config`] with the first invalid field.
     pub(crate) fn raft_config(&self) -> Result<openraft::Config, ConsensusError> {
         let invalid = |field, reason: String| Err(ConsensusError::Config { field, reason });
         if self.cluster.is_empty() || self.cluster.len() > MAX_CLUSTER_NAME_BYTES {
             return invalid("cluster", format!("a name of 1 to {MAX_CLUSTER_NAME_BYTES} bytes is required"));
         }
-        if self.peers.len() > MAX_PEERS {
+        if self.peers.len() > MAX_FOUNDING_PEERS {
             return invalid(
                 "peers",
-                format!("{} replicas, and at most {MAX_PEERS} can form a group", self.peers.len()),
+                format!("{} replicas, and at most {MAX_FOUNDING_PEERS} can form a group", self.peers.len()),
             );
         }
         if self.peers.get(&self.id).is_some_and(|address| *address != self.address) {
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -19,7 +19,7 @@
     #[error(transparent)]
     Store(#[from] StoreError),
     /// Stored data cannot be decoded by this program.
-    #[error("the replica's {item} can't be read: {reason}")]
+    #[error("the replica's {item} cannot be decoded: {reason}")]
     Decode {
         /// Which data.
         item: &'static str,
@@ -104,7 +104,7 @@
 
 /// Why a replica cannot continue. Its process exits with this as its one line, and is restarted by its supervisor.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("the replica can't go on: {reason}")]
+#[error("the replica cannot continue: {reason}")]
 pub struct FatalError {
     /// What failed.
     pub reason: String,
--- a/crates/consensus/src/identity.rs
+++ b/crates/consensus/src/identity.rs
@@ -44,14 +44,15 @@
 /// Why a message is refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(crate) enum IdentityError {
-    #[error("replica {id} is of cluster {theirs:?}, and this is cluster {ours:?}")]
+    #[error("replica {id} belongs to cluster {theirs:?}, and this replica to cluster {ours:?}")]
     OtherCluster { id: u64, theirs: String, ours: String },
-    #[error("replica {id} is of a group that was formed by {theirs}, and this one by {ours}")]
+    #[error("replica {id} belongs to a group formed by {theirs}, and this replica to one formed by {ours}")]
     OtherGroup { id: u64, theirs: String, ours: String },
     #[error("the message is for replica {wanted}, and this is replica {here}")]
     Misdirected { wanted: u64, here: u64 },
     #[error(
-        "replica {0} answers itself: two replicas have this id, or a peer's address is this replica's own"
+        "replica {0} received a message from its own id: two replicas have this id, or a peer's address is this replica's \
+         own"
     )]
     OwnId(u64),
     #[error(
@@ -60,7 +61,8 @@
     )]
     OtherDisk(u64),
     #[error(
-        "this replica, {0}, is known on another disk: remove it from the group, and add it under an id that was never used"
+        "other replicas know this replica, {0}, with another disk: remove it from the group, and add it under an id that \
+         was never used"
     )]
     OwnDiskReplaced(u64),
     #[error("more than {MAX_KNOWN_REPLICAS} replica ids were used: replica {0} is refused")]
@@ -76,7 +78,7 @@
     sender: RwLock<Sender>,
     /// Held while a change is saved, so that there is one at a time.
     saving: tokio::sync::Mutex<()>,
-    /// Why the last refused message was refused.
+    /// Why a sender was last refused.
     last_refusal: Mutex<Option<String>>,
 }
 
@@ -138,7 +140,7 @@
         self.sender.read().unwrap_or_else(PoisonError::into_inner).known_disks.contains_key(&id)
     }
 
-    /// Checks a sender and learns from it; when this returns, what was new is on the disk.
+    /// Checks a sender, and saves what its message adds to the known identities before this returns.
     pub(crate) async fn check_and_learn(&self, from: &Sender) -> Result<(), IdentityError> {
         let checked = self.learn(from).await;
         if let Err(e) = &checked {
@@ -152,7 +154,7 @@
         checked
     }
 
-    /// Why the last refused message or response was refused.
+    /// Why the sender of a message or response was last refused.
     pub(crate) fn last_refusal(&self) -> Option<String> {
         self.last_refusal.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -54,7 +54,7 @@
 
 pub use config::ReplicaConfig;
 pub use error::{ConsensusError, FatalError, WriteError};
-pub use replica::{Leadership, PeerStatus, Replica, Status};
+pub use replica::{Leadership, MemberStatus, Replica, Status};
 pub use wire::MAX_BODY_BYTES;
 
 /// A deterministic state machine that the log drives: the same commands in the same order lead to the same state at every
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,7 +1,7 @@
 //! Adds and removes replicas, one at a time.
 //!
-//! A new replica starts as a learner: it receives the log and does not vote. Once it has what the leader had when it was
-//! added, it becomes a voter through the library's joint membership change. A call that was interrupted, because the
+//! A new replica starts as a learner: it receives the log and does not vote. Once it has the log that the leader had when it
+//! was added, it becomes a voter through the library's joint membership change. A call that was interrupted, because the
 //! leader ended in the middle of it, can be repeated and continues where it was.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -113,7 +113,8 @@
             Ok(Ok(false)) => Err(WriteError::NotLeader { leader: self.watch_leadership().borrow().leader }),
             Ok(Err(_)) => Err(self.stopped_error()),
             Err(_) => Err(WriteError::Unavailable {
-                reason: "the new replica has not caught up yet: it continues to; try again",
+                reason:
+                    "the new replica has not caught up in time; it continues to catch up: repeat the call",
             }),
         }
     }
--- a/crates/consensus/src/network.rs
+++ b/crates/consensus/src/network.rs
@@ -129,7 +129,7 @@
         }
         let reply: Reply<A> = serde_json::from_slice(&response).map_err(|e| failed(&e))?;
         if reply.from.id != replica {
-            return Err(failed(&format_args!("replica {} answers there", reply.from.id)));
+            return Err(failed(&format_args!("replica {} answered at this address", reply.from.id)));
         }
         self.identity.check_and_learn(&reply.from).await.map_err(|e| failed(&e))?;
         Ok(reply.answer)
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -74,29 +74,32 @@
     /// Whether a membership change is incomplete. Repeating the call completes it.
     #[serde(rename = "changing")]
     pub membership_changing: bool,
-    /// The members of the group.
-    pub replicas: Vec<PeerStatus>,
-    /// Why its disk accepts no writes at the moment, if so. It neither leads nor votes meanwhile.
+    /// The members of the group, including this replica if it is one.
+    pub replicas: Vec<MemberStatus>,
+    /// Why its disk accepts no writes at the moment; `None` if it accepts writes. Meanwhile it neither leads nor
+    /// votes.
     #[serde(rename = "stalled")]
     pub stall_reason: Option<String>,
-    /// Why it cannot continue, if so.
+    /// Why it cannot continue; `None` if it can.
     #[serde(rename = "failure")]
     pub fatal_error: Option<String>,
-    /// Why the last refused message or response was refused; its sender is not a member of this group.
+    /// Why the sender of a message or response was last refused, such as another cluster or a replica that lost its
+    /// disk; `None` if there was no such sender. Remains after the cause is gone.
     #[serde(rename = "refused")]
     pub last_refusal: Option<String>,
 }
 
-/// Status of a member of the group.
+/// Status of a member of the group: this replica or another one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct PeerStatus {
+pub struct MemberStatus {
     /// Id of the replica.
     pub id: u64,
     /// Address at which it is reached.
     pub address: SocketAddr,
     /// Whether it votes.
     pub voter: bool,
-    /// At a leader, index of the last entry that the replica is known to have.
+    /// At a leader, index of the last entry that the replica is known to have; `None` at other replicas, and at a
+    /// leader as long as it knows of no entry.
     #[serde(rename = "matched")]
     pub matched_index: Option<u64>,
 }
@@ -334,7 +337,7 @@
             return refuse(StatusCode::SERVICE_UNAVAILABLE, &reason);
         }
         let Ok(_permit) = inner.message_permits.try_acquire() else {
-            return refuse(StatusCode::SERVICE_UNAVAILABLE, &"too many messages at a time");
+            return refuse(StatusCode::SERVICE_UNAVAILABLE, &"too many messages are being handled");
         };
         match timeout(MESSAGE_TIMEOUT, self.dispatch_message(path, &body)).await {
             Ok(response) => response,
@@ -368,7 +371,7 @@
                     Err(refusal) => refusal,
                 }
             }
-            _ => refuse(StatusCode::NOT_FOUND, &"no such message"),
+            _ => refuse(StatusCode::NOT_FOUND, &"no message has this path"),
         }
     }
 
@@ -392,7 +395,7 @@
         let matched = |id: &u64| metrics.replication.as_ref()?.get(id)?.map(|log_id| log_id.index);
         let replicas = members
             .nodes()
-            .map(|(id, node)| PeerStatus {
+            .map(|(id, node)| MemberStatus {
                 id: *id,
                 address: node.0,
                 voter: voters.contains(id),
--- a/crates/consensus/tests/disk_faults.rs
+++ b/crates/consensus/tests/disk_faults.rs
@@ -30,9 +30,9 @@
             let current = Arc::clone(&disk);
             slot.open_store = Arc::new(move |owner| {
                 let disk = current.lock().expect("not poisoned").clone();
-                Store::open_on(disk, owner).expect("the store opens")
+                Store::open_on(disk, owner).expect("the store was not opened")
             });
-            slot.start().expect("it starts");
+            slot.start().expect("the replica did not start");
             disks.insert(*id, disk);
         }
         Self { group, disks }
@@ -98,12 +98,12 @@
         let powered_off = Arc::clone(&faulty);
         tokio::task::spawn_blocking(move || powered_off.lose_power(&[1, 2, 3], seed))
             .await
-            .expect("they end");
+            .expect("the replicas did not end");
         for writer in writers {
-            acknowledged.extend(writer.await.expect("no writer panics"));
+            acknowledged.extend(writer.await.expect("a writer panicked"));
         }
         for slot in faulty.group.slots.values() {
-            slot.start().expect("it starts again");
+            slot.start().expect("the replica did not start again");
         }
     }
     assert!(acknowledged.len() > 100, "{}", acknowledged.len());
@@ -122,7 +122,7 @@
         let full = if fill_leader { leader } else { leader % 3 + 1 };
         faulty.disk(full).set_capacity(Some(0));
         // Small writes still fit into allocated blocks; large ones do not.
-        let replica = group.slot(full).replica().expect("it runs");
+        let replica = group.slot(full).replica().expect("the replica is not running");
         let deadline = Instant::now() + support::TEST_TIMEOUT;
         while replica.status().stall_reason.is_none() {
             assert!(Instant::now() < deadline, "its disk does not fill up: {:?}", replica.status());
@@ -132,7 +132,7 @@
                 .slot(leader)
                 .call(|replica| async move { replica.write(command).await })
                 .await
-                .expect("it runs")
+                .expect("the replica is not running")
             {
                 Ok((version, _)) => acknowledged.push((number, version)),
                 // Another was elected, as this one is full or the machine is busy.
@@ -142,7 +142,8 @@
         }
         let reason = replica.status().stall_reason;
         assert!(reason.as_ref().is_some_and(|reason| reason.contains("full")), "{reason:?}");
-        let mut leadership = group.slot(full).replica().expect("it runs").watch_leadership();
+        let mut leadership =
+            group.slot(full).replica().expect("the replica is not running").watch_leadership();
         let stopped_leading = tokio::time::timeout(
             support::TEST_TIMEOUT,
             leadership.wait_for(|leadership| !leadership.is_local),
@@ -156,7 +157,7 @@
         assert_ne!(group.leader().await, full);
         faulty.disk(full).set_capacity(None);
         group.wait_for_status(full, |status| status.stall_reason.is_none()).await;
-        group.wait_until_applied(full, acknowledged.last().expect("some").1).await;
+        group.wait_until_applied(full, acknowledged.last().expect("no write was acknowledged").1).await;
     }
     group.assert_agreement(&acknowledged).await;
 }
@@ -168,20 +169,22 @@
     let group = &faulty.group;
     let mut acknowledged = vec![group.write().await];
     let leader = group.leader().await;
-    let replica = group.slot(leader).replica().expect("it runs");
+    let replica = group.slot(leader).replica().expect("the replica is not running");
     faulty.disk(leader).power_off();
-    let written = group.slot(leader).write(group.next_number()).await.expect("it runs");
+    let written = group.slot(leader).write(group.next_number()).await.expect("the replica is not running");
     // A replica that has just lost leadership meets the fault with the next leader's entry.
     assert!(matches!(written, Err(WriteError::Fatal(_) | WriteError::NotLeader { .. })), "{written:?}");
     acknowledged.push(group.write().await);
-    let error = tokio::time::timeout(support::TEST_TIMEOUT, replica.fatal_error()).await.expect("it ends");
+    let error = tokio::time::timeout(support::TEST_TIMEOUT, replica.fatal_error())
+        .await
+        .expect("the replica did not end");
     let line = format!("{error}: {}", error.advice);
-    assert!(line.starts_with("the replica can't go on: the disk") && !line.contains('\n'), "{line}");
+    assert!(line.starts_with("the replica cannot continue: the disk") && !line.contains('\n'), "{line}");
     assert!(!replica.watch_leadership().borrow().is_local);
     assert_eq!(replica.status().role, "stopped");
     drop(replica);
     faulty.lose_power(&[leader], 0);
-    group.slot(leader).start().expect("it starts again");
+    group.slot(leader).start().expect("the replica did not start again");
     group.assert_agreement(&acknowledged).await;
 }
 
--- a/crates/consensus/tests/foreign_messages.rs
+++ b/crates/consensus/tests/foreign_messages.rs
@@ -1,5 +1,5 @@
-//! Messages that must not count: from other clusters and groups, for other replicas, and from a replica that lost its
-//! disk.
+//! Messages that a replica must refuse: from other clusters and groups, for other replicas, and from a replica that
+//! lost its disk.
 
 mod support;
 
@@ -11,11 +11,14 @@
 use serde_json::{json, Value};
 use support::{encode_message, free_address, Group, ReplicaSlot};
 
+/// A sender on a disk that no replica knows. `group` is the list of founding peers, in the form `id=address,...`, or
+/// null.
 fn sender(cluster: &str, id: u64, group: Value) -> Value {
-    json!({"cluster": cluster, "id": id, "disk": "feed", "group": group, "known": {}})
+    json!({"cluster": cluster, "id": id, "disk": "unknown-disk", "group": group, "known": {}})
 }
 
-fn vote(from: Value, to: u64, term: u64) -> Bytes {
+/// A request for a vote by candidate 2, whatever the sender's id.
+fn vote_request(from: Value, to: u64, term: u64) -> Bytes {
     let message =
         json!({"vote": {"leader_id": {"term": term, "node_id": 2}, "committed": false}, "last_log_id": null});
     encode_message(json!({"from": from, "to": to, "message": message}))
@@ -25,7 +28,7 @@
     let (status, body) = slot
         .call(move |replica| async move { replica.handle_message(path, body).await })
         .await
-        .expect("it runs");
+        .expect("the replica is not running");
     (status, String::from_utf8_lossy(&body).into_owned())
 }
 
@@ -33,13 +36,13 @@
 async fn foreign_messages_are_refused_with_a_reason() {
     let group = Group::new(3, |_| {});
     let slot = group.slot(1);
-    slot.start().expect("it starts");
+    slot.start().expect("the replica did not start");
     for (body, expected_status, reason) in [
-        (vote(sender("other", 2, json!(null)), 1, 9), StatusCode::CONFLICT, "cluster \\\"other\\\""),
-        (vote(sender("test", 2, json!("7=x")), 1, 9), StatusCode::CONFLICT, "formed by 7=x"),
-        (vote(sender("test", 1, json!(null)), 1, 9), StatusCode::CONFLICT, "answers itself"),
+        (vote_request(sender("other", 2, json!(null)), 1, 9), StatusCode::CONFLICT, "cluster \\\"other\\\""),
+        (vote_request(sender("test", 2, json!("7=x")), 1, 9), StatusCode::CONFLICT, "formed by 7=x"),
+        (vote_request(sender("test", 1, json!(null)), 1, 9), StatusCode::CONFLICT, "from its own id"),
         (
-            vote(sender("test", 2, json!(null)), 3, 9),
+            vote_request(sender("test", 2, json!(null)), 3, 9),
             StatusCode::CONFLICT,
             "for replica 3, and this is replica 1",
         ),
@@ -65,11 +68,11 @@
     }
     let (status, _) = send(slot, "/raft/other", Bytes::new()).await;
     assert_eq!(status, StatusCode::NOT_FOUND);
-    assert!(slot.replica().expect("it runs").status().term < 9);
+    assert!(slot.replica().expect("the replica is not running").status().term < 9);
 }
 
-/// Two clusters that share an address list never mix: an address of one that is served by the other counts as a missing
-/// replica.
+/// If a replica of another cluster listens at a peer's address, the two refuse each other, and the peer counts as
+/// missing.
 #[tokio::test]
 async fn a_replica_of_another_cluster_does_not_count() {
     let group = Group::new(3, |config| {
@@ -78,15 +81,15 @@
             config.cluster = "other".to_owned();
         }
     });
-    group.slot(1).start().expect("it starts");
-    group.slot(3).start().expect("it starts");
+    group.slot(1).start().expect("the replica did not start");
+    group.slot(3).start().expect("the replica did not start");
     let refused = |status: &consensus::Status| {
         status.last_refusal.as_ref().is_some_and(|line| line.contains("cluster"))
     };
     group.wait_for_status(1, refused).await;
     group.wait_for_status(3, refused).await;
-    assert_eq!(group.slot(1).replica().expect("it runs").status().leader, None);
-    group.slot(2).start().expect("it starts");
+    assert_eq!(group.slot(1).replica().expect("the replica is not running").status().leader, None);
+    group.slot(2).start().expect("the replica did not start");
     let first = group.write().await;
     assert_eq!(group.slot(3).state().applied, []);
     group.slot(3).kill();
@@ -111,7 +114,7 @@
     // Its disk held the last acknowledged write; on an empty disk it would help to elect the replica that is behind.
     let empty_slot = ReplicaSlot::new(group.slot(wiped).config.clone());
     let old_slot = group.slots.insert(wiped, empty_slot);
-    group.slot(behind).start().expect("it starts again");
+    group.slot(behind).start().expect("the replica did not start again");
     group.slot(wiped).start().expect("it starts on an empty disk");
     let refused =
         |status: &consensus::Status| status.last_refusal.as_ref().is_some_and(|line| line.contains("disk"));
@@ -124,7 +127,7 @@
     }
 
     // With the other intact replica the group continues, and the wiped one stays out until it is replaced.
-    group.slot(leader).start().expect("it starts again");
+    group.slot(leader).start().expect("the replica did not start again");
     acknowledged.push(group.write().await);
     assert_eq!(group.slot(wiped).state().applied, []);
     group.slot(wiped).kill();
@@ -132,7 +135,7 @@
     let mut config = group.slot(behind).config.clone();
     (config.id, config.address, config.peers) = (4, address, BTreeMap::new());
     group.slots.insert(4, ReplicaSlot::new(config));
-    group.slot(4).start().expect("it starts");
+    group.slot(4).start().expect("the replica did not start");
     group.at_leader(move |replica| async move { replica.remove_peer(wiped).await }).await;
     group.at_leader(move |replica| async move { replica.set_peer(4, address).await }).await;
     let slot = group.slot(group.leader().await);
@@ -154,7 +157,7 @@
         }
     });
     for slot in group.slots.values() {
-        slot.start().expect("it starts");
+        slot.start().expect("the replica did not start");
     }
     let first = group.write().await;
     group
--- a/crates/consensus/tests/group.rs
+++ b/crates/consensus/tests/group.rs
@@ -28,8 +28,9 @@
     let deadline = Instant::now() + support::TEST_TIMEOUT;
     let leader = loop {
         let leader = group.leader().await;
-        let follower = group.slots.keys().find(|id| **id != leader).expect("two others");
-        let refused = group.slot(*follower).write(group.next_number()).await.expect("it runs");
+        let follower = group.slots.keys().find(|id| **id != leader).expect("there is no other replica");
+        let refused =
+            group.slot(*follower).write(group.next_number()).await.expect("the replica is not running");
         let address = group.slot(leader).config.address;
         if refused == Err(WriteError::NotLeader { leader: Some((leader, address)) }) {
             break leader;
@@ -49,7 +50,7 @@
         let leader = group.leader().await;
         group.slot(leader).kill();
         acknowledged.push(group.write().await);
-        group.slot(leader).start().expect("it starts again");
+        group.slot(leader).start().expect("the replica did not start again");
         acknowledged.push(group.write().await);
     }
     group.assert_agreement(&acknowledged).await;
@@ -67,7 +68,7 @@
     }
     // On a busy machine it may have lost leadership by now.
     let lost = group.next_number();
-    let refused = group.slot(leader).write(lost).await.expect("it runs");
+    let refused = group.slot(leader).write(lost).await.expect("the replica is not running");
     assert!(
         matches!(refused, Err(WriteError::Unavailable { .. } | WriteError::NotLeader { .. })),
         "{refused:?}"
@@ -76,7 +77,7 @@
         .slot(leader)
         .call(|replica| async move { replica.confirm_leadership().await })
         .await
-        .expect("it runs");
+        .expect("the replica is not running");
     assert!(
         matches!(refused, Err(WriteError::Unavailable { .. } | WriteError::NotLeader { .. })),
         "{refused:?}"
@@ -88,7 +89,7 @@
 
     for (id, slot) in &group.slots {
         if *id != leader {
-            slot.start().expect("it starts again");
+            slot.start().expect("the replica did not start again");
         }
     }
     let second = group.write().await;
@@ -111,7 +112,7 @@
     }
     let mut timed_out = 0;
     for number in 100..110 {
-        match group.slot(leader).write(number).await.expect("it runs") {
+        match group.slot(leader).write(number).await.expect("the replica is not running") {
             Err(WriteError::Unavailable { .. }) => timed_out += 1,
             Err(WriteError::Busy { max: 4 } | WriteError::NotLeader { .. }) => {}
             other => panic!("{other:?}"),
@@ -132,7 +133,7 @@
             slot.kill();
         }
         for slot in group.slots.values() {
-            slot.start().expect("it starts again");
+            slot.start().expect("the replica did not start again");
         }
     }
     group.assert_agreement(&acknowledged).await;
@@ -147,7 +148,7 @@
     });
     let mut acknowledged = vec![group.write().await];
     let leader = group.leader().await;
-    let away = *group.slots.keys().find(|id| **id != leader).expect("two others");
+    let away = *group.slots.keys().find(|id| **id != leader).expect("there is no other replica");
     group.slot(away).kill();
     for _ in 0..100 {
         acknowledged.push(group.write().await);
@@ -155,9 +156,9 @@
     for _ in 0..7 {
         acknowledged.push(group.write_bytes(100 << 10).await);
     }
-    group.write_until_snapshots_reach(acknowledged.last().expect("some").1).await;
-    group.slot(away).start().expect("it starts again");
-    group.wait_until_applied(away, acknowledged.last().expect("some").1).await;
+    group.write_until_snapshots_reach(acknowledged.last().expect("no write was acknowledged").1).await;
+    group.slot(away).start().expect("the replica did not start again");
+    group.wait_until_applied(away, acknowledged.last().expect("no write was acknowledged").1).await;
     group.wait_for_status(away, |status| status.snapshot_index.is_some()).await;
     assert!(group.slot(away).state().bytes.len() >= 700 << 10);
 
@@ -166,7 +167,7 @@
         slot.kill();
     }
     for slot in group.slots.values() {
-        slot.start().expect("it starts again");
+        slot.start().expect("the replica did not start again");
     }
     group.assert_agreement(&acknowledged).await;
 }
@@ -221,17 +222,19 @@
         let leader = group.leader().await;
         let killed = if round % 2 == 0 { leader } else { leader % 3 + 1 };
         let killed_group = std::sync::Arc::clone(&group);
-        tokio::task::spawn_blocking(move || killed_group.slot(killed).kill()).await.expect("it ends");
+        tokio::task::spawn_blocking(move || killed_group.slot(killed).kill())
+            .await
+            .expect("the replica did not end");
         group.write().await;
-        group.slot(killed).start().expect("it starts again");
+        group.slot(killed).start().expect("the replica did not start again");
         group.write().await;
     }
     let (mut writes, mut reads) = (Vec::new(), Vec::new());
     for writer in writers {
-        writes.extend(writer.await.expect("no writer panics"));
+        writes.extend(writer.await.expect("a writer panicked"));
     }
     for reader in readers {
-        reads.extend(reader.await.expect("no reader panics"));
+        reads.extend(reader.await.expect("a reader panicked"));
     }
     assert!(writes.len() > 10 && reads.len() > 10, "{} writes, {} reads", writes.len(), reads.len());
     for (_, ended, _, version) in &writes {
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -36,12 +36,12 @@
     for new in 4..=6 {
         let old = new - 3;
         let slot = group.slot(new);
-        slot.start().expect("it starts");
+        slot.start().expect("the replica did not start");
         let address = slot.config.address;
         group.at_leader(move |replica| async move { replica.set_peer(new, address).await }).await;
         group.at_leader(move |replica| async move { replica.remove_peer(old).await }).await;
         let ended = Arc::clone(&group);
-        tokio::task::spawn_blocking(move || ended.slot(old).kill()).await.expect("it ends");
+        tokio::task::spawn_blocking(move || ended.slot(old).kill()).await.expect("the replica did not end");
     }
     done.store(true, Ordering::Relaxed);
     let acknowledged = writer.await.expect("the writer ends");
@@ -58,7 +58,7 @@
         group.slot(id).kill();
     }
     for id in 4..=6 {
-        group.slot(id).start().expect("it starts again");
+        group.slot(id).start().expect("the replica did not start again");
     }
     group.assert_agreement(&acknowledged).await;
 }
@@ -70,7 +70,7 @@
     let group = Group::started(3, |config| config.election_ms = (1000, 2000));
     let first = group.write().await;
     let leader = group.leader().await;
-    let removed = *group.slots.keys().find(|id| **id != leader).expect("two others");
+    let removed = *group.slots.keys().find(|id| **id != leader).expect("there is no other replica");
     group.at_leader(move |replica| async move { replica.remove_peer(removed).await }).await;
     // On a busy machine the others may hold elections of their own; a replica that disrupts them never leaves them this
     // long without one.
@@ -78,7 +78,7 @@
     let deadline = Instant::now() + support::TEST_TIMEOUT;
     loop {
         let led_term = |status: consensus::Status| (status.role == "leader").then_some(status.term);
-        let replica = group.slot(group.leader().await).replica().expect("it runs");
+        let replica = group.slot(group.leader().await).replica().expect("the replica is not running");
         let (term, started) = (led_term(replica.status()), Instant::now());
         while started.elapsed() < 2 * max_election_timeout {
             acknowledged.push(group.write().await);
--- a/crates/consensus/tests/outage.rs
+++ b/crates/consensus/tests/outage.rs
@@ -15,13 +15,13 @@
     for _ in 0..20 {
         let leader = group.leader().await;
         for id in group.slots.keys() {
-            group.wait_until_applied(*id, acknowledged.last().expect("some").1).await;
+            group.wait_until_applied(*id, acknowledged.last().expect("no write was acknowledged").1).await;
         }
         let killed = Instant::now();
         group.slot(leader).kill();
         acknowledged.push(group.write().await);
         gaps.push(killed.elapsed());
-        group.slot(leader).start().expect("it starts again");
+        group.slot(leader).start().expect("the replica did not start again");
         acknowledged.push(group.write().await);
     }
     gaps.sort();
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -97,7 +97,7 @@
     pub fn new(config: ReplicaConfig) -> Self {
         let dir = tempfile::tempdir().expect("a directory");
         let path = dir.path().to_owned();
-        let open_store = move |owner: &Owner| Store::open(&path, owner).expect("the store opens");
+        let open_store = move |owner: &Owner| Store::open(&path, owner).expect("the store was not opened");
         Self {
             listen: config.address,
             config,
@@ -117,19 +117,19 @@
             runtime.block_on(async {
                 let owner = Owner { cluster: config.cluster.clone(), replica: config.id };
                 // Store calls of the replica that ran here before may still be ending.
-                let listener = tokio::net::TcpListener::bind(listen).await.expect("the port is free again");
+                let listener = tokio::net::TcpListener::bind(listen).await.expect("the port is still in use");
                 match Replica::start(config, open_store(&owner), TestState::default()).await {
                     Ok(replica) => {
                         tokio::spawn(serve(listener, replica.clone()));
-                        started.send(Ok((replica, Handle::current()))).expect("the test waits");
+                        started.send(Ok((replica, Handle::current()))).expect("the test has ended");
                         let _ = ended.await;
                     }
-                    Err(e) => started.send(Err(e)).expect("the test waits"),
+                    Err(e) => started.send(Err(e)).expect("the test has ended"),
                 }
             });
             runtime.shutdown_timeout(TEST_TIMEOUT);
         });
-        let (replica, handle) = start_result.recv().expect("the replica's thread runs")?;
+        let (replica, handle) = start_result.recv().expect("the replica's thread has panicked")?;
         *self.running.lock().expect("not poisoned") = Some(Running { replica, handle, end, thread });
         Ok(())
     }
@@ -140,7 +140,7 @@
             let Running { replica, end, thread, .. } = running;
             drop(replica);
             let _ = end.send(());
-            thread.join().expect("no replica panics");
+            thread.join().expect("a replica panicked");
         }
     }
 
@@ -150,11 +150,11 @@
         let (resume, resumed) = std::sync::mpsc::channel();
         let (suspend, suspended) = std::sync::mpsc::channel();
         let guard = self.running.lock().expect("not poisoned");
-        guard.as_ref().expect("the replica runs").handle.spawn(async move {
+        guard.as_ref().expect("the replica is not running").handle.spawn(async move {
             let _ = suspend.send(());
             let _ = resumed.recv();
         });
-        suspended.recv().expect("the replica runs until it is suspended");
+        suspended.recv().expect("the replica ended before it was suspended");
         resume
     }
 
@@ -241,7 +241,7 @@
     pub fn started(count: u64, configure: impl Fn(&mut ReplicaConfig)) -> Self {
         let group = Self::new(count, configure);
         for slot in group.slots.values() {
-            slot.start().expect("it starts");
+            slot.start().expect("the replica did not start");
         }
         group
     }
@@ -311,7 +311,7 @@
 
     /// Waits until a replica has applied `version`.
     pub async fn wait_until_applied(&self, id: u64, version: u64) {
-        let replica = self.slot(id).replica().expect("it runs");
+        let replica = self.slot(id).replica().expect("the replica is not running");
         let mut applied = replica.watch_applied();
         let reached =
             tokio::time::timeout(TEST_TIMEOUT, applied.wait_for(|applied| *applied >= version)).await;
@@ -330,7 +330,7 @@
     pub async fn wait_for_status(&self, id: u64, condition: impl Fn(&Status) -> bool) -> Status {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let status = self.slot(id).replica().expect("it runs").status();
+            let status = self.slot(id).replica().expect("the replica is not running").status();
             if condition(&status) {
                 return status;
             }
@@ -384,7 +384,7 @@
             let first_state = first_state.get_or_insert_with(|| state.clone());
             assert_eq!(first_state.applied, state.applied, "replica {id} differs");
         }
-        let applied = first_state.expect("a replica runs").applied;
+        let applied = first_state.expect("no replica is running").applied;
         for acknowledged in acknowledged {
             let found: Vec<_> = applied.iter().filter(|(_, number)| *number == acknowledged.0).collect();
             assert_eq!(found, [&(acknowledged.1, acknowledged.0)], "an acknowledged write");
--- a/crates/consensus/tests/suspended_leader.rs
+++ b/crates/consensus/tests/suspended_leader.rs
@@ -15,7 +15,7 @@
     let mut acknowledged = vec![group.write().await];
     let old = group.leader().await;
     let slot = group.slot(old);
-    let replica = slot.replica().expect("it runs");
+    let replica = slot.replica().expect("the replica is not running");
 
     let suspended = slot.suspend();
     // These wait in its queues; messages in its listen queue come after them.
@@ -64,7 +64,7 @@
     let deadline = Instant::now() + support::TEST_TIMEOUT;
     let (valid, version) = loop {
         assert!(Instant::now() < deadline, "no replica leads for two calls");
-        let replica = group.slot(group.leader().await).replica().expect("it runs");
+        let replica = group.slot(group.leader().await).replica().expect("the replica is not running");
         let term = replica.watch_leadership().borrow().term;
         // One term before the current one, and one that the group never reaches.
         for other in [term - 1, term + 1_000_000] {
--- a/crates/endpoints/src/list_state.rs
+++ b/crates/endpoints/src/list_state.rs
@@ -5,8 +5,8 @@
 //! version may only take a server out of use, which is safe at any time; it never brings one back. A whole list of an
 //! older version replaces the newer one only when a second connection delivers an older whole list at least
 //! [`ROLLBACK_CONFIRM_MS`] after the first and nothing as new as the known version has arrived in between. Accepting an
-//! older list after a few seconds was rejected: copies lag for longer than that and would bring back servers that were
-//! told to drain.
+//! older list after a few seconds was rejected: copies lag for longer than that and would bring back servers that are
+//! draining.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 /// The same after a move to another service, which numbers its versions independently. Short enough for that service's
 /// list to be accepted within 4 s.
 pub const ROLLBACK_CONFIRM_AFTER_MOVE_MS: Ms = 2_000;
-/// Maximum number of servers that have left and are remembered with their version; the oldest are forgotten first.
+/// Maximum number of servers that have left and whose versions are kept; the oldest are removed first.
 const MAX_LEFT_SERVERS: usize = 4096;
 
 /// The last accepted entry of a server, and the version it came from.
--- a/crates/endpoints/src/list_watcher.rs
+++ b/crates/endpoints/src/list_watcher.rs
@@ -1,11 +1,13 @@
-//! Follows the list for a node: decides when to call the service, how to handle its responses and when to abandon a call.
+//! The node's client logic for the discovery service: when to call it, how to handle its responses and when to abandon
+//! a call.
 //!
 //! The watcher does no I/O: it takes times and events and returns actions, and its owner connects and reads. All
-//! deadlines follow from one rule of the platform: a node is held to know whatever its service has to tell 6 s after its
-//! watch fell silent (for a call that may wait in a queue, 2 s after that wait), at once where updates are pushed, and
-//! 4 s after the service has moved. So silence, an incomplete message and a trickle of bytes all end a call early enough
-//! for another one. Where updates are pushed, an unanswered call gets a parallel one: abandoning calls sooner instead
-//! would never reach a service that is slow to answer.
+//! deadlines follow from one rule of the platform: a node must have the service's current list at most 6 s after its
+//! watch fell silent (for a call that may wait in a queue, 2 s after that wait), immediately where updates are pushed,
+//! and at most 4 s after the service has moved. So a call is abandoned early enough for another one, whether no bytes
+//! arrive, a message is incomplete or bytes arrive too slowly. Where updates are pushed, a second call is started in
+//! parallel to an unanswered one: with a shorter timeout instead, no call would ever reach a service that is slow to
+//! answer.
 
 use thiserror::Error;
 
@@ -21,8 +23,8 @@
 /// Time from the start of a call to the start of its response where updates are pushed, by an agent on the node's own
 /// machine, in ms.
 const PUSH_RESPONSE_TIMEOUT_MS: Ms = 1000;
-/// Time without a byte after which a watch is abandoned, in ms. A watch brings a line every 2 s: a longer silence is a
-/// dead link, which TCP alone would not detect.
+/// Time without a byte after which a watch is abandoned, in ms. A watch sends a line at least every 2 s: a longer
+/// silence means that the connection is broken, which TCP alone would not detect.
 const IDLE_TIMEOUT_MS: Ms = 3200;
 /// Time for a message or a whole list to be complete, in ms, even if bytes of it keep arriving.
 const MESSAGE_TIMEOUT_MS: Ms = 4500;
@@ -33,11 +35,13 @@
 
 /// Delay between the end of a call and the next one where updates are pushed, in ms.
 const PUSH_RETRY_DELAY_MS: Ms = 100;
-/// Time without a response after which a parallel call is started where updates are pushed, in ms. There are at most
-/// five calls at a time, ten where others fail. It is within the grace period of a drain, as what the agent knows counts
-/// at once when it answers again.
+/// Time without a response after which a parallel call is started where updates are pushed, in ms. At most five calls
+/// are in flight at a time, or ten if calls fail in between, as a failed call is retried sooner. It is shorter than
+/// the grace period of a drain, as the platform expects a node to know what the agent knows as soon as the agent
+/// answers again.
 const PUSH_PARALLEL_CALL_DELAY_MS: Ms = 200;
-/// The same for an on-demand service that has moved, in ms: it may have a queue, in which a call's place is worth keeping.
+/// The same for an on-demand service that has moved, in ms. The first call is kept, as it may be waiting in the
+/// service's queue and would lose its place.
 const MOVED_PARALLEL_CALL_DELAY_MS: Ms = 2000;
 /// Time after the last message at which an on-demand service is called again if nothing requests it before, in ms, but no
 /// sooner than [`ON_DEMAND_RETRY_DELAY_MS`] after a call has ended.
@@ -59,7 +63,7 @@
 /// Input of a [`ListWatcher`].
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// Time has passed, see [`ListWatcher::next_deadline`].
+    /// A timer may be due, see [`ListWatcher::next_timer_at`]. Has no effect if none is.
     Tick,
     /// The owner requests the list.
     RefreshRequested,
@@ -71,7 +75,7 @@
     ResponseHead(CallId, u16),
     /// Bytes of the call's response body.
     ResponseBytes(CallId, &'a [u8]),
-    /// The call's response has ended in order.
+    /// The call's response has ended completely, without a transport error.
     ResponseEnded(CallId),
     /// The call has failed, for this reason.
     CallFailed(CallId, &'a str),
@@ -175,7 +179,7 @@
     }
 }
 
-/// Follows the list for one node.
+/// Follows the list for one node, as a state machine without I/O.
 #[derive(Debug)]
 pub struct ListWatcher {
     mode: DeliveryMode,
@@ -230,8 +234,9 @@
         self.last_received_at
     }
 
-    /// When [`Event::Tick`] is due next.
-    pub fn next_deadline(&self) -> Option<Ms> {
+    /// Time at which [`Event::Tick`] is due next; `None` if no timer is set. A time in the past means that it is due
+    /// now.
+    pub fn next_timer_at(&self) -> Option<Ms> {
         let deadlines = self.calls.iter().map(|c| c.deadline(self.mode).0);
         deadlines.chain(self.next_start_at()).chain(self.rollback_confirm_at()).min()
     }
@@ -276,8 +281,9 @@
             DeliveryMode::Push => Some(PUSH_PARALLEL_CALL_DELAY_MS),
             DeliveryMode::OnDemand => self.awaiting_moved_service.then_some(MOVED_PARALLEL_CALL_DELAY_MS),
         };
-        // Counted from the last call that was started, even if that one has been refused: from the newest call in flight
-        // the next one would be started at once, and refused at once.
+        // Counted from the last call that was started, even if it has failed since. Counted from the newest call in
+        // flight, the next call would be due as soon as one is refused, and so would be one refused call after
+        // another.
         let parallel_at = parallel_delay.filter(|_| !receiving).map(|delay| self.last_started_at + delay)?;
         Some(self.retry_at.map_or(parallel_at, |retry_at| retry_at.min(parallel_at)))
     }
--- a/crates/endpoints/tests/deadlines.rs
+++ b/crates/endpoints/tests/deadlines.rs
@@ -133,7 +133,7 @@
     fn run(&mut self, until: Ms) {
         for _ in 0..100_000 {
             let next_step = self.pending.keys().next().copied();
-            let deadline = self.watcher.next_deadline().map(|at| at.max(self.now));
+            let deadline = self.watcher.next_timer_at().map(|at| at.max(self.now));
             match (next_step, deadline) {
                 (Some((at, _)), deadline)
                     if at <= until && deadline.is_none_or(|deadline| at <= deadline) =>
--- a/crates/endpoints/tests/message_handling.rs
+++ b/crates/endpoints/tests/message_handling.rs
@@ -53,7 +53,7 @@
 
     /// The newest call and its path.
     fn last_call(&self) -> (CallId, &str) {
-        let (_, id, path) = self.calls.last().expect("a call");
+        let (_, id, path) = self.calls.last().expect("no call was started");
         (*id, path)
     }
 
@@ -70,7 +70,7 @@
     fn advance_to_next_call(&mut self) {
         let calls = self.calls.len();
         while self.calls.len() == calls {
-            self.now = self.watcher.next_deadline().expect("a deadline").max(self.now);
+            self.now = self.watcher.next_timer_at().expect("no timer is set").max(self.now);
             self.event(Event::Tick);
         }
     }
@@ -151,7 +151,7 @@
                 let refusal = open_calls
                     .filter_map(|(n, (at, id, _))| refused_after(n).map(|delay| (at + delay, *id)))
                     .min();
-                let tick = harness.watcher.next_deadline().expect("a deadline").max(harness.now);
+                let tick = harness.watcher.next_timer_at().expect("no timer is set").max(harness.now);
                 match refusal.filter(|(at, _)| *at <= tick) {
                     Some((at, id)) => {
                         harness.now = at;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,9 +1,9 @@
 //! A TCP relay between real processes that injects link faults.
 //!
-//! Tests need links between real processes that are slow, blocked in one direction, silent, reset or broken in the middle
-//! of a message, without privileges that a test does not have. For each link the relay listens on a loopback address and
-//! forwards bytes to one target, each direction on its own. A fault can be set at any time, and applies to open
-//! connections as well as to new ones.
+//! Tests need links between real processes that are slow, blocked in one direction, silent, reset or broken in the
+//! middle of a message, without privileges that a test does not have. Each [`Relay`] stands for one link: it listens
+//! at a loopback address and forwards bytes to one target, each direction independently. A fault can be set at any
+//! time, and applies to open connections as well as to new ones.
 //!
 //! A blocked link differs from a real one in this: a client that connects is accepted, as the operating system does that
 //! by itself, and the target is connected only when bytes may flow to it. A target that refuses a connection shows as a
@@ -27,7 +27,8 @@
 
 /// Maximum number of connections at a time; further ones wait to be accepted.
 pub const MAX_CONNECTIONS: usize = 1024;
-/// Maximum number of bytes that are buffered for each connection and direction.
+/// Number of buffered bytes at which no more are read, for each connection and direction. The last read may exceed it,
+/// by less than 16 KiB.
 pub const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// How the relay treats bytes in one direction.
@@ -43,7 +44,7 @@
     /// Reads nothing: the sender's own buffers fill, as on a link that is cut. Everything is forwarded once the fault is
     /// cleared.
     Block,
-    /// Reads and buffers them, up to [`MAX_BUFFERED_BYTES`]. Everything is forwarded once the fault is cleared.
+    /// Reads and buffers them, up to about [`MAX_BUFFERED_BYTES`]. Everything is forwarded once the fault is cleared.
     Buffer,
     /// Reads and drops them. A connection that has lost bytes is reset once the fault is cleared, as a stream cannot have
     /// a gap.
@@ -97,7 +98,8 @@
     reset_count: u64,
 }
 
-/// A link to one target. It ends, with its connections, when dropped.
+/// A relay that forwards connections to one target, with the faults of a link. It ends, with its connections, when
+/// dropped.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -109,7 +111,7 @@
     /// Listens on a free loopback port and forwards connections to `target`. Must be called in a tokio runtime.
     ///
     /// # Errors
-    /// No port is available.
+    /// The port cannot be bound or listened at.
     pub fn start(target: SocketAddr) -> Result<Self, RelayError> {
         Self::start_on(SocketAddr::from(([127, 0, 0, 1], 0)), target)
     }
@@ -117,7 +119,7 @@
     /// As [`Relay::start`], at a given address.
     ///
     /// # Errors
-    /// The address is in use.
+    /// The address cannot be bound or listened at, for instance because it is in use.
     pub fn start_on(listen: SocketAddr, target: SocketAddr) -> Result<Self, RelayError> {
         let (port, listener) = listener::ReservedPort::reserve(listen)
             .map_err(|source| RelayError { address: listen, source })?;
@@ -132,7 +134,7 @@
         self.address
     }
 
-    /// Sets the fault of the link from now on.
+    /// Sets the fault that applies from now on, to open connections and new ones.
     pub fn set_fault(&self, fault: LinkFault) {
         self.state.send_modify(|state| {
             state.fault = fault;
--- a/crates/relay/src/listener.rs
+++ b/crates/relay/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener of a link, and its connections from accept to end.
+//! A relay's listener, and its connections from accept to end.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -32,7 +32,7 @@
     /// long as it cannot be determined. Must be called in a tokio runtime.
     ///
     /// # Errors
-    /// The address is in use.
+    /// The address cannot be bound or listened at, for instance because it is in use.
     pub fn start(
         listen: SocketAddr,
         route: impl Fn(&str) -> Option<SocketAddr> + Send + Sync + 'static,
--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -16,19 +16,19 @@
 use crate::{frame, StoreError, MAX_SNAPSHOT_BYTES, MAX_VALUE_BYTES, SCHEMA_VERSION};
 
 /// Log entries by index.
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 /// Records by name.
-const RECORDS: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
+const RECORDS_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
 /// The snapshot: row 0 is its head (checksum and description), the following rows are its data in order.
-const SNAPSHOT: TableDefinition<u32, &[u8]> = TableDefinition::new("snapshot");
+const SNAPSHOT_TABLE: TableDefinition<u32, &[u8]> = TableDefinition::new("snapshot");
 /// Properties of the store: schema version, owner and start of the log, under the names below.
-const ABOUT: TableDefinition<&str, &[u8]> = TableDefinition::new("about");
+const PROPERTIES_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("about");
 
-const ABOUT_SCHEMA: &str = "schema";
-const ABOUT_CLUSTER: &str = "cluster";
-const ABOUT_REPLICA: &str = "replica";
-/// The index after the last purged entry; absent while nothing was purged.
-const ABOUT_START: &str = "start";
+const SCHEMA_PROPERTY: &str = "schema";
+const CLUSTER_PROPERTY: &str = "cluster";
+const REPLICA_PROPERTY: &str = "replica";
+/// Lower bound of the log's indices, and the next index of an empty log. Absent before the first purge or truncation.
+const LOG_START_PROPERTY: &str = "start";
 
 /// Size of a snapshot's rows, in bytes.
 const SNAPSHOT_ROW_BYTES: usize = 64 << 10;
@@ -71,7 +71,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    /// For messages: the directory, or "the disk".
+    /// For messages: the directory, or "the disk" for a store on another backend.
     location: String,
     owner: Owner,
     backend: SharedBackend,
@@ -186,7 +186,7 @@
         }
         self.0.write(|transaction| {
             let next = transaction.next_index()?.unwrap_or(first.index);
-            let mut log = transaction.inner.open_table(LOG)?;
+            let mut log = transaction.inner.open_table(LOG_TABLE)?;
             for (expected, Entry { index, bytes }) in (next..).zip(entries) {
                 if *index != expected {
                     return Err(TransactionError::Store(StoreError::OutOfOrder {
@@ -207,15 +207,15 @@
     /// An error of the disk.
     pub fn truncate_from(&self, index: u64) -> Result<(), StoreError> {
         self.0.write(|transaction| {
-            // A log that is emptied keeps the index that comes next.
+            // An emptied log must still know its next index.
             if transaction.start()?.is_none() {
                 if let Some(first) =
-                    transaction.inner.open_table(LOG)?.first()?.map(|(first, _)| first.value())
+                    transaction.inner.open_table(LOG_TABLE)?.first()?.map(|(first, _)| first.value())
                 {
                     transaction.set_start(first.min(index))?;
                 }
             }
-            Ok(transaction.inner.open_table(LOG)?.retain_in(index.., |_, _| false)?)
+            Ok(transaction.inner.open_table(LOG_TABLE)?.retain_in(index.., |_, _| false)?)
         })
     }
 
@@ -226,7 +226,7 @@
     /// An error of the disk.
     pub fn purge_to(&self, index: u64) -> Result<(), StoreError> {
         self.0.write(|transaction| {
-            transaction.inner.open_table(LOG)?.retain_in(..=index, |_, _| false)?;
+            transaction.inner.open_table(LOG_TABLE)?.retain_in(..=index, |_, _| false)?;
             let start = index.saturating_add(1);
             if transaction.start()?.is_none_or(|old| old < start) {
                 transaction.set_start(start)?;
@@ -246,7 +246,7 @@
         }
         self.0.read(|transaction| {
             let mut entries: Vec<Entry> = Vec::new();
-            for row in transaction.inner.open_table(LOG)?.range(range.clone())? {
+            for row in transaction.inner.open_table(LOG_TABLE)?.range(range.clone())? {
                 let (index, framed) = row?;
                 let entry = transaction.entry(index.value(), framed.value())?;
                 if entries.last().is_some_and(|last| last.index + 1 != entry.index) {
@@ -265,7 +265,7 @@
     /// As [`Store::entries`].
     pub fn last_entry(&self) -> Result<Option<Entry>, StoreError> {
         self.0.read(|transaction| {
-            let log = transaction.inner.open_table(LOG)?;
+            let log = transaction.inner.open_table(LOG_TABLE)?;
             let last = log.last()?;
             last.map(|(index, framed)| transaction.entry(index.value(), framed.value())).transpose()
         })
@@ -278,7 +278,7 @@
     /// An error of the disk.
     pub fn first_index(&self) -> Result<u64, StoreError> {
         self.0.read(|transaction| {
-            let log = transaction.inner.open_table(LOG)?;
+            let log = transaction.inner.open_table(LOG_TABLE)?;
             let first = log.first()?.map(|(index, _)| index.value());
             Ok(match first {
                 Some(first) => first,
@@ -294,7 +294,7 @@
     pub fn put(&self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
         self.0.check_size("a record", bytes.len(), MAX_VALUE_BYTES)?;
         self.0.write(|transaction| {
-            let mut records = transaction.inner.open_table(RECORDS)?;
+            let mut records = transaction.inner.open_table(RECORDS_TABLE)?;
             records.insert(name, frame::pack(name.as_bytes(), bytes).as_slice())?;
             Ok(())
         })
@@ -306,7 +306,7 @@
     /// [`StoreError::Damaged`], or an error of the disk.
     pub fn get(&self, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
         self.0.read(|transaction| {
-            let records = transaction.inner.open_table(RECORDS)?;
+            let records = transaction.inner.open_table(RECORDS_TABLE)?;
             let Some(framed) = records.get(name)? else { return Ok(None) };
             let bytes = frame::unpack(name.as_bytes(), framed.value());
             bytes.map_or_else(
@@ -324,7 +324,7 @@
         self.0.check_size("a snapshot's description", meta.len(), MAX_VALUE_BYTES)?;
         self.0.check_size("a snapshot", data.len(), MAX_SNAPSHOT_BYTES)?;
         self.0.write(|transaction| {
-            let mut rows = transaction.inner.open_table(SNAPSHOT)?;
+            let mut rows = transaction.inner.open_table(SNAPSHOT_TABLE)?;
             rows.retain(|_, _| false)?;
             let mut head = frame::checksum(meta, &[data]).to_le_bytes().to_vec();
             head.extend_from_slice(meta);
@@ -344,7 +344,7 @@
         self.0.read(|transaction| {
             let mut head = None;
             let mut data = Vec::new();
-            for row in transaction.inner.open_table(SNAPSHOT)?.range(0..)? {
+            for row in transaction.inner.open_table(SNAPSHOT_TABLE)?.range(0..)? {
                 let (number, row) = row?;
                 match number.value() {
                     0 => head = Some(row.value().to_vec()),
@@ -390,7 +390,10 @@
     }
 
     fn decode_start(&self, framed: &[u8]) -> Result<u64, TransactionError> {
-        self.decode_number(ABOUT_START, frame::unpack(ABOUT_START.as_bytes(), framed).unwrap_or_default())
+        self.decode_number(
+            LOG_START_PROPERTY,
+            frame::unpack(LOG_START_PROPERTY.as_bytes(), framed).unwrap_or_default(),
+        )
     }
 
     fn decode_number(&self, name: &str, bytes: &[u8]) -> Result<u64, TransactionError> {
@@ -407,14 +410,14 @@
         if self.inner.list_tables()?.next().is_none() {
             return Ok(false);
         }
-        let about = self.inner.open_table(ABOUT)?;
+        let properties = self.inner.open_table(PROPERTIES_TABLE)?;
         let row = |name: &str| -> Result<Vec<u8>, TransactionError> {
-            let row = about.get(name)?;
+            let row = properties.get(name)?;
             let bytes = row.as_ref().and_then(|row| frame::unpack(name.as_bytes(), row.value()));
             bytes.map(<[u8]>::to_vec).ok_or_else(|| self.damaged(format!("its {name}")))
         };
         let location = self.location.to_owned();
-        let schema = self.decode_number(ABOUT_SCHEMA, &row(ABOUT_SCHEMA)?)?;
+        let schema = self.decode_number(SCHEMA_PROPERTY, &row(SCHEMA_PROPERTY)?)?;
         if schema > SCHEMA_VERSION {
             return Err(TransactionError::Store(StoreError::NewerSchema {
                 location,
@@ -423,8 +426,8 @@
             }));
         }
         let found = Owner {
-            cluster: String::from_utf8_lossy(&row(ABOUT_CLUSTER)?).into_owned(),
-            replica: self.decode_number(ABOUT_REPLICA, &row(ABOUT_REPLICA)?)?,
+            cluster: String::from_utf8_lossy(&row(CLUSTER_PROPERTY)?).into_owned(),
+            replica: self.decode_number(REPLICA_PROPERTY, &row(REPLICA_PROPERTY)?)?,
         };
         if found != *owner {
             return Err(TransactionError::Store(StoreError::WrongOwner {
@@ -436,10 +439,10 @@
         Ok(true)
     }
 
-    /// The index after the last purged entry.
+    /// The stored start of the log, see [`LOG_START_PROPERTY`]; `None` before the first purge or truncation.
     fn start(&self) -> Result<Option<u64>, TransactionError> {
-        let about = self.inner.open_table(ABOUT)?;
-        let row = about.get(ABOUT_START)?;
+        let properties = self.inner.open_table(PROPERTIES_TABLE)?;
+        let row = properties.get(LOG_START_PROPERTY)?;
         row.map(|row| self.decode_start(row.value())).transpose()
     }
 
@@ -452,22 +455,22 @@
 }
 
 impl Transaction<'_, WriteTransaction> {
-    /// The index after the last purged entry.
+    /// The stored start of the log, see [`LOG_START_PROPERTY`]; `None` before the first purge or truncation.
     fn start(&self) -> Result<Option<u64>, TransactionError> {
-        let about = self.inner.open_table(ABOUT)?;
-        let row = about.get(ABOUT_START)?;
+        let properties = self.inner.open_table(PROPERTIES_TABLE)?;
+        let row = properties.get(LOG_START_PROPERTY)?;
         row.map(|row| self.decode_start(row.value())).transpose()
     }
 
     fn set_start(&self, start: u64) -> Result<(), TransactionError> {
-        let framed = frame::pack(ABOUT_START.as_bytes(), &start.to_le_bytes());
-        self.inner.open_table(ABOUT)?.insert(ABOUT_START, framed.as_slice())?;
+        let framed = frame::pack(LOG_START_PROPERTY.as_bytes(), &start.to_le_bytes());
+        self.inner.open_table(PROPERTIES_TABLE)?.insert(LOG_START_PROPERTY, framed.as_slice())?;
         Ok(())
     }
 
     /// The index that comes next in the log; `None` if it never held an entry.
     fn next_index(&self) -> Result<Option<u64>, TransactionError> {
-        let last = self.inner.open_table(LOG)?.last()?.map(|(index, _)| index.value());
+        let last = self.inner.open_table(LOG_TABLE)?.last()?.map(|(index, _)| index.value());
         match last {
             Some(last) => Ok(Some(last.saturating_add(1))),
             None => self.start(),
@@ -476,17 +479,17 @@
 
     /// Creates the tables of a new store.
     fn create_tables(&self, owner: &Owner) -> Result<(), TransactionError> {
-        let mut about = self.inner.open_table(ABOUT)?;
+        let mut properties = self.inner.open_table(PROPERTIES_TABLE)?;
         for (name, bytes) in [
-            (ABOUT_SCHEMA, &SCHEMA_VERSION.to_le_bytes()[..]),
-            (ABOUT_CLUSTER, owner.cluster.as_bytes()),
-            (ABOUT_REPLICA, &owner.replica.to_le_bytes()),
+            (SCHEMA_PROPERTY, &SCHEMA_VERSION.to_le_bytes()[..]),
+            (CLUSTER_PROPERTY, owner.cluster.as_bytes()),
+            (REPLICA_PROPERTY, &owner.replica.to_le_bytes()),
         ] {
-            about.insert(name, frame::pack(name.as_bytes(), bytes).as_slice())?;
+            properties.insert(name, frame::pack(name.as_bytes(), bytes).as_slice())?;
         }
-        self.inner.open_table(LOG)?;
-        self.inner.open_table(RECORDS)?;
-        self.inner.open_table(SNAPSHOT)?;
+        self.inner.open_table(LOG_TABLE)?;
+        self.inner.open_table(RECORDS_TABLE)?;
+        self.inner.open_table(SNAPSHOT_TABLE)?;
         Ok(())
     }
 }
@@ -521,8 +524,8 @@
         self.run(|database| call(&Transaction { inner: database.begin_read()?, location: &self.location }))
     }
 
-    /// Runs a call on the open database. The library does nothing more after a failure, so the database is closed then;
-    /// the next call reopens it, which verifies it and recovers the last complete commit.
+    /// Runs a call on the open database. After a failure the library refuses all further calls, so the database is
+    /// closed; the next call reopens it, which verifies it and recovers the last complete commit.
     fn run<T>(&self, call: impl Fn(&Database) -> Result<T, TransactionError>) -> Result<T, StoreError> {
         let mut may_retry = true;
         loop {
@@ -535,7 +538,7 @@
                 Some(Ok(Err(TransactionError::Store(error)))) => return Err(error),
                 Some(Ok(Err(TransactionError::Library(error)))) => {
                     self.close();
-                    // The failure of another call, before this one has done anything.
+                    // Another call failed before this one changed anything.
                     let earlier = matches!(error, redb::Error::PreviousIo | redb::Error::DatabaseClosed);
                     if !earlier || !std::mem::take(&mut may_retry) {
                         return Err(library_error(&self.location, error));
@@ -630,8 +633,8 @@
     index.to_le_bytes()
 }
 
-/// Runs a call and returns its panic as a message. Some checks of the library panic, and a damaged file must not end the
-/// program.
+/// Runs a call, and returns the message of its panic if it panics. Some checks of the library panic on a damaged file,
+/// which must not end the program.
 fn catch_panic<T>(call: impl FnOnce() -> T) -> Result<T, String> {
     catch_unwind(AssertUnwindSafe(call)).map_err(|panic| {
         let message = panic.downcast_ref::<String>().map(String::as_str);
@@ -676,12 +679,12 @@
         let disk = FaultyDisk::new();
         let owner = Owner { cluster: "north".to_owned(), replica: 1 };
         let store = Store::open_on(disk.clone(), &owner).expect("a new disk");
-        let newer = frame::pack(ABOUT_SCHEMA.as_bytes(), &(SCHEMA_VERSION + 1).to_le_bytes());
+        let newer = frame::pack(SCHEMA_PROPERTY.as_bytes(), &(SCHEMA_VERSION + 1).to_le_bytes());
         let written = store.0.write(|transaction| {
-            transaction.inner.open_table(ABOUT)?.insert(ABOUT_SCHEMA, newer.as_slice())?;
+            transaction.inner.open_table(PROPERTIES_TABLE)?.insert(SCHEMA_PROPERTY, newer.as_slice())?;
             Ok(())
         });
-        written.expect("written");
+        written.expect("the newer version was not written");
         drop(store);
         let refused = Store::open_on(disk, &owner).expect_err("a newer schema");
         assert!(matches!(refused, StoreError::NewerSchema { found: 2, supported: 1, .. }), "{refused}");
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -97,7 +97,8 @@
         self.state().powered_off = true;
     }
 
-    /// Returns the disk as the next start finds it if the power failed now, or when it was powered off.
+    /// Returns the disk as the next start would find it after a power failure: now, or when [`FaultyDisk::power_off`]
+    /// was called.
     pub fn after_crash(&self, unsynced_writes: UnsyncedWrites) -> Self {
         self.state().after_crash(unsynced_writes, None)
     }
@@ -120,7 +121,7 @@
         past.after_crash(unsynced_writes, history.get(change))
     }
 
-    /// Limits the disk's capacity to this many bytes, or to none.
+    /// Limits the disk's capacity to this many bytes, rounded down to whole blocks of 4 KiB; `None` removes the limit.
     pub fn set_capacity(&self, bytes: Option<usize>) {
         self.state().max_blocks = bytes.map(|bytes| bytes / BLOCK_BYTES);
     }
@@ -135,18 +136,21 @@
         self.state().call_count
     }
 
-    /// Makes one call fail, after this many further calls.
+    /// Makes one call fail: the one after this many further calls.
     pub fn fail_after(&self, calls: u64) {
         let mut state = self.state();
         state.failing_call = Some(state.call_count + calls);
     }
 
-    /// Sets the duration of each sync.
+    /// Delays each later sync by this time, before its data becomes durable.
     pub fn set_sync_delay(&self, sync_delay: Duration) {
         self.state().sync_delay = sync_delay;
     }
 
-    /// Flips bits of one byte, while the disk is in use.
+    /// Flips bits of one byte, also while a store has the disk open.
+    ///
+    /// # Panics
+    /// The offset is beyond the end of the disk's contents.
     pub fn flip_bits(&self, offset: usize, mask: u8) {
         let mut state = self.state();
         state.live[offset] ^= mask;
@@ -169,7 +173,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a call, which fails if it is the one to fail or the disk is powered off.
+    /// Counts a call. Returns an error if the call was chosen by [`FaultyDisk::fail_after`] or the disk is powered
+    /// off.
     fn begin_call(&self) -> io::Result<MutexGuard<'_, State>> {
         let mut state = self.state();
         let number = state.call_count;
--- a/crates/store/tests/faults/crash.rs
+++ b/crates/store/tests/faults/crash.rs
@@ -1,4 +1,4 @@
-//! Crashes, full disks and failing calls at every point of a script.
+//! Crashes, full disks and failing calls at every point of a fixed sequence of operations, the script.
 
 use crate::model::{owner, script, Model, Operation};
 use store::faults::{FaultyDisk, UnsyncedWrites};
@@ -49,7 +49,7 @@
             });
             let models = states_around(&acknowledged, change);
             assert!(matches_one_of(&store, &models), "crash at change {change}, {variant:?}: {models:?}");
-            store.put("later", b"on").expect("it accepts writes again");
+            store.put("later", b"on").expect("a write failed after the crash");
             crashes += 1;
         }
     }
@@ -129,7 +129,7 @@
         disk.power_off();
         let store =
             Store::open_on(disk.after_crash(UnsyncedWrites::Lost), &owner()).expect("opened after a crash");
-        assert!(model.matches(&store).expect("intact"), "call {failing} failed");
+        assert!(model.matches(&store).expect("the disk was reported as damaged"), "call {failing} failed");
     }
     println!("{reported} failures reported in {calls} runs");
     assert!(reported > calls / 2, "too few failures were reported");
--- a/crates/store/tests/faults/damage.rs
+++ b/crates/store/tests/faults/damage.rs
@@ -1,4 +1,5 @@
-//! Changed bytes on a disk: they are detected by a checksum and reported, or have no effect.
+//! Changed bytes on a disk: they are detected by a checksum and reported, or have no effect. The disks hold the result
+//! of the operations of [`script`].
 
 use std::collections::BTreeMap;
 
@@ -6,7 +7,7 @@
 use store::faults::{FaultyDisk, UnsyncedWrites};
 use store::{Store, StoreError};
 
-/// A disk's contents after the script, closed cleanly or by a power failure, and the matching model.
+/// A disk's contents after the operations of [`script`], closed cleanly or by a power failure, and the matching model.
 fn written(closed_cleanly: bool) -> (Vec<u8>, Model) {
     let disk = FaultyDisk::new();
     let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
@@ -131,10 +132,10 @@
             assert_usable(&disk, model, seed);
         }
     }
-    println!("closed: {results:?}");
+    println!("number of disks per result, damaged before opening: {results:?}");
     assert!(
         results[&ReadResult::Intact] > 50 && results[&ReadResult::Reported] > 50,
-        "both must occur: {results:?}"
+        "too few disks with one of the results: {results:?}"
     );
 }
 
@@ -144,7 +145,7 @@
     let mut results = BTreeMap::new();
     for seed in 0..500 {
         let disk = FaultyDisk::with_contents(bytes.clone());
-        let store = Store::open_on(disk.clone(), &owner()).expect("intact");
+        let store = Store::open_on(disk.clone(), &owner()).expect("an intact disk was refused");
         let length = disk.contents().len();
         for (offset, mask) in random_damage(seed, length) {
             disk.flip_bits(offset, mask);
@@ -152,11 +153,11 @@
         let result = read(Ok(store.clone()), &model);
         assert_ne!(result, ReadResult::WrongData, "seed {seed}");
         *results.entry(result).or_insert(0) += 1;
-        // Whatever the result of further operations, they do not end the program.
+        // Further operations may fail, and must not panic.
         let _ = model.apply_to(&store, &Operation::Append(1, 9));
         let _ = model.apply_to(&store, &Operation::Purge(99));
     }
-    println!("open: {results:?}");
+    println!("number of disks per result, damaged while open: {results:?}");
 }
 
 #[test]
--- a/crates/store/tests/faults/model.rs
+++ b/crates/store/tests/faults/model.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// A script with every kind of operation, some of them on an emptied log.
+/// A fixed sequence of operations (the script) with every kind of them, some on an emptied log.
 pub fn script() -> Vec<Operation> {
     use Operation::{Append, Purge, Put, Snapshot, Truncate};
     vec![
--- a/crates/store/tests/faults/properties.rs
+++ b/crates/store/tests/faults/properties.rs
@@ -31,7 +31,7 @@
                 drop(store);
                 store = Store::open_on(disk.clone(), &owner()).expect("the same disk");
             }
-            prop_assert!(model.matches(&store).expect("intact"), "after {:?}", operation);
+            prop_assert!(model.matches(&store).expect("the disk was reported as damaged"), "after {:?}", operation);
         }
     }
 }
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -60,10 +60,10 @@
 }
 
 #[test]
-fn a_store_has_one_owner_and_one_process_at_a_time() {
+fn a_store_has_one_owner_and_is_opened_only_once_at_a_time() {
     let dir = tempfile::tempdir().expect("a directory");
     let store = Store::open(dir.path(), &owner()).expect("a new disk");
-    let in_use = Store::open(dir.path(), &owner()).expect_err("it is open");
+    let in_use = Store::open(dir.path(), &owner()).expect_err("a store was opened twice");
     assert!(matches!(in_use, StoreError::InUse { .. }), "{in_use}");
     drop(store);
     let other = Owner { cluster: "north".to_owned(), replica: 3 };
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -272,7 +272,7 @@
             let (module, list) = {
                 let state = self.state.borrow();
                 let list =
-                    state.list_watcher.next_deadline().map(|at| self.clock.start + Duration::from_millis(at));
+                    state.list_watcher.next_timer_at().map(|at| self.clock.start + Duration::from_millis(at));
                 (state.timer, list)
             };
             let Some(due) = module.into_iter().chain(list).min() else {
@@ -779,9 +779,9 @@
             if let endpoints::Event::ResponseEnded(id) | endpoints::Event::CallFailed(id, _) = event {
                 state.calls.remove(&id);
             }
-            let due = state.list_watcher.next_deadline();
+            let due = state.list_watcher.next_timer_at();
             let actions = state.list_watcher.handle(self.clock.ms(), event);
-            if state.list_watcher.next_deadline().is_some_and(|at| due.is_none_or(|due| at < due)) {
+            if state.list_watcher.next_timer_at().is_some_and(|at| due.is_none_or(|due| at < due)) {
                 self.timer_changed.notify_one();
             }
             actions
