--- a/tests/agreed.rs
+++ b/tests/agreed.rs
@@ -220,7 +220,7 @@
     let of_new_process =
         || group.heartbeats().into_iter().find(|heartbeat| heartbeat.process.boot != old.process.boot);
     wait_until("it sends a heartbeat", || of_new_process().is_some());
-    let new = of_new_process().expect("a heartbeat");
+    let new = of_new_process().expect("the new process has sent no heartbeat");
     assert_eq!(old.process.name, new.process.name);
     assert!(
         old.liveness_addr != new.liveness_addr && new.active_epoch.is_none() && !new.coexists_with_previous
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -55,7 +55,7 @@
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
-        socket.listen(0).expect("it listens");
+        socket.listen(0).expect("the socket cannot listen");
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().expect("bound");
         let mut fillers = Vec::new();
@@ -68,7 +68,7 @@
     /// Accepts connections from now on, as a server with this script.
     fn open(self, script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> TestServer {
         drop(self.fillers);
-        TestServer::on(self.listener, script)
+        TestServer::with_listener(self.listener, script)
     }
 }
 
@@ -101,7 +101,7 @@
     (registry, node, client, sent_at)
 }
 
-/// `X-Remaining-Ms` says what is left when the connection is established, not when the attempt began.
+/// `X-Remaining-Ms` is the time left when the connection is established, not when the attempt began.
 #[test]
 fn remaining_time_is_sent_as_of_when_the_connection_is_established() {
     let listener = FullListener::new();
@@ -110,13 +110,15 @@
     let delay = sent_at.elapsed();
     let server = listener.open(|_| Reply::Send(http_response(200, "", "late")));
     assert_eq!(client.receive().expect("a response").body, b"late");
-    let remaining: u64 =
-        server.requests()[0].header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time");
+    let remaining: u64 = server.requests()[0]
+        .header("x-remaining-ms")
+        .and_then(|v| v.parse().ok())
+        .expect("X-Remaining-Ms is missing");
     assert!(Duration::from_millis(remaining) + delay <= 20_000 * MS, "{remaining} ms sent after {delay:?}");
 }
 
 /// If the client leaves while its attempt is connecting, the connect is cancelled or, where attempts may not be
-/// cancelled, the connection brings the server nothing.
+/// cancelled, nothing is written to the connection.
 #[test]
 fn a_late_connection_carries_no_request_of_a_client_that_has_left() {
     for cancel in [true, false] {
@@ -197,7 +199,11 @@
     let replies: Vec<Break> = cases.iter().map(|(_, reply)| *reply).collect();
     let server = failing_first_attempts(move |m| {
         let txn = m.header("x-txn").unwrap_or_default();
-        replies[txn.split('-').next().and_then(|n| n.parse::<usize>().ok()).expect("its case")]()
+        replies[txn
+            .split('-')
+            .next()
+            .and_then(|n| n.parse::<usize>().ok())
+            .expect("the request's id has no case number")]()
     });
     let (_registry, config) = tolerant_config(server.address);
     let node = Node::start_ready(&config);
@@ -278,7 +284,7 @@
     ];
     let server = failing_first_attempts(move |m| {
         let case = m.header("x-txn").and_then(|txn| txn.split('-').next()?.parse::<usize>().ok());
-        let (_, status, headers) = cases[case.expect("its case")];
+        let (_, status, headers) = cases[case.expect("the request's id has no case number")];
         let beginning = format!("HTTP/1.1 {status} X\r\n{headers}\r\npart");
         Reply::SendPieces(vec![(Duration::ZERO, beginning.into_bytes())], false)
     });
@@ -328,7 +334,7 @@
     }
 }
 
-/// A server sends a second response to a request when the next request is already out.
+/// A server sends a second response to a request when the next request has already been sent.
 #[test]
 fn a_late_second_response_does_not_answer_the_next_request() {
     let arrived = Arc::new(Mutex::new(BTreeSet::new()));
@@ -384,14 +390,14 @@
         let address = listener.local_addr().expect("bound");
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let mut stream = stream.expect("a connection");
+                let mut stream = stream.expect("accept failed");
                 let mut received = Vec::new();
                 while !received.windows(4).any(|w| w == b"\r\n\r\n") {
                     let mut buffer = [0; 1000];
-                    let n = stream.read(&mut buffer).expect("the node writes");
+                    let n = stream.read(&mut buffer).expect("the request cannot be read");
                     received.extend_from_slice(&buffer[..n]);
                 }
-                stream.write_all(&response).expect("the node reads");
+                stream.write_all(&response).expect("the response cannot be written");
                 let _ = std::io::copy(&mut stream, &mut std::io::sink());
             }
         });
@@ -438,8 +444,8 @@
     assert_eq!((sent, metric(&node, "targets_disabled")), (100, 0));
 }
 
-/// A pipelined request has waited since it arrived: its server is told what is left after that, and a request with no
-/// time left is not begun.
+/// The time of a pipelined request counts from its arrival: `X-Remaining-Ms` at its server is what is left after the
+/// wait for the requests before it, and a request with no time left is not sent.
 #[test]
 fn the_remaining_time_of_a_pipelined_request_runs_while_it_waits() {
     const FIRST_TAKES: Duration = Duration::from_millis(600);
@@ -457,6 +463,7 @@
     assert!(client.receive().expect("a response").status() > 500);
     let requests = server.requests();
     assert_eq!(requests.len(), 2);
-    let remaining: u64 = requests[1].header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the time");
+    let remaining: u64 =
+        requests[1].header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("X-Remaining-Ms is missing");
     assert!(Duration::from_millis(remaining) + FIRST_TAKES <= 5000 * MS, "{remaining} ms");
 }
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -17,7 +17,7 @@
     )
 }
 
-/// Sends one piece per interval; a piece that is sent late does not delay the next.
+/// Sends one piece per interval, on a fixed schedule: a piece that is sent late does not delay the next.
 fn send_paced<'a>(client: &mut Client, pieces: impl Iterator<Item = &'a [u8]>, interval: Duration) {
     let started = Instant::now();
     for (piece, n) in pieces.zip(1..) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,17 +5,19 @@
 
 use tulipmount::*;
 
-/// Index of the class that may run any number of times.
+/// Index of the class whose requests may be executed any number of times.
 pub const SAFE: usize = 0;
-/// Index of the class whose repeats are dropped within one cell for [`KEY_MEMORY_MS`].
+/// Index of the class whose repeated requests the servers of one cell recognise by their key and drop, for
+/// [`KEY_MEMORY_MS`] after the first attempt was sent.
 pub const KEYED: usize = 1;
-/// Index of the class that may run once.
+/// Index of the class whose requests may be executed only once.
 pub const UNSAFE: usize = 2;
-/// How long servers remember the key of a keyed request.
+/// Time for which servers remember the key of a keyed request, counted from the start of the attempt, in ms.
 pub const KEY_MEMORY_MS: f64 = 600.0;
-/// How long clients wait for each try.
+/// Time from a request to its deadline, after which its client gives up, in ms.
 pub const CLIENT_TIMEOUT_MS: f64 = 500.0;
-/// How long the referee lets a draining server get work: the module stops at once, so it allows none.
+/// Time for which the referee accepts attempts at a server that drains or is gone, in ms. None, as the module must
+/// stop as soon as it receives the list.
 pub const DRAIN_GRACE_MS: f64 = 0.0;
 
 /// Settings of one of two nodes, with the classes [`SAFE`], [`KEYED`] and [`UNSAFE`].
@@ -100,12 +102,12 @@
         node
     }
 
-    /// A node with so many servers of equal weight.
+    /// A node with this number of servers of equal weight.
     pub fn with_servers(settings: Settings, servers: u64) -> Self {
         Self::new(settings, (0..servers).map(|id| entry(id, 1.0)).collect())
     }
 
-    /// Hands in an event at the present time; returns the actions.
+    /// Passes an event to the balancer at the current time; returns the actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -117,17 +119,17 @@
         actions
     }
 
-    /// Hands in a request of a class.
+    /// Passes in a request of a class.
     pub fn ask(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.ask_for(class, None)
     }
 
-    /// Hands in a request of a tenant.
+    /// Passes in a request of a tenant.
     pub fn ask_for(&mut self, class: usize, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
         self.ask_with_timeout(class, tenant, CLIENT_TIMEOUT_MS)
     }
 
-    /// Hands in a request whose client gives up after `timeout`.
+    /// Passes in a request whose client gives up after `timeout`.
     pub fn ask_with_timeout(
         &mut self,
         class: usize,
@@ -137,12 +139,12 @@
         self.send_request(class, tenant, timeout, false, None)
     }
 
-    /// Hands in a request that is marked as a repeat, whose client gives up after `timeout`.
+    /// Passes in a request that is marked as a repeat, whose client gives up after `timeout`.
     pub fn ask_repeat(&mut self, class: usize, timeout: f64) -> (RequestId, Vec<Action>) {
         self.send_request(class, None, timeout, true, None)
     }
 
-    /// Hands in a request whose client estimates its work.
+    /// Passes in a request whose client estimates its work.
     pub fn ask_with_estimate(&mut self, class: usize, work: f64) -> (RequestId, Vec<Action>) {
         self.send_request(class, None, CLIENT_TIMEOUT_MS, false, Some(work))
     }
@@ -172,7 +174,7 @@
         )
     }
 
-    /// Hands in a request whose body is still arriving.
+    /// Passes in a request whose body is still arriving.
     pub fn ask_streaming(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -201,7 +203,7 @@
         self.event(Event::AttemptEnded { id, attempt, server, outcome, elapsed: took, answered: finished })
     }
 
-    /// Hands in a request that is served after `took`; returns its server, if it was sent.
+    /// Passes in a request that is served after `took`; returns its server, if it was sent.
     pub fn serve(&mut self, class: usize, took: f64) -> Option<ServerId> {
         let request = self.ask(class);
         self.serve_sent(request, took)
@@ -247,27 +249,27 @@
     actions.iter().filter_map(|a| if let Action::Send { id, .. } = a { Some(*id) } else { None }).collect()
 }
 
-/// Is this request refused?
+/// Whether these actions refuse this request.
 pub fn refused(actions: &[Action], request: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { id, .. } if *id == request))
 }
 
-/// Is this request failed?
+/// Whether these actions contain the final answer `Fail` to this request.
 pub fn failed(actions: &[Action], request: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(id) if *id == request))
 }
 
-/// What the referee knows of a request.
+/// A request as the referee has recorded it.
 struct RequestState {
     class: usize,
     deadline: f64,
-    /// Answered, or left by its client.
+    /// Whether it has been answered, or its client has left.
     finished: bool,
     /// Server, its cell, start and outcome of each attempt.
     attempts: Vec<(ServerId, u64, f64, Option<Outcome>)>,
 }
 
-/// Vote settings for simulated days of a few seconds.
+/// Vote settings for simulated runs of a few seconds.
 pub fn votes() -> VoteSettings {
     let (evidence_window, suspect_pause, contact_timeout) = (500.0, 50.0, 500.0);
     VoteSettings {
@@ -284,7 +286,8 @@
 /// Follows the events and actions of a node and records each breach of a rule.
 #[derive(Default)]
 pub struct Referee {
-    /// The servers the group has removed: is it probed from here, and is the verdict about the process that runs?
+    /// The servers that the group has removed by votes, each with whether this node may probe it, and whether the
+    /// verdict is about the process that runs now.
     verdicts: BTreeMap<ServerId, (bool, bool)>,
     /// When verdicts were last received.
     last_verdicts_at: f64,
@@ -356,8 +359,8 @@
         }
     }
 
-    /// `Some` if a server is removed by votes: is it probed from here? A verdict is void if it is stale, or if fewer
-    /// than half of the listed servers would be left.
+    /// `Some` if a server is removed by votes, with whether this node may probe it. A verdict is void if it is stale, or
+    /// if fewer than half of the listed servers would be left.
     fn removed(&self, settings: &Settings, now: f64, server: ServerId) -> Option<bool> {
         let fresh = settings.votes.as_ref().is_some_and(|v| now - self.last_verdicts_at < v.contact_timeout);
         let listed = self.servers.values().filter(|(e, _)| e.state != ServerState::Gone).count();
@@ -390,7 +393,7 @@
                     breach(format!("rule 1: {id:?} sent after its end"));
                 }
                 if gone.is_some_and(|at| now > at + DRAIN_GRACE_MS) {
-                    breach(format!("rule 3: {server:?} got work after its drain"));
+                    breach(format!("rule 3: {server:?} got a request after its drain"));
                 }
                 let mut may_have_run =
                     request.attempts.iter().filter(|a| !a.3.is_some_and(Outcome::never_ran));
--- a/tests/group/mod.rs
+++ b/tests/group/mod.rs
@@ -16,7 +16,7 @@
 /// How long a node's promise lasts after the heartbeat that renewed it, in milliseconds.
 pub const PROMISE_MS: f64 = 1000.0;
 
-/// What the replica answers, and what it has received.
+/// How the replica answers, and what it has received.
 struct GroupState {
     agreed: AgreedState,
     /// Every heartbeat received.
@@ -44,7 +44,7 @@
 }
 
 impl Group {
-    /// Starts a replica on a free port, with epoch 0 agreed and no change under way.
+    /// Starts a replica on a free port, with epoch 0 agreed and no change in progress.
     pub fn new() -> Self {
         let policy = Policy::default();
         let agreed = AgreedState {
@@ -89,7 +89,8 @@
             if request.path().starts_with("/v1/watch") {
                 return self.watch(writer);
             }
-            let heartbeat: Heartbeat = serde_json::from_slice(&request.body).expect("a heartbeat");
+            let heartbeat: Heartbeat =
+                serde_json::from_slice(&request.body).expect("the request is not a heartbeat");
             let response = self.with_state(|state| {
                 state.heartbeats.push(heartbeat.clone());
                 if let Some(leader) = state.leader {
@@ -153,10 +154,10 @@
         })
     }
 
-    /// Commits the change under way, or aborts it as an operator would.
+    /// Commits the change in progress, or aborts it as an operator would.
     pub fn finish_change(&self, committed: bool) {
         self.with_state(|state| {
-            let Change { id, epoch, policy } = state.agreed.change.take().expect("under way");
+            let Change { id, epoch, policy } = state.agreed.change.take().expect("no change is in progress");
             state.agreed.version += 1;
             if committed {
                 (state.agreed.epoch, state.agreed.policy) = (epoch, policy);
@@ -184,7 +185,7 @@
         );
     }
 
-    /// What the last heartbeat says about a change.
+    /// The node's reply to a change in its last heartbeat.
     pub fn last_change_reply(&self) -> Option<StageReply> {
         self.with_state(|state| state.heartbeats.last().and_then(|heartbeat| heartbeat.stage_reply.clone()))
     }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -11,10 +11,12 @@
 use peers::*;
 use serde_json::{json, Value};
 
+/// The ways in which a client can leave.
 const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose];
-/// So long that no request ends by it in these tests.
+
+/// Deadline of every request and timeout of every connect, longer than any of these tests.
 const DEADLINE_MS: u64 = 100_000;
-/// How many concurrent attempts the node initially allows a server.
+/// The node's initial concurrency limit of a server.
 const INITIAL_CONCURRENCY: usize = 8;
 
 /// A configuration in which neither connects nor requests time out.
@@ -27,8 +29,9 @@
     config
 }
 
-/// A server that never answers requests whose id begins with `f`, turns request `w` away once `released` is set, and
-/// serves the others.
+/// A server that never answers requests whose id begins with `f`, rejects request `w` with 503 and `X-Turned-Away`
+/// once
+/// `released` is set, and answers the others with 200.
 fn server(released: &Arc<AtomicBool>) -> TestServer {
     let released = released.clone();
     TestServer::new(move |m| match m.header("x-txn").unwrap_or_default().as_bytes() {
@@ -50,52 +53,60 @@
     client
 }
 
-/// Uses up the concurrency limit of the server with requests that are never answered; `from` attempts are out already.
+/// Fills the concurrency limit of the server with requests that are never answered; `from` attempts are in flight
+/// already.
 fn fill(node: &Node, server: &TestServer, from: usize) -> Vec<Client> {
     let clients = (from..INITIAL_CONCURRENCY).map(|n| send_unsafe(node, &format!("f{n}"))).collect();
     wait_until("all attempts are sent", || server.requests().len() == INITIAL_CONCURRENCY);
     clients
 }
 
-/// Disconnects a client that waits for request `txn`, and waits until the node has noticed.
+/// Disconnects the client of request `txn`, and waits until the node has logged that it disconnected.
 fn disconnect(node: &Node, client: Client, how: Disconnect, txn: &str) {
     let started = Instant::now();
     let half_closed = client.disconnect(how);
-    wait_until("the node has noticed", || node.has_logged(&format!("{txn}: client disconnected")));
+    wait_until("the node has logged that the client disconnected", || {
+        node.has_logged(&format!("{txn}: client disconnected"))
+    });
     assert!(started.elapsed() < Duration::from_secs(5) + node.cpu_wait(), "{:?}", started.elapsed());
     if let Some(mut client) = half_closed {
-        assert_eq!(client.read_to_end().0, b"", "{txn} {how:?}: a client that has left gets no response");
+        assert_eq!(
+            client.read_to_end().0,
+            b"",
+            "{txn} {how:?}: a client that has half-closed its connection gets no response"
+        );
     }
 }
 
-/// How many attempts the server got at requests whose id begins with `w`.
+/// Number of attempts that the server received at requests whose id begins with `w`.
 fn attempts(server: &TestServer) -> usize {
     server.requests().iter().filter(|m| m.header("x-txn").is_some_and(|t| t.starts_with('w'))).count()
 }
 
-/// Asserts that other clients are served, that the server got at most `limit` attempts at requests whose id begins with
-/// `w`, and that the node holds no request any more.
+/// Asserts that other clients are served, that the server received at most `limit` attempts at requests whose id
+/// begins with `w`, and that the node has no request left.
 fn assert_released(node: &Node, server: &TestServer, case: &str, limit: usize) {
     for n in 0..4 {
         let response = send_unsafe(node, &format!("after{n}")).receive().expect("a response");
         assert_eq!(response.status(), 200, "{case}");
     }
-    assert!(attempts(server) <= limit, "{case}: sent for a client that had left");
+    assert!(attempts(server) <= limit, "{case}: an attempt was sent for a client that had left");
     wait_until("all requests are released", || node.last_state_line().contains(" 0 requests"));
 }
 
-/// A request with half of its body.
+/// A request with the first half of a body of this length.
 fn half_sent(txn: &str, length: usize) -> String {
     let head = request("slip", txn, DEADLINE_MS);
     head.replace("Content-Length: 4\r\n\r\nwork", &format!("Content-Length: {length}\r\n\r\n"))
         + &"x".repeat(length / 2)
 }
 
-/// Once a client has closed, reset or half-closed its connection, no attempt at its request begins, first or further,
-/// and one that is out is cancelled. No server gets the whole of a request that was sent by half.
+/// Once a client has closed, reset or half-closed its connection, no attempt at its request begins, neither the first
+/// one nor a retry, and an attempt in flight is cancelled. If the client had sent only half of the request, no server
+/// receives all of it.
 #[test]
 fn no_attempt_begins_or_continues_for_a_client_that_has_left() {
-    // Plays the case; returns how many attempts at its request the server may have got.
+    // Runs the case; returns how many attempts at its request the server may have received.
     type Case = fn(&Node, &TestServer, &AtomicBool, Disconnect) -> usize;
     let cases: [(&str, Case); 5] = [
         ("while it waits", |node, server, _, how| {
@@ -106,7 +117,7 @@
             drop(others);
             0
         }),
-        ("while it waits, with a long body half sent", |node, server, _, how| {
+        ("while it waits, with half of a long body sent", |node, server, _, how| {
             let others = fill(node, server, 0);
             let mut client = Client::connect(node);
             client.send(&half_sent("w", 200_000));
@@ -128,7 +139,7 @@
             drop((others, next));
             limit
         }),
-        ("with a long body half sent on", |node, server, _, how| {
+        ("during an attempt, with half of a long body sent", |node, server, _, how| {
             let mut client = Client::connect(node);
             let before = server.open_connections();
             client.send(&half_sent("w", 200_000));
@@ -137,7 +148,7 @@
             wait_until("the attempt is cancelled", || server.open_connections() == before);
             0
         }),
-        ("with a short body half sent", |node, _, _, how| {
+        ("with half of a short body sent", |node, _, _, how| {
             let mut client = Client::connect(node);
             client.send(&half_sent("w", 10));
             if let Some(mut client) = client.disconnect(how) {
@@ -149,12 +160,12 @@
     std::thread::scope(|scope| {
         for how in DISCONNECTS {
             scope.spawn(move || {
-                for (name, play) in cases {
+                for (name, run) in cases {
                     let released = Arc::new(AtomicBool::new(false));
                     let server = server(&released);
                     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
                     let node = Node::start_ready(&config_without_timeouts(registry.address));
-                    let limit = play(&node, &server, &released, how);
+                    let limit = run(&node, &server, &released, how);
                     assert_released(&node, &server, &format!("{how:?} {name}"), limit);
                 }
             });
@@ -170,7 +181,7 @@
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        socket.listen(0).expect("it listens");
+        socket.listen(0).expect("the socket cannot listen");
         let full: TcpListener = socket.into();
         let at = full.local_addr().expect("bound");
         let connect = |_| std::net::TcpStream::connect_timeout(&at, Duration::from_millis(300)).ok();
@@ -184,16 +195,16 @@
         disconnect(&node, client, how, "w");
         wait_until("the attempt is released", || node.descriptors() == before);
         drop(fillers);
-        let server = TestServer::on(full, |_| Reply::Send(http_response(200, "", "served")));
+        let server = TestServer::with_listener(full, |_| Reply::Send(http_response(200, "", "served")));
         assert_released(&node, &server, &format!("{how:?}"), 0);
     }
 }
 
-/// Pipelined requests hide the end of the connection from a node that looks for it only by reading the next bytes. None
-/// of them is sent for a client that has left.
+/// A node that looks for the end of a connection only by reading its next bytes would read pipelined requests instead,
+/// and miss it. None of them is sent for a client that has left.
 #[test]
 fn pipelined_requests_of_a_client_that_has_left_are_not_sent() {
-    // With 3 requests the node has read all of them, with 300 most are unread in the kernel's buffer.
+    // Of 3 requests the node has read all, of 300 most are still unread in the kernel's buffer.
     for (count, how) in [3, 300].into_iter().flat_map(|n| DISCONNECTS.map(|how| (n, how))) {
         let server = server(&Arc::default());
         let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -141,14 +141,14 @@
         assert_eq!(m.header("idempotency-key"), Some("k1"));
         assert_eq!(m.body, b"work");
         let remaining_ms: u64 =
-            m.header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("the remaining time");
+            m.header("x-remaining-ms").and_then(|v| v.parse().ok()).expect("X-Remaining-Ms is missing");
         assert!((1..15_000).contains(&remaining_ms), "{remaining_ms}");
     }
     // All of them use one connection, as the last used one is reused first.
     assert!(requests.iter().all(|m| m.connection == requests[0].connection));
 }
 
-/// If the server never answers, the client gets a 502, not a refusal, when its time is up.
+/// If the server never answers, the client gets a 502 at its deadline, not a refusal.
 #[test]
 fn a_silent_server_does_not_delay_the_response_past_the_deadline() {
     let server = TestServer::new(|_| Reply::Silence);
@@ -162,7 +162,7 @@
     wait_until("the attempt's connection is closed", || server.open_connections() == 0);
 }
 
-/// A refusal tells the client when to retry: the span that the decision module gave, in seconds.
+/// `Retry-After` of a refusal is the delay that the decision module gave, in seconds.
 #[test]
 fn a_refusal_carries_retry_after() {
     let registry = Registry::new(&[]);
@@ -174,7 +174,7 @@
     assert!(retry_after_s > 0.0 && retry_after_s <= 2.0, "{retry_after_s}");
 }
 
-/// Once the node has read the line that lists a server as draining or gone, the server gets nothing new.
+/// Once the node has read the line that lists a server as draining or gone, the server gets no new request.
 #[test]
 fn a_draining_or_removed_server_gets_no_new_requests() {
     let (a, b) = (TestServer::ok("a"), TestServer::ok("b"));
@@ -228,7 +228,7 @@
     // A listener with a full backlog completes no further connection until it accepts one.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().expect("an address").into()).expect("a port");
-    socket.listen(0).expect("it listens");
+    socket.listen(0).expect("the socket cannot listen");
     let full: TcpListener = socket.into();
     let at_full = full.local_addr().expect("bound");
     let fillers: Vec<_> = (0..3)
@@ -252,7 +252,7 @@
         Client::connect(&node).exchange(&request("look", "t2", 500)).status() == 200
     });
     drop(fillers);
-    let removed = TestServer::on(full, |_| Reply::Send(http_response(200, "", "late")));
+    let removed = TestServer::with_listener(full, |_| Reply::Send(http_response(200, "", "late")));
     assert_eq!(client.receive().expect("a response").body, b"good");
     assert!(removed.requests().is_empty(), "{:?}", removed.requests());
 }
@@ -488,8 +488,9 @@
     }
 }
 
-/// A burst of new connections on top of many idle ones, while discovery is down, takes no more descriptors than there
-/// are and none that are reserved for discovery and servers: when discovery is back, its list is applied.
+/// A burst of new connections on top of many idle ones, while discovery is down, neither exceeds the limit of
+/// descriptors nor takes those that are reserved for discovery and servers: when discovery is back, its list is
+/// applied.
 #[test]
 fn a_burst_of_connections_leaves_the_descriptors_reserved_for_servers_and_discovery() {
     let servers = ["a", "b"].map(TestServer::ok);
@@ -732,7 +733,7 @@
     });
 }
 
-/// Every node sorts the servers alike, whatever their order in the list.
+/// All nodes sort the servers in the same order, whatever their order in the list.
 #[test]
 fn turns_do_not_depend_on_the_order_of_the_list() {
     let servers = ["a", "b", "c", "d"].map(TestServer::ok);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -12,8 +12,8 @@
 use peers::*;
 use serde_json::{json, Value};
 
-/// Within what time a call to the admin address has to be answered.
-const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time within which a call to the admin address must be answered.
+const CALL_LIMIT: Duration = Duration::from_secs(1);
 
 /// Asserts that a call is answered in time, not counting how long the node and this thread waited for a core.
 fn assert_call_answered_in_time(node: &Node) {
@@ -21,7 +21,10 @@
     let sent_at = Instant::now();
     assert_eq!(node.admin_call("GET /ready").0, 200);
     let (took, cpu_wait) = (sent_at.elapsed(), node.cpu_wait() - before);
-    assert!(took < CALL_TIMEOUT + cpu_wait, "{took:?}, of which {cpu_wait:?} without a core");
+    assert!(
+        took < CALL_LIMIT + cpu_wait,
+        "GET /ready took {took:?}; the limit is {CALL_LIMIT:?} and the {cpu_wait:?} without a core"
+    );
 }
 
 #[test]
@@ -54,8 +57,8 @@
     for _ in 0..20 {
         assert_call_answered_in_time(&node);
     }
-    // One whose bytes were never read is reset.
-    assert!(stalled.iter_mut().all(Client::closed_or_reset), "a connection without a whole call is closed");
+    // The node resets a connection whose bytes it has not read.
+    assert!(stalled.iter_mut().all(Client::closed_or_reset), "a stalled connection was not closed");
 }
 
 #[test]
@@ -140,7 +143,7 @@
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
-/// Waits until the admin address says that the process is ready, which does not connect to the shared listener.
+/// Waits until `GET /ready` at the admin address is answered with 200, without a connection to the shared listener.
 fn wait_admin_ready(node: &Node) {
     wait_until("the process is ready", || node.admin_call("GET /ready").0 == 200);
 }
@@ -191,7 +194,7 @@
     }
     stop.store(true, Ordering::SeqCst);
     let served: Vec<usize> =
-        clients.into_iter().map(|client| client.join().expect("no request was lost")).collect();
+        clients.into_iter().map(|client| client.join().expect("a request was lost")).collect();
     assert!(served.iter().all(|n| *n > 20), "{served:?}");
 }
 
@@ -227,7 +230,7 @@
     assert_eq!(waiting.receive().expect("a response").status(), 200);
 }
 
-/// A response that is being sent at SIGTERM goes on for as long as the process is not killed.
+/// A response that is being sent at SIGTERM continues until it is complete or the process is killed.
 #[test]
 fn a_response_in_progress_at_sigterm_is_finished() {
     let pieces = |_: &Message| {
@@ -290,7 +293,7 @@
     (servers, registry)
 }
 
-/// Sends a safe request; its status.
+/// Sends a safe request; returns its status.
 fn send_safe(node: &Node, n: usize) -> u16 {
     Client::connect(node).exchange(&request("look", &format!("t{n}"), 10_000)).status()
 }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -14,10 +14,11 @@
 use serde_json::{json, Value};
 use socket2::SockRef;
 
-/// Longest wait for an expected event; far above what one takes, even on a busy machine.
+/// Timeout of every wait for an expected event, far longer than one takes even on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longer than the node leaves a server connection unused after a response before it reuses it.
+/// A delay after which the node may reuse a server connection for the next request: longer than the time for which it
+/// leaves a connection unused after a response.
 pub const REUSE_DELAY: Duration = Duration::from_millis(60);
 
 /// Polls the condition until it holds; fails the test with `what` after [`WAIT_TIMEOUT`].
@@ -60,7 +61,8 @@
     }
 }
 
-/// Reads one message; `None` if the connection ends first.
+/// Reads one message; `None` if the connection ends, fails or reaches its read timeout first. A message with neither
+/// `Transfer-Encoding` nor `Content-Length` gets an empty body.
 pub fn read_message(reader: &mut BufReader<TcpStream>, connection: usize) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -124,7 +126,7 @@
         let bytes = bytes.to_vec();
         Self::Custom(Box::new(move |writer| {
             let _ = writer.write_all(&bytes);
-            SockRef::from(&*writer).set_linger(Some(Duration::ZERO)).expect("a socket");
+            SockRef::from(&*writer).set_linger(Some(Duration::ZERO)).expect("SO_LINGER cannot be set");
         }))
     }
 }
@@ -140,11 +142,14 @@
 impl TestServer {
     /// Starts a server on a free port that handles each request as `script` says.
     pub fn new(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
+        Self::with_listener(TcpListener::bind("127.0.0.1:0").expect("no free port"), script)
     }
 
     /// Starts a server on a given listener.
-    pub fn on(listener: TcpListener, script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
+    pub fn with_listener(
+        listener: TcpListener,
+        script: impl Fn(&Message) -> Reply + Send + Sync + 'static,
+    ) -> Self {
         let address = listener.local_addr().expect("bound");
         let (received, open) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
         let server = Self { address, received: received.clone(), open_connections: open.clone() };
@@ -234,25 +239,28 @@
     json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string()
 }
 
+/// What discovery sends, and what it has received.
 #[derive(Default)]
 struct RegistryState {
+    /// Line that every watch and every request for the whole list gets first.
     whole_list: String,
-    /// Lines for the watches that are open.
+    /// Lines for watches. A watch gets only those that are added after its request was read.
     updates: Vec<String>,
-    /// Connections are closed without a response.
+    /// Requests are read and their connections closed without a response.
     down: bool,
-    /// Watches stay open and send nothing.
+    /// After the whole list, watches stay open and send nothing; meanwhile no other setting ends them.
     watches_silent: bool,
-    /// Connections are accepted and requests never answered.
+    /// Requests are read and not answered; their connections are closed after [`WAIT_TIMEOUT`]. Takes precedence over
+    /// `down`.
     unresponsive: bool,
-    /// Incremented to end all watches.
+    /// Incremented to end all watches that are not silent.
     watch_generation: usize,
     /// The target of every request received.
     calls: Vec<String>,
     watches_started: usize,
 }
 
-/// Scripted discovery: a watch gets the whole list first, then each update.
+/// Scripted discovery: a watch gets the whole list first, then each update that is published later.
 #[derive(Clone)]
 pub struct Registry {
     pub address: SocketAddr,
@@ -260,9 +268,9 @@
 }
 
 impl Registry {
-    /// Starts discovery with this list at version 1.
+    /// Starts discovery with this list as version (`seq`) 1.
     pub fn new(hosts: &[Value]) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no free port");
         let state = RegistryState { whole_list: list_line(1, true, hosts), ..RegistryState::default() };
         let address = listener.local_addr().expect("bound");
         let registry = Self { address, state: Arc::new(Mutex::new(state)) };
@@ -338,7 +346,7 @@
         self.with_state(|state| state.updates.push(line.to_string()));
     }
 
-    /// Takes discovery down or brings it back; either ends all watches.
+    /// Takes discovery down or brings it back; either ends all watches that are not silent.
     pub fn set_down(&self, down: bool) {
         self.with_state(|state| {
             state.down = down;
@@ -346,7 +354,8 @@
         });
     }
 
-    /// Leaves every request without a response, or answers again; either ends all watches.
+    /// Leaves every later request without a response, or answers again; either ends all watches that are not silent. A
+    /// request that is not answered keeps its connection open for [`WAIT_TIMEOUT`].
     pub fn set_unresponsive(&self, unresponsive: bool) {
         self.with_state(|state| {
             state.unresponsive = unresponsive;
@@ -354,7 +363,8 @@
         });
     }
 
-    /// Keeps all watches open without sending anything, as a dead link does.
+    /// Keeps all watches open without sending anything more, like a connection that is broken without a close. A watch
+    /// that is started later still gets the whole list first.
     pub fn silence_watches(&self) {
         self.with_state(|state| state.watches_silent = true);
     }
@@ -383,11 +393,13 @@
 }
 
 impl ManualRegistry {
+    /// Starts discovery on a free port.
     pub fn new() -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"))
+        Self::with_listener(TcpListener::bind("127.0.0.1:0").expect("no free port"))
     }
 
-    pub fn on(listener: TcpListener) -> Self {
+    /// Starts discovery on a given listener.
+    pub fn with_listener(listener: TcpListener) -> Self {
         let address = listener.local_addr().expect("bound");
         let (sender, calls) = channel();
         std::thread::spawn(move || {
@@ -431,14 +443,14 @@
         self.writer.write_all(bytes).is_ok()
     }
 
-    /// Ends the chunked response in order.
+    /// Sends the last chunk, which completes the response, and closes the connection.
     pub fn finish(mut self) {
         self.write(b"0\r\n\r\n");
     }
 
     /// Resets the connection.
     pub fn reset(self) {
-        SockRef::from(&self.writer).set_linger(Some(Duration::ZERO)).expect("a socket");
+        SockRef::from(&self.writer).set_linger(Some(Duration::ZERO)).expect("SO_LINGER cannot be set");
     }
 }
 
@@ -488,20 +500,25 @@
     log: Arc<Mutex<Vec<String>>>,
 }
 
-/// Path of the node's program: this package's own, or in tests of other packages the one built with the workspace.
+/// Path of the node's program: in tests of package `tulipmount` the one that cargo built for them, in tests of other
+/// packages the one in the build directory.
 fn program() -> String {
     option_env!("CARGO_BIN_EXE_glenwood").map_or_else(
         || {
-            let test = std::env::current_exe().expect("it runs");
-            let built = test.ancestors().nth(2).expect("it is in a directory of the build").join("glenwood");
-            assert!(built.is_file(), "the node is built with the workspace: cargo test --workspace");
+            let test = std::env::current_exe().expect("the path of the test program is unknown");
+            let built = test
+                .ancestors()
+                .nth(2)
+                .expect("the test program is not in a build directory")
+                .join("glenwood");
+            assert!(built.is_file(), "{} is missing: run cargo test --workspace", built.display());
             built.display().to_string()
         },
         str::to_owned,
     )
 }
 
-/// The command that starts a node, with its configuration file; `descriptors` limits the open files.
+/// The command that starts a node, and the path of its configuration file; `descriptors` limits the open files.
 fn command(config: &Value, descriptors: Option<usize>) -> (Command, String) {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::SeqCst);
@@ -529,14 +546,17 @@
 
 /// Runs a node that is expected not to start; returns its exit code and its standard error.
 pub fn run_to_exit(config: &Value, env: &[(&str, &str)]) -> (Option<i32>, String) {
-    let mut child = command(config, None).0.envs(env.iter().copied()).spawn().expect("it runs");
+    let mut child =
+        command(config, None).0.envs(env.iter().copied()).spawn().expect("the node cannot be started");
     let start = Instant::now();
-    while child.try_wait().expect("a child").is_none() && start.elapsed() < WAIT_TIMEOUT {
+    while child.try_wait().expect("the state of the child process is unknown").is_none()
+        && start.elapsed() < WAIT_TIMEOUT
+    {
         std::thread::sleep(Duration::from_millis(5));
     }
     // A node that started nevertheless is killed and so has no exit code.
     let _ = child.kill();
-    let output = child.wait_with_output().expect("it ended");
+    let output = child.wait_with_output().expect("the output of the node cannot be read");
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
@@ -548,7 +568,7 @@
 
     /// Starts a node that inherits a listener, with further environment variables.
     pub fn start_inheriting(config: &Value, listener: &TcpListener, env: &[(&str, &str)]) -> Self {
-        SockRef::from(listener).set_cloexec(false).expect("a socket");
+        SockRef::from(listener).set_cloexec(false).expect("close-on-exec cannot be cleared");
         let fd = listener.as_raw_fd().to_string();
         Self::spawn(config, None, &[&[("BALANCER_INHERITED_FD", fd.as_str())], env].concat())
     }
@@ -556,9 +576,10 @@
     fn spawn(config: &Value, descriptors: Option<usize>, env: &[(&str, &str)]) -> Self {
         let (mut command, config_path) = command(config, descriptors);
         command.envs(env.iter().copied());
-        // As in production, where the environment repeats what the file has.
+        // The platform also sets this variable, to the value that the file has.
         let discovery = config["discovery"].as_str().expect("an address");
-        let mut child = command.env("BALANCER_DISCOVERY", discovery).spawn().expect("it starts");
+        let mut child =
+            command.env("BALANCER_DISCOVERY", discovery).spawn().expect("the node cannot be started");
         let log = Arc::new(Mutex::new(Vec::new()));
         let lines = log.clone();
         let errors = BufReader::new(child.stderr.take().expect("piped"));
@@ -577,34 +598,34 @@
         Self { child, config_path, address: address.expect("found"), log }
     }
 
-    /// Starts a node that inherits a listener and whose standard error is a socket with a full buffer that nobody
-    /// reads; returns the socket's reading end, too.
+    /// Starts a node that inherits a listener, and whose standard error is a socket with a full buffer that nobody
+    /// reads. Also returns the socket's reading end.
     pub fn start_with_full_log(config: &Value, listener: &TcpListener) -> (Self, UnixStream) {
-        let (ours, theirs) = UnixStream::pair().expect("two sockets");
-        theirs.set_nonblocking(true).expect("a socket");
+        let (ours, theirs) = UnixStream::pair().expect("no socket pair");
+        theirs.set_nonblocking(true).expect("the blocking mode cannot be set");
         while (&theirs).write(&[b'x'; 1024]).is_ok() {}
-        theirs.set_nonblocking(false).expect("a socket");
-        SockRef::from(listener).set_cloexec(false).expect("a socket");
+        theirs.set_nonblocking(false).expect("the blocking mode cannot be set");
+        SockRef::from(listener).set_cloexec(false).expect("close-on-exec cannot be cleared");
         let (mut command, config_path) = command(config, None);
         let child = command
             .env("BALANCER_INHERITED_FD", listener.as_raw_fd().to_string())
             .stderr(OwnedFd::from(theirs))
             .spawn()
-            .expect("it starts");
+            .expect("the node cannot be started");
         let address = listener.local_addr().expect("bound");
         let node = Self { child, config_path, address, log: Arc::default() };
         node.wait_ready();
         (node, ours)
     }
 
-    /// Starts a node and waits until `/ready` says yes.
+    /// Starts a node and waits until it answers `GET /ready` with 200.
     pub fn start_ready(config: &Value) -> Self {
         let node = Self::start_listening(config, None);
         node.wait_ready();
         node
     }
 
-    /// Waits until `/ready` says yes.
+    /// Waits until the node answers `GET /ready` with 200.
     pub fn wait_ready(&self) {
         wait_until("the node is ready", || {
             Client::connect(self).exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
@@ -615,21 +636,21 @@
     pub fn admin_addr(&self) -> SocketAddr {
         let lines = self.log.lock().expect("no panic");
         let find = |l: &String| l.split_once(" operators' calls at ").and_then(|(_, a)| a.parse().ok());
-        lines.iter().find_map(find).expect("logged before the first address")
+        lines.iter().find_map(find).expect("the node has logged no admin address")
     }
 
-    /// One request to the admin address: the status and the body of the response.
+    /// Sends one request to the admin address; returns the status and the body of the response.
     pub fn admin_call(&self, call: &str) -> (u16, String) {
         let response = self.admin_client().exchange(&format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n"));
         (response.status(), String::from_utf8(response.body).expect("text"))
     }
 
-    /// A connection to the admin address.
+    /// Opens a connection to the admin address.
     pub fn admin_client(&self) -> Client {
         Client::connect_to(self.admin_addr())
     }
 
-    /// Has it logged a line that contains this text?
+    /// Whether the node has logged a line that contains this text.
     pub fn has_logged(&self, text: &str) -> bool {
         self.log.lock().expect("no panic").iter().any(|l| l.contains(text))
     }
@@ -645,7 +666,7 @@
         self.log.lock().expect("no panic").clone()
     }
 
-    /// The policy epochs it has applied, in order.
+    /// The policy epochs that the node has logged as applied, in order.
     pub fn policy_epochs(&self) -> Vec<u64> {
         let lines = self.log.lock().expect("no panic");
         let epoch = |l: &String| l.split_once("applies epoch ")?.1.parse().ok();
@@ -666,7 +687,7 @@
     /// Sends a signal, named as an option of `kill`.
     pub fn signal(&self, name: &str) {
         let killed = Command::new("kill").arg(name).arg(self.child.id().to_string()).status();
-        assert!(killed.expect("kill runs").success());
+        assert!(killed.expect("kill cannot be started").success());
     }
 
     /// Number of open file descriptors.
@@ -674,25 +695,26 @@
         descriptors(&self.child).len()
     }
 
-    /// Number of open file descriptors that it did not inherit from this process.
+    /// Number of the node's open file descriptors that do not refer to anything that it inherited from this process.
     pub fn opened_descriptors(&self) -> usize {
-        // Whatever a child of the test process inherits is not counted.
-        let mut child = Command::new("sleep").arg("60").stdin(Stdio::null()).spawn().expect("it runs");
+        // A child process that opens nothing itself shows what children inherit.
+        let mut child =
+            Command::new("sleep").arg("60").stdin(Stdio::null()).spawn().expect("sleep cannot be started");
         let inherited = descriptors(&child);
-        child.kill().and_then(|()| child.wait()).expect("it ran");
+        child.kill().and_then(|()| child.wait()).expect("sleep cannot be ended");
         descriptors(&self.child).iter().filter(|to| !inherited.contains(to)).count()
     }
 
     /// Number of threads.
     pub fn threads(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the node is not running").count()
     }
 
     /// Total time that the node's main thread and the calling one have been runnable without getting a core.
     pub fn cpu_wait(&self) -> Duration {
         let run_queue_wait = |path: &str| {
-            let schedule = std::fs::read_to_string(path).expect("the system counts it");
-            let waited = schedule.split(' ').nth(1).expect("three numbers");
+            let schedule = std::fs::read_to_string(path).expect("the system has no scheduler statistics");
+            let waited = schedule.split(' ').nth(1).expect("the run queue wait is missing");
             Duration::from_nanos(waited.parse().expect("a number"))
         };
         let node = run_queue_wait(&format!("/proc/{}/schedstat", self.child.id()));
@@ -701,26 +723,27 @@
 
     /// Peak resident memory, in KiB.
     pub fn peak_memory_kib(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its peak");
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("the node is not running");
+        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("VmHWM is missing");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// Is the process still running?
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("a child").is_none()
+        self.child.try_wait().expect("the state of the child process is unknown").is_none()
     }
 
-    /// Waits until the process ends; its exit code.
+    /// Waits until the process ends; returns its exit code.
     pub fn wait_exit_code(&mut self) -> Option<i32> {
         wait_until("the node ends", || !self.is_running());
-        self.child.wait().expect("it ended").code()
+        self.child.wait().expect("the exit code of the node is unknown").code()
     }
 }
 
 /// What the open file descriptors of a process refer to.
 fn descriptors(process: &Child) -> Vec<std::path::PathBuf> {
-    let files = std::fs::read_dir(format!("/proc/{}/fd", process.id())).expect("it runs");
+    let files = std::fs::read_dir(format!("/proc/{}/fd", process.id())).expect("the process is not running");
     files.flatten().filter_map(|file| std::fs::read_link(file.path()).ok()).collect()
 }
 
@@ -755,37 +778,37 @@
     )
 }
 
-/// A client's connection to a node.
+/// A client's connection to a node or another server. Each read times out after [`WAIT_TIMEOUT`].
 pub struct Client {
     writer: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// Connects to the address for clients.
+    /// Connects to the node's address for clients.
     pub fn connect(node: &Node) -> Self {
         Self::connect_to(node.address)
     }
 
     /// Connects to any address.
     pub fn connect_to(address: SocketAddr) -> Self {
-        let writer = TcpStream::connect(address).expect("the node listens");
-        writer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
-        let reader = BufReader::new(writer.try_clone().expect("a socket"));
+        let writer = TcpStream::connect(address).expect("the connection failed");
+        writer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout cannot be set");
+        let reader = BufReader::new(writer.try_clone().expect("the socket cannot be duplicated"));
         Self { writer, reader }
     }
 
     /// Writes text as it is.
     pub fn send(&mut self, text: &str) {
-        self.writer.write_all(text.as_bytes()).expect("the node reads");
+        self.writer.write_all(text.as_bytes()).expect("the request cannot be written");
     }
 
     /// Writes bytes as they are.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
-        self.writer.write_all(bytes).expect("the node reads");
+        self.writer.write_all(bytes).expect("the request cannot be written");
     }
 
-    /// The next bytes, at most `limit`; none if the connection has ended or failed.
+    /// The next bytes, at most `limit`; none if the connection has ended or failed, or the read timed out.
     pub fn read(&mut self, limit: usize) -> Vec<u8> {
         let mut bytes = vec![0; limit];
         let length = self.reader.read(&mut bytes).unwrap_or(0);
@@ -793,14 +816,16 @@
         bytes
     }
 
-    /// All bytes until the connection ends, and whether it ended in order, without a reset.
+    /// All bytes until the connection ends or a read times out, and whether it was closed without a reset. A timeout
+    /// looks like a reset.
     pub fn read_to_end(&mut self) -> (Vec<u8>, bool) {
         let mut bytes = Vec::new();
         let in_order = self.reader.read_to_end(&mut bytes).is_ok();
         (bytes, in_order)
     }
 
-    /// The next response; `None` if the connection ends first.
+    /// The next response; `None` if the connection ends or a read times out first. See [`read_message`] for responses
+    /// without a length.
     pub fn receive(&mut self) -> Option<Message> {
         read_message(&mut self.reader, 0)
     }
@@ -811,7 +836,8 @@
         self.receive().expect("a response")
     }
 
-    /// Waits for the node to end the connection; was it closed or reset, without sending more?
+    /// Waits for the node to end the connection. Returns whether it was closed or reset without another byte; false if
+    /// the read timed out.
     pub fn closed_or_reset(&mut self) -> bool {
         let reset = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionReset;
         match self.reader.read(&mut [0; 64]) {
@@ -820,21 +846,24 @@
         }
     }
 
-    /// Waits for the node to end the connection; was it closed in order, without sending more?
+    /// Waits for the node to end the connection. Returns whether it was closed without a reset or another byte; false
+    /// if the read timed out.
     pub fn closed(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 64]), Ok(0))
     }
 
-    /// Ends the connection; a client that only half-closes is returned, to read on.
+    /// Ends the connection in this way. Returns a client that has only half-closed it, as it can still read.
     pub fn disconnect(self, how: Disconnect) -> Option<Self> {
         match how {
             Disconnect::Close => None,
             Disconnect::Reset => {
-                SockRef::from(&self.writer).set_linger(Some(Duration::ZERO)).expect("a socket");
+                SockRef::from(&self.writer)
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("SO_LINGER cannot be set");
                 None
             }
             Disconnect::HalfClose => {
-                self.writer.shutdown(std::net::Shutdown::Write).expect("it is connected");
+                self.writer.shutdown(std::net::Shutdown::Write).expect("the connection has already ended");
                 Some(self)
             }
         }
@@ -844,7 +873,10 @@
 /// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
 pub enum Disconnect {
+    /// Closes the connection in both directions.
     Close,
+    /// Resets the connection.
     Reset,
+    /// Ends only the sending direction and can still read. The node treats such a client as gone.
     HalfClose,
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -10,7 +10,7 @@
 
 /// The values of the setting `Discovery`.
 const MODES: [&str; 2] = ["automatic", "subscribe"];
-/// Within what time a restarted process has to be ready.
+/// Time within which a restarted process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A configuration with this `Discovery` mode and saved list.
@@ -52,11 +52,16 @@
                 let any_port = "127.0.0.1:0".parse::<SocketAddr>().expect("an address");
                 socket.bind(&any_port.into()).expect("a port");
                 let address = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("bound");
-                let listen =
-                    || socket.listen(128).and_then(|()| socket.try_clone()).expect("it listens").into();
+                let listen = || {
+                    socket
+                        .listen(128)
+                        .and_then(|()| socket.try_clone())
+                        .expect("the socket cannot listen")
+                        .into()
+                };
                 let discovery = script.map(|script| {
                     let list = list.clone();
-                    TestServer::on(listen(), move |_| script(&list))
+                    TestServer::with_listener(listen(), move |_| script(&list))
                 });
                 let start = Instant::now();
                 let node = Node::start_listening(&start_config(address, mode, saved.then_some(&list)), None);
@@ -75,7 +80,7 @@
                     }
                     let whole = list.clone();
                     let (_discovery, back_at) = (
-                        TestServer::on(listen(), move |_| {
+                        TestServer::with_listener(listen(), move |_| {
                             Reply::SendAndClose(http_response(200, "", &whole))
                         }),
                         Instant::now(),
@@ -91,7 +96,7 @@
     });
 }
 
-/// A node without a list stays unready until a list arrives with a server in it.
+/// A node without a list is not ready until it receives a list with at least one server.
 #[test]
 fn an_empty_line_or_change_does_not_make_a_node_ready() {
     for mode in MODES {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! SIGTERM under load: no accepted request is lost, and the process ends whatever clients do.
+//! SIGTERM under load: no accepted request is lost, and the process ends whatever clients do. One test sends no
+//! signal: it covers how the node ends the connection of a response that is not read.
 
 mod peers;
 
@@ -13,7 +14,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A server that answers once `released` is set, but `quick` at once and `long` in two halves 1.5 s apart.
+/// A server that answers requests once `released` is set, but request `quick` at once and request `long` in two halves
+/// 1.5 s apart.
 fn gated_server(released: &Arc<AtomicBool>) -> TestServer {
     let released = released.clone();
     TestServer::new(move |m| {
@@ -47,7 +49,8 @@
     });
 }
 
-/// A request is answered at whatever stage it is when the signal arrives, and its response closes the connection.
+/// Whatever stage a request has reached when the signal arrives, it is answered, and the connection closes after its
+/// response.
 #[test]
 fn sigterm_loses_no_request_at_any_stage() {
     let released = Arc::new(AtomicBool::new(false));
@@ -92,7 +95,7 @@
     for (client, request) in complete.iter_mut().chain(&mut partial[1..]) {
         let response = client.receive().expect("a response");
         assert_eq!((response.status(), response.header("connection")), (200, Some("close")), "{request}");
-        assert!(client.closed(), "the connection ends in order: {request}");
+        assert!(client.closed(), "the connection is closed without a reset: {request}");
     }
     let (rest, in_order) = half_answered.read_to_end();
     assert!(rest.len() >= 200_000 && in_order, "{}", rest.len());
@@ -137,8 +140,9 @@
     assert_eq!(node.wait_exit_code(), Some(0));
 }
 
-/// A response without a length that its client does not read is cut off by a reset: a close in order would make it look
-/// complete.
+/// Covers a response whose end is marked only by the close of the connection, as the client speaks HTTP/1.0 and the
+/// server sends no length. The node gives up a response that its client has not read for 10 s, and must then reset the
+/// connection: after a plain close, the part that was sent would look like the whole response.
 #[test]
 fn a_response_that_is_not_read_never_looks_complete() {
     let body = "x".repeat(16 << 20);
@@ -150,9 +154,14 @@
     let mut client = Client::connect(&node);
     client.send(&request("look", "t1", 15_000).replace("HTTP/1.1", "HTTP/1.0"));
     assert!(client.read(15).starts_with(b"HTTP/1.0 200"));
-    wait_until("the node has given it up", || node.last_state_line().starts_with("0 clients"));
+    wait_until("the node has given up the response", || node.last_state_line().starts_with("0 clients"));
     let (rest, in_order) = client.read_to_end();
-    assert!(rest.len() < 16 << 20 && !in_order, "{} bytes", rest.len());
+    assert!(
+        rest.len() < 16 << 20 && !in_order,
+        "{} bytes were received, fewer than {} are expected; closed without a reset: {in_order}, expected: false",
+        rest.len(),
+        16 << 20
+    );
 }
 
 /// Covers clients that connect all the time, never finish a request, or read a response slowly.
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -11,11 +11,11 @@
 
 /// The values of the setting `Discovery`.
 const MODES: [&str; 2] = ["automatic", "subscribe"];
-/// How soon a change of the list has to be known, with the slack that the rules allow.
+/// Time within which a node must know a change of the list, with the slack that the rules allow.
 const LIST_DEADLINE: Duration = Duration::from_millis(6000 + 50);
 /// The same after SIGHUP has named another address.
 const MOVE_DEADLINE: Duration = Duration::from_millis(4000 + 50);
-/// How long a draining server may still get requests, with the slack that the rules allow.
+/// Time for which a draining server may still get requests, with the slack that the rules allow.
 const DRAIN_GRACE: Duration = Duration::from_millis(300 + 50);
 
 /// Two servers, discovery under the test's control, and a node that has received a list of both.
@@ -102,7 +102,7 @@
 }
 
 /// A whole list is applied in each layout of its JSON, even with an unchanged version, and the watch stays open. A
-/// server that the list leaves out gets nothing new, though it still answers.
+/// server that is missing from the list gets no new request, though it still answers.
 #[test]
 fn a_whole_list_on_a_watch_is_applied_in_any_layout() {
     let layouts: [fn(&str) -> String; 3] = [
@@ -126,7 +126,7 @@
 }
 
 /// A watch falls silent, ends or is reset, each at four places of the stream, while a server is removed. The node calls
-/// again in time, learns of it, and sends the server nothing new.
+/// again in time, receives the change, and sends the server no new request.
 #[test]
 fn a_removal_missed_by_a_broken_watch_is_applied_in_time() {
     let places: [(&str, &str); 4] =
@@ -159,7 +159,7 @@
                     next = fleet.discovery.next_call_within(Duration::from_millis(500));
                     next.is_some()
                 });
-                fleet.answer(next.as_mut().expect("the call"), 2);
+                fleet.answer(next.as_mut().expect("the node did not call again"), 2);
                 let _open_calls = fleet.answer_until_a_removed(&fleet.discovery, 2);
                 fleet.wait_a_removed();
                 let took = broken_at.elapsed().saturating_sub(fleet.node.cpu_wait() - cpu_wait);
@@ -234,7 +234,7 @@
                 fleet.node.reload(&fleet.config.to_string());
                 unfinished.push(send_half(discovery, "/v1/endpoints"));
             }
-            unfinished.pop().expect("the last").reset();
+            unfinished.pop().expect("no call is unfinished").reset();
             for call in &mut unfinished {
                 call.send_chunk(rest);
             }
