--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -222,7 +222,7 @@
                 member.on_check_result(change.id, result, now);
             }
         }
-        (member.admit(now).ok(), member.is_superseded())
+        (member.admit(now).ok(), member.is_session_ended())
     }
 }
 
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -404,7 +404,7 @@
     }
 
     /// Returns whether the leader knows that the session is closed, or another process has replaced this one.
-    pub fn is_superseded(&self) -> bool {
+    pub fn is_session_ended(&self) -> bool {
         self.superseded
     }
 
--- a/src/net/membership.rs
+++ b/src/net/membership.rs
@@ -162,7 +162,7 @@
     }
 
     fn superseded(&self) -> bool {
-        self.admission.member.borrow().is_superseded()
+        self.admission.member.borrow().is_session_ended()
     }
 
     // ---- Calls ----
