--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,4 +1,4 @@
-//! Fleet membership: the protocol between a node and the control group, and the node's state machine for it.
+//! Fleet membership: the protocol between a node and the control group, and the state machine of a node process for it.
 //!
 //! Goal: a policy change takes effect on every node or on none, even if links fail, replicas crash or a node is down
 //! while the change is made. Design: a change is one entry of the replicated log that either commits or aborts. Before
--- a/crates/member/src/messages.rs
+++ b/crates/member/src/messages.rs
@@ -45,7 +45,7 @@
     /// The newest agreed state that it has applied, which the reply need not repeat.
     #[serde(default, rename = "known")]
     pub known_state: Option<StateId>,
-    /// Its position on the pending change.
+    /// Whether it has staged or refused the pending change; `None` if there is none or it is still being checked.
     #[serde(default, rename = "change")]
     pub stage_reply: Option<StageReply>,
     /// It has no open requests and is exiting: its session closes.
@@ -89,7 +89,7 @@
 /// A leader's own time when it wrote a reply, and the term it leads in. Times of different terms are not comparable.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Stamp {
-    /// The leader's term.
+    /// The leader's term; unlike the raft term, it also differs after a restart of the leader's replica.
     pub term: u64,
     /// The time on the leader's clock.
     #[serde(rename = "at")]
@@ -111,12 +111,13 @@
     /// for a process whose active epoch is the one in `update`. `None` in a fenced fleet grants nothing.
     #[serde(default)]
     pub lease_ms: Option<Millis>,
-    /// This process is fenced from its join to its end: without a lease it admits nothing new.
+    /// This process is fenced, from its join until it leaves the roster: without a lease it admits nothing new.
     #[serde(default)]
     pub fenced: bool,
-    /// How long after sending the heartbeat a promise about a change lasts.
+    /// How long a promise about a change lasts, from the end of the check or from sending the heartbeat that this answers.
     pub promise_ms: Millis,
-    /// A newer process of this node has replaced it (or operators have removed it): it admits nothing new any more.
+    /// The process is no longer in the roster, and must admit nothing new: another process of this node has replaced it,
+    /// operators have removed it, its address refused connections, or it has left.
     #[serde(default)]
     pub superseded: bool,
     /// Servers on which the leader also wants ballots against removal; on all others it gets ballots for removal only.
@@ -233,7 +234,7 @@
     /// The agreed state of the policy; `None` if the line is about something else.
     #[serde(default, rename = "agreed")]
     pub agreed_state: Option<AgreedState>,
-    /// The log version that the watcher is at after this line.
+    /// The log version that the watcher has received up to, after this line.
     pub version: u64,
     /// The verdicts in force, if the agreed policy enables votes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/member/src/policy.rs
+++ b/crates/member/src/policy.rs
@@ -342,7 +342,7 @@
     use super::*;
 
     fn policy(value: Value) -> Policy {
-        Policy(value.as_object().expect("an object").clone())
+        Policy(value.as_object().expect("a JSON object").clone())
     }
 
     #[test]
@@ -396,7 +396,7 @@
         let mut merged = all.clone();
         merged["Me"] = json!(3);
         assert_eq!(policy(all).apply_to(&settings), Ok(merged));
-        let unchanged = policy(json!({})).apply_to(&settings).expect("no change");
+        let unchanged = policy(json!({})).apply_to(&settings).expect("an empty policy applies");
         assert_eq!((&unchanged["Votes"], &unchanged["Classes"]), (&Value::Null, &settings["Classes"]));
         for list in ["Classes", "Customers"] {
             let error = policy(json!({list: [{"Name": "b"}]})).apply_to(&settings);
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -1,5 +1,5 @@
-//! The node's state machine for its session with the leader and for policy changes. It does no I/O: it takes times and
-//! messages, and returns the effects that the caller must carry out.
+//! The state machine of one node process: its session with the leader, and policy changes. It does no I/O: it takes times
+//! and messages, and returns the effects that the caller must carry out.
 //!
 //! Goal: a node admits a request under an epoch only while it is allowed to, even if it is partitioned, paused or
 //! restarted. Design: [`Member::admit`] is called at each admission with the current time, so that a process that was
@@ -13,16 +13,17 @@
 //!   been written when the heartbeat was sent: at a commit at time `T`, every promise ends by `T + promise_ms`. After
 //!   its promise the member is in doubt, and admits nothing, until it learns the outcome of the change.
 //! - *Lease.* It runs from when the heartbeat was sent; the leader counts it from its reply, which is later.
-//! - *Join.* Nothing is admitted before the first reply, and that comes only once the process is in the roster, so every
-//!   process that admits requests is one that a commit must count. A restarted process has lost its promise, and with it
+//! - *Join.* Nothing is admitted before the first reply (except with [`StartMode::UseSaved`], see below), and that comes
+//!   only once the process is in the roster, so every process that admits requests is one that a commit must count. A
+//!   restarted process has lost its promise, and with it
 //!   the right to admit requests: it joins as a new process and is asked to stage the change again.
 //! - *Order.* An agreed state is applied only if it is newer (by version) than the known one. If the reply to a
 //!   heartbeat shows an older version than the one known when that heartbeat was sent, the group has lost state that it
 //!   had acknowledged.
 //!
 //! Epochs only grow. If the group's epoch is older than the active one (the group was restored from an old backup), the
-//! member keeps its own, reports it to the operator, and names it in its heartbeats. The group then assigns no number
-//! again that a member has known, and the next change brings all members forward. In a fenced fleet the member has no
+//! member keeps its own, reports this to the operator, and names its epoch in its heartbeats. The group then never
+//! reassigns the number of an epoch that a member has known, and the next change brings all members forward. In a fenced fleet the member has no
 //! lease until then.
 //!
 //! [`StartMode::UseSaved`] trades the bound on mixed policies for service without a control group: a process that has
@@ -84,7 +85,7 @@
 pub enum Effect {
     /// Check whether this node can apply the change, and report the result by [`Member::on_check_result`].
     Check(Change),
-    /// Judge requests by this policy from now on.
+    /// Apply this policy to requests from now on.
     Activate {
         /// Its epoch.
         epoch: Epoch,
@@ -104,15 +105,16 @@
 /// Why no new request is admitted.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum AdmissionError {
-    /// No epoch is known yet.
+    /// The process has no active epoch yet.
     NoEpoch,
     /// The promise about a change has expired, and its outcome is unknown.
     InDoubt,
     /// The fleet is fenced and the lease has expired.
     NoLease,
-    /// Another process of this node has replaced this one, or operators have removed it.
+    /// The session has ended: the leader's reply said that this process is no longer in the roster. Another process of
+    /// this node has replaced it, operators have removed it, or its own leave is confirmed.
     Superseded,
-    /// It has closed its session.
+    /// The process is closing its session.
     Leaving,
 }
 
@@ -129,7 +131,7 @@
     }
 }
 
-/// This process's progress with the pending change.
+/// How far this process has got with staging the pending change.
 #[derive(Clone, Debug, PartialEq)]
 enum StageStatus {
     Checking,
@@ -152,42 +154,54 @@
     }
 }
 
-/// The state machine of one process of a node.
+/// The state machine of one node process; see the module's documentation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     config: MemberConfig,
-    /// What the disk holds; that of the active epoch, once there is one.
+    /// The last [`Effect::Save`], or what the disk contained at the start. Once an agreed epoch is active, it is that one.
     saved: Option<SavedEpoch>,
     started_at: Millis,
+    /// The process has received a reply, so it has been in the roster.
     joined: bool,
-    superseded: bool,
+    /// A reply said that the process is no longer in the roster.
+    session_ended: bool,
+    /// [`Member::leave`] was called.
     leaving: bool,
+    /// The epoch that requests are admitted under.
     active_epoch: Option<Epoch>,
-    /// The newest applied state, and the one that was known when the last heartbeat was sent.
+    /// The newest agreed state that was applied.
     state: Option<StateSummary>,
+    /// The value of `state` when the newest heartbeat was sent.
     state_at_heartbeat: Option<StateSummary>,
+    /// The pending change, and how far this process has got with it.
     change: Option<(Change, StageStatus)>,
-    /// When the newest heartbeat was sent, which `state_at_heartbeat` belongs to.
+    /// When the newest heartbeat was sent.
     heartbeat_at: Millis,
+    /// The newest stamp received from any leader, which heartbeats echo.
     newest_stamp: Option<Stamp>,
+    /// A reply said that this process is fenced: without a lease it admits nothing. Never reset.
     fenced: bool,
+    /// When the lease expires.
     lease_until: Option<Millis>,
+    /// How long a promise lasts, from the last reply; 0 before the first reply.
     promise_ms: Millis,
     next_heartbeat_at: Millis,
-    /// Something has changed that the newest heartbeat does not contain.
+    /// The stage reply or `leaving` has changed since the newest heartbeat was created.
     heartbeat_outdated: bool,
+    /// The operator was notified that the group's epoch is older than the active one.
     older_epoch_reported: bool,
 }
 
 impl Member {
-    /// Creates the member for a process that starts at `now`; `saved` is what the node's disk holds of [`Effect::Save`].
+    /// Creates the member for a process that starts at `now`; `saved` is what the last
+    /// [`Effect::Save`] has stored on the node's disk.
     pub fn new(config: MemberConfig, saved: Option<SavedEpoch>, now: Millis) -> Self {
         Self {
             config,
             saved,
             started_at: now,
             joined: false,
-            superseded: false,
+            session_ended: false,
             leaving: false,
             active_epoch: None,
             state: None,
@@ -232,7 +246,8 @@
         }
     }
 
-    /// Returns when the next heartbeat is due. If one stays unanswered, the next one is due at this time too.
+    /// Returns when the next heartbeat is due. While the last one has no reply, that is [`DEFAULT_HEARTBEAT_INTERVAL_MS`]
+    /// after it was created, or earlier if the next one has something new to report.
     pub fn next_heartbeat_at(&self) -> Millis {
         self.next_heartbeat_at
     }
@@ -265,11 +280,11 @@
 
     /// Handles the leader's reply to the heartbeat that was created at `sent_at`.
     pub fn on_reply(&mut self, sent_at: Millis, reply: HeartbeatReply, now: Millis) -> Vec<Effect> {
-        if self.superseded {
+        if self.session_ended {
             return Vec::new();
         }
         if reply.superseded {
-            self.superseded = true;
+            self.session_ended = true;
             if self.leaving {
                 return Vec::new();
             }
@@ -300,7 +315,7 @@
                 self.apply(agreed, now, &mut effects);
                 Some(proven)
             }
-            // Of any other state only the ID is known here, not the epoch or the change.
+            // For any other ID, the state's epoch and change are not known here.
             AgreedUpdate::Unchanged(id) => self.state_at_heartbeat.filter(|state| state.id == id),
         };
         let Some(StateSummary { epoch, change: pending, .. }) = proven else { return effects };
@@ -329,10 +344,11 @@
         })
     }
 
-    /// Handles an agreed state from a replica's watch. It can resolve a doubt, but never extends a promise or a lease.
+    /// Handles an agreed state from a replica's watch. It may contain the outcome of a change whose promise has expired, but
+    /// it never extends a promise or a lease.
     pub fn on_agreed_state(&mut self, agreed: AgreedState, now: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
-        if self.superseded {
+        if self.session_ended {
             return effects;
         }
         if self.joined {
@@ -369,7 +385,7 @@
     /// # Errors
     /// Why no request may be admitted.
     pub fn admit(&self, now: Millis) -> Result<Epoch, AdmissionError> {
-        if self.superseded {
+        if self.session_ended {
             return Err(AdmissionError::Superseded);
         }
         if self.leaving {
@@ -385,27 +401,28 @@
         Ok(active)
     }
 
-    /// Closes the session, as the node is exiting and has no open requests: nothing is admitted from here on, and the
-    /// next heartbeats tell the leader.
+    /// Closes the session, as the process is exiting and has no open requests. Nothing is admitted from now on, and the next
+    /// heartbeats report it to the leader.
     pub fn leave(&mut self, now: Millis) -> Vec<Effect> {
         self.leaving = true;
         self.schedule_heartbeat(now);
         vec![Effect::SendHeartbeat]
     }
 
-    /// Returns the epoch that requests are judged by.
+    /// Returns the epoch whose policy applies to requests.
     pub fn active_epoch(&self) -> Option<Epoch> {
         self.active_epoch
     }
 
-    /// Returns whether a leader has answered since the start.
+    /// Returns whether this process has received a reply from a leader.
     pub fn has_joined(&self) -> bool {
         self.joined
     }
 
-    /// Returns whether the leader knows that the session is closed, or another process has replaced this one.
+    /// Returns whether a reply has said that this process is no longer in the roster: another process of this node has
+    /// replaced it, operators have removed it, or its own leave is confirmed.
     pub fn is_session_ended(&self) -> bool {
-        self.superseded
+        self.session_ended
     }
 
     /// Returns the change that this process is checking, has staged or has refused.
@@ -454,7 +471,7 @@
         }
     }
 
-    /// Makes a heartbeat due now or, if one is in flight, as soon as that is answered.
+    /// Makes a heartbeat due at `now`. If one is in flight, the next one is due as soon as that one is answered.
     fn schedule_heartbeat(&mut self, now: Millis) {
         self.heartbeat_outdated = true;
         self.next_heartbeat_at = now;
--- a/crates/member/src/votes.rs
+++ b/crates/member/src/votes.rs
@@ -61,7 +61,7 @@
     /// The maximum fraction of a zone's servers that votes may remove at the same time, from 0 to 1.
     #[serde(rename = "Cap")]
     pub removal_cap: f64,
-    /// How long a verdict holds before the server is probed, in ms.
+    /// How long a verdict is in force before the server is probed, in ms.
     #[serde(rename = "Term")]
     pub verdict_term: Millis,
     /// The number of nodes that probe a server when a verdict's term has ended.
@@ -214,7 +214,7 @@
     /// For or against the removal.
     #[serde(rename = "stand")]
     pub vote: Vote,
-    /// What the vote rests on.
+    /// The evidence that the vote is based on.
     pub evidence: Evidence,
 }
 
@@ -275,7 +275,7 @@
             (r#"{"Term": 1e9}"#, "Votes.Term: a time from 100 to 600,000 ms expected"),
             (r#"{"Voters": 0}"#, "Votes.Voters: a whole number from 1 to 1,000 expected"),
         ] {
-            let error = parse(json).expect("parses").check().expect_err(json);
+            let error = parse(json).expect("valid JSON").check().expect_err(json);
             assert_eq!(error.to_string(), message);
         }
     }
--- a/crates/member/tests/session.rs
+++ b/crates/member/tests/session.rs
@@ -4,12 +4,12 @@
 use serde_json::json;
 
 fn policy(open_cap: u64) -> Policy {
-    Policy(json!({"Limits": {"OpenCap": open_cap}}).as_object().expect("an object").clone())
+    Policy(json!({"Limits": {"OpenCap": open_cap}}).as_object().expect("a JSON object").clone())
 }
 
 fn member(start_mode: StartMode, saved: Option<SavedEpoch>) -> Member {
     let process = Process { name: "n1".to_owned(), boot: 7 };
-    let liveness_addr = "127.0.0.1:9".parse().expect("an address");
+    let liveness_addr = "127.0.0.1:9".parse().expect("a valid address");
     Member::new(
         MemberConfig { process, liveness_addr, coexists_with_previous: false, start_mode },
         saved,
@@ -70,7 +70,10 @@
 #[test]
 fn nothing_is_admitted_before_a_leader_has_answered() {
     let mut member = member(StartMode::Wait, None);
-    assert!(member.on_agreed_state(agreed(8, 4, None), 5.0).is_empty(), "a watch is no join");
+    assert!(
+        member.on_agreed_state(agreed(8, 4, None), 5.0).is_empty(),
+        "a watch does not replace the first reply"
+    );
     assert_eq!(member.admit(5.0), Err(AdmissionError::NoEpoch));
     member.heartbeat(6.0);
     let effects = member.on_reply(6.0, reply(100.0, agreed(8, 4, None)), 9.0);
@@ -99,7 +102,7 @@
 }
 
 #[test]
-fn a_watch_resolves_a_doubt_for_commit_and_abort() {
+fn a_watch_ends_the_doubt_after_a_commit_or_an_abort() {
     let mut committed = staged();
     let effects = committed.on_agreed_state(agreed(12, 5, None), 4000.0);
     assert_eq!(activated_epochs(&effects), [5]);
@@ -265,7 +268,7 @@
 }
 
 #[test]
-fn news_during_a_heartbeat_in_flight_is_sent_right_after_its_reply() {
+fn a_stage_reply_made_during_a_heartbeat_in_flight_is_sent_right_after_its_reply() {
     let mut member = staged();
     member.heartbeat(1000.0);
     member.on_agreed_state(agreed(12, 4, Some((12, 6))), 1010.0);
@@ -286,12 +289,16 @@
 }
 
 #[test]
-fn a_group_that_lost_its_log_resolves_no_doubt() {
+fn a_reply_with_a_lost_log_neither_ends_nor_extends_a_promise() {
     let mut member = staged();
     member.heartbeat(1500.0);
     let effects = member.on_reply(1500.0, reply(1.0, agreed(5, 4, None)), 1600.0);
     assert!(matches!(&effects[..], [Effect::NotifyOperator(_)]), "{effects:?}");
-    assert_eq!(member.admit(3000.0), Err(AdmissionError::InDoubt), "neither resolved nor extended");
+    assert_eq!(
+        member.admit(3000.0),
+        Err(AdmissionError::InDoubt),
+        "the promise was neither ended nor extended"
+    );
 }
 
 #[test]
