--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -35,7 +35,7 @@
         /// An older process of its name remains a member.
         #[serde(rename = "beside")]
         coexists_with_previous: bool,
-        /// It admits no request without a lease, from its join to its end.
+        /// It admits no request without a lease, from its join until it leaves the roster.
         #[serde(default)]
         fenced: bool,
         /// The epoch that it knows: no number up to this one is assigned to another policy.
@@ -50,7 +50,7 @@
         /// The proof that it admits nothing new.
         proof: Proof,
     },
-    /// Operators declare a node gone, with all its processes.
+    /// Operators remove a node with all its processes from the roster.
     #[serde(rename = "remove")]
     RemoveNode {
         /// The node.
@@ -87,10 +87,10 @@
     Commit {
         /// The change.
         change: ChangeId,
-        /// Members that have staged it and whose promise still holds.
+        /// Members that have staged it and whose promise has not expired.
         #[serde(rename = "staged")]
         staged_members: Vec<Process>,
-        /// Members whose lease has certainly expired (fenced fleets only).
+        /// Fenced members whose lease has expired, also by their own clocks.
         #[serde(rename = "fenced")]
         fenced_members: Vec<Process>,
     },
@@ -204,7 +204,7 @@
     /// The cap on removed servers of the zone is reached; nothing has changed.
     #[serde(rename = "capped")]
     CapReached,
-    /// A newer process has replaced this one, or operators have removed it.
+    /// The process is a former member, which cannot join again; nothing has changed.
     Superseded,
     /// The roster is full, or the command is too large; nothing has changed.
     #[serde(rename = "too_much")]
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -112,7 +112,7 @@
         /// The allowed values.
         expected: String,
     },
-    /// Durations of the leader's settings that do not fit together.
+    /// A duration of the leader's settings is out of the range that the other ones allow.
     #[error("{}: terms.{error}", file.display())]
     LeaderSettings {
         /// The file.
--- a/crates/control/src/edge/actor.rs
+++ b/crates/control/src/edge/actor.rs
@@ -34,7 +34,9 @@
 /// A call to the leader on this replica; dropped without an answer if this replica does not lead.
 enum Call {
     Heartbeat(Box<Heartbeat>, oneshot::Sender<Result<HeartbeatReply, Refusal>>),
+    /// Returns the leader's view of the members.
     Nodes(oneshot::Sender<NodesView>),
+    /// Returns the leader's view of the votes; `None` while votes are disabled.
     Votes(oneshot::Sender<Option<TallyView>>),
 }
 
@@ -140,7 +142,7 @@
     (Handle(sender), Actor { replica, starts, settings, calls, started_at: Instant::now() })
 }
 
-/// See the module.
+/// The actor's state between terms; see the module's documentation.
 pub struct Actor {
     replica: Replica<FleetState>,
     /// The number of the replica's starts, including this one.
--- a/crates/control/src/edge/calls.rs
+++ b/crates/control/src/edge/calls.rs
@@ -179,7 +179,7 @@
     }
 
     fn watch(&self, query: Option<&str>) -> CallResult {
-        if !*self.in_touch.borrow() {
+        if !*self.has_leader_contact.borrow() {
             let error = "this replica has had no contact with a leader recently";
             return Err(ErrorResponse::unavailable(error, "watch at another replica"));
         }
@@ -193,12 +193,12 @@
     }
 
     fn policy(&self) -> serde_json::Value {
-        let in_touch = *self.in_touch.borrow();
+        let has_leader_contact = *self.has_leader_contact.borrow();
         self.replica.read(|state, version| {
             let policy_state = state.policy_state();
             let ended: Vec<&EndedChange> = policy_state.ended_changes().collect();
             json!({
-                "version": version, "in_touch": in_touch, "epoch": policy_state.epoch(), "policy": policy_state.policy(),
+                "version": version, "in_touch": has_leader_contact, "epoch": policy_state.epoch(), "policy": policy_state.policy(),
                 "change": policy_state.pending_change(), "ended": ended,
             })
         })
@@ -210,13 +210,13 @@
         let leading = self.replica.watch_leadership().borrow().clone();
         let leader = leading.leader.map(|(_, address)| address);
         let (is_leader, votes) = (votes.is_ok(), votes.ok().flatten());
-        let in_touch = *self.in_touch.borrow();
+        let has_leader_contact = *self.has_leader_contact.borrow();
         let body = self.replica.read(|state, version| {
             let verdicts = state.verdicts();
             let ended: Vec<_> = verdicts.ended().collect();
             let removed: BTreeMap<_, _> = verdicts.entries().collect();
             json!({
-                "version": version, "in_touch": in_touch, "leads": is_leader, "leader": leader,
+                "version": version, "in_touch": has_leader_contact, "leads": is_leader, "leader": leader,
                 "on": state.policy_state().policy().0.contains_key("Votes"), "changed": verdicts.version(),
                 "removed": removed, "ended": ended, "votes": votes,
             })
@@ -341,7 +341,7 @@
             self.replica.read(|state, _| (state.policy_state().epoch(), state.roster().len()));
         json!({
             "replica": self.replica.status(), "listen": self.address, "ready": self.is_ready(),
-            "in_touch": *self.in_touch.borrow(), "epoch": epoch, "members": members,
+            "in_touch": *self.has_leader_contact.borrow(), "epoch": epoch, "members": members,
             "disk_bytes": disk_bytes, "connections": self.connections.in_use(),
             "watchers": self.hub.watcher_count(), "calls": self.writes.in_use(),
         })
--- a/crates/control/src/edge/mod.rs
+++ b/crates/control/src/edge/mod.rs
@@ -7,10 +7,10 @@
 //! | `calls` | the paths, and how each call is handled |
 //! | `response` | responses, and errors with advice |
 //! | `watch` | the body of a watch |
-//! | `actor` | [`crate::leader::Leader`] while this replica leads |
+//! | `actor` | the task that runs a [`crate::leader::Leader`] while this replica leads |
 //!
-//! There is no authentication: whoever reaches the listening address may make every operators' call. It belongs on a
-//! network that only nodes, operators and replicas can reach.
+//! There is no authentication: anyone who can reach the listening address can make every call, including the operators'.
+//! The address must be on a network that only nodes, operators and replicas can reach.
 
 mod actor;
 mod calls;
@@ -41,9 +41,11 @@
 const MAX_WRITES: usize = 64;
 /// The maximum number of messages of other replicas that are read at the same time.
 const MAX_PEER_MESSAGES: usize = 32;
-/// Without contact with a leader for this long, watches end, so that their watchers go to another replica.
+/// After this long without contact with a leader, all watches end, so that their watchers go to another replica. Contact
+/// means on a follower that the consensus library names a leader, and on the leader that a majority has confirmed its
+/// leadership. This is also the timeout of one such confirmation.
 const LEADER_CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The interval at which the contact with the leader is checked.
+/// The interval between two checks of the contact with a leader.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// The name of the stored record that counts the starts of the replica.
 const STARTS_RECORD: &str = "starts";
@@ -66,7 +68,7 @@
     /// A system call failed.
     #[error("{what}: {error}; check the system's limits")]
     System {
-        /// What was requested.
+        /// What the process tried to do.
         what: &'static str,
         /// The system's error.
         error: io::Error,
@@ -80,8 +82,8 @@
     /// The consensus library failed while running.
     #[error("{0}; {advice}", advice = .0.advice)]
     Failed(FatalError),
-    /// One of its tasks has ended.
-    #[error("the task that {0} has ended; restart the replica, and report this with its log")]
+    /// One of its tasks has ended or panicked; the text says what the task does.
+    #[error("the task that {0} has ended unexpectedly; restart the replica, and report this with its log")]
     Ended(&'static str),
 }
 
@@ -96,15 +98,16 @@
     connections: Limiter,
     writes: Limiter,
     peer_messages: Limiter,
-    in_touch: Receiver<bool>,
+    /// See [`LEADER_CONTACT_TIMEOUT`].
+    has_leader_contact: Receiver<bool>,
     stopping: Sender<bool>,
     /// The last log entry on disk at the start.
     last_entry_at_start: u64,
 }
 
 impl Edge {
-    /// Returns whether it has applied what was on its disk at the start, and knows a leader. A leader may have truncated
-    /// some of it.
+    /// Returns whether this replica has applied the log entries that were on its disk at the start (except those that a
+    /// leader has truncated since), knows a leader, and is not stopping.
     fn is_ready(&self) -> bool {
         let status = self.replica.status();
         let required = self.last_entry_at_start.min(status.last_log_index.unwrap_or_default());
@@ -128,13 +131,13 @@
     pub async fn start(config: Config) -> Result<Self, ControlError> {
         let requested = config.listen;
         let listen_error = |error| ControlError::Listen { address: requested, error };
-        // Before the store, so that a second process of the same replica fails on the address.
+        // Listens before opening the store, so that a second process of the same replica fails because of the address.
         let listener = http::listen(requested).map_err(listen_error)?;
         let address = listener.local_addr().map_err(listen_error)?;
         let owner = Owner { cluster: config.cluster.clone(), replica: config.id };
         let state_dir = config.state_dir.clone();
         let opened = tokio::task::spawn_blocking(move || Store::open(&state_dir, &owner)).await;
-        let store = opened.map_err(|_| ControlError::Ended("opens the disk"))??;
+        let store = opened.map_err(|_| ControlError::Ended("opens the store"))??;
         let mut replica_config =
             ReplicaConfig::new(config.id, &config.cluster, config.address, config.peers.clone());
         replica_config.heartbeat_ms = config.election.heartbeat_ms;
@@ -144,14 +147,14 @@
         let last_entry_at_start = replica.status().last_log_index.unwrap_or_default();
 
         let (stopping, _) = channel(false);
-        let (in_touch_sender, in_touch) = channel(false);
+        let (contact_sender, has_leader_contact) = channel(false);
         let (handle, actor) = actor::new(replica.clone(), starts, config.leader.clone());
         let hub = WatchHub::default();
         let mut tasks = JoinSet::new();
         let stop = stopping.subscribe();
         tasks.spawn(async move {
             actor.run(stop).await;
-            "leads"
+            "runs the leader"
         });
         let (task_hub, task_replica) = (hub.clone(), replica.clone());
         tasks.spawn(async move {
@@ -160,8 +163,8 @@
         });
         let (task_hub, task_replica) = (hub.clone(), replica.clone());
         tasks.spawn(async move {
-            check_leader_contact(task_replica, task_hub, in_touch_sender).await;
-            "checks the contact with the leader"
+            monitor_leader_contact(task_replica, task_hub, contact_sender).await;
+            "monitors the contact with a leader"
         });
         let edge = Arc::new(Edge {
             connections: Limiter::new(config.limits.max_connections),
@@ -173,7 +176,7 @@
             store,
             hub,
             actor: handle,
-            in_touch,
+            has_leader_contact,
             stopping,
             last_entry_at_start,
         });
@@ -196,7 +199,7 @@
         let replica = &self.edge.replica;
         tokio::select! {
             failure = replica.fatal_error() => ControlError::Failed(failure),
-            // A failure of the replica may have ended the task.
+            // If a failure of the consensus library has ended the task, that is reported instead.
             Some(ended) = self.tasks.join_next() => match timeout(STOP_TIMEOUT, replica.fatal_error()).await {
                 Ok(failure) => ControlError::Failed(failure),
                 Err(_) => ControlError::Ended(ended.unwrap_or("panicked")),
@@ -231,7 +234,7 @@
         let starts = previous.map_or(0, u64::from_le_bytes) + 1;
         store.put(STARTS_RECORD, &starts.to_le_bytes()).map(|()| starts)
     });
-    Ok(counted.await.map_err(|_| ControlError::Ended("counts its starts"))??)
+    Ok(counted.await.map_err(|_| ControlError::Ended("counts the starts"))??)
 }
 
 /// Runs a replica until SIGTERM or SIGINT.
@@ -240,11 +243,15 @@
 /// Why it did not start, or has failed.
 pub fn run(config: Config) -> Result<(), ControlError> {
     let system_error = |what| move |error| ControlError::System { what, error };
-    let runtime =
-        tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(system_error("runtime"))?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()
+        .map_err(system_error("start the async runtime"))?;
     runtime.block_on(async {
-        let mut terminate = signal(SignalKind::terminate()).map_err(system_error("signal"))?;
-        let mut interrupt = signal(SignalKind::interrupt()).map_err(system_error("signal"))?;
+        let mut terminate =
+            signal(SignalKind::terminate()).map_err(system_error("install a signal handler"))?;
+        let mut interrupt =
+            signal(SignalKind::interrupt()).map_err(system_error("install a signal handler"))?;
         let mut control = Control::start(config).await?;
         let result = tokio::select! {
             error = control.failed() => Err(error),
@@ -301,8 +308,13 @@
     }
 }
 
-/// Tracks whether this replica is in contact with a leader that a majority follows, and ends watches if it is not.
-async fn check_leader_contact(replica: Replica<FleetState>, hub: WatchHub, in_touch: Sender<bool>) {
+/// Checks periodically whether this replica has contact with a leader (see [`LEADER_CONTACT_TIMEOUT`]), publishes the
+/// result by `has_leader_contact`, and ends all watches when the contact is lost.
+async fn monitor_leader_contact(
+    replica: Replica<FleetState>,
+    hub: WatchHub,
+    has_leader_contact: Sender<bool>,
+) {
     let mut leading = replica.watch_leadership();
     let mut last_contact: Option<Instant> = None;
     loop {
@@ -315,11 +327,12 @@
         if has_leader {
             last_contact = Some(started);
         }
-        let is_in_touch = last_contact.is_some_and(|contact| contact.elapsed() < LEADER_CONTACT_TIMEOUT);
-        let changed =
-            in_touch.send_if_modified(|in_touch| std::mem::replace(in_touch, is_in_touch) != is_in_touch);
-        if changed && !is_in_touch {
-            tracing::warn!("no contact with a leader: watches are ended");
+        let is_in_contact = last_contact.is_some_and(|contact| contact.elapsed() < LEADER_CONTACT_TIMEOUT);
+        let changed = has_leader_contact.send_if_modified(|has_leader_contact| {
+            std::mem::replace(has_leader_contact, is_in_contact) != is_in_contact
+        });
+        if changed && !is_in_contact {
+            tracing::warn!("contact with the leader lost: all watches end");
             hub.disconnect_all();
         }
         tokio::select! {
--- a/crates/control/src/hub.rs
+++ b/crates/control/src/hub.rs
@@ -45,7 +45,7 @@
 }
 
 impl<L: Lock<HubState>> WatchHub<L> {
-    /// Publishes a line to all watchers, unless it is not newer than the current one.
+    /// Publishes a line to all watchers if it is newer than the current one.
     pub fn publish(&self, version: u64, line: Bytes) {
         self.update(|state| {
             if state.newest.as_ref().is_none_or(|(newest, _)| *newest < version) {
@@ -59,7 +59,7 @@
         self.update(|state| state.disconnects += 1);
     }
 
-    /// Ends all watches, and new ones too once they have received the newest line.
+    /// Ends all watches once they have received the newest line; the same applies to new ones.
     pub fn close(&self) {
         self.update(|state| state.closed = true);
     }
@@ -92,7 +92,9 @@
 pub struct Watcher<L: Lock<HubState> = Mutex<HubState>> {
     hub: WatchHub<L>,
     id: u64,
+    /// The value of [`HubState::disconnects`] when the watch started.
     disconnects: u64,
+    /// The version of the last line that the watcher has received.
     seen: Option<u64>,
 }
 
@@ -168,7 +170,7 @@
             hub.publish(2, line(2));
             hub.publish(3, line(3));
             hub.close();
-            let seen = watching.join().expect("ends");
+            let seen = watching.join().expect("the thread does not panic");
             assert_eq!(seen.last(), Some(&line(3)));
             assert!(seen.is_sorted() && !seen.contains(&line(1)), "{seen:?}");
             assert_eq!(hub.watcher_count(), 0);
@@ -185,7 +187,7 @@
             hub.disconnect_all();
             let mut second = hub.subscribe(None);
             hub.publish(7, line(7));
-            assert!(watching.join().expect("ends").is_empty());
+            assert!(watching.join().expect("the thread does not panic").is_empty());
             assert_eq!(future::block_on(second.next_line()), Some(line(7)));
         };
         shuttle::check_dfs(run, None);
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -1,5 +1,5 @@
-//! The leader's state beside the log: sessions, promises and leases by its own monotonic clock. It does no I/O: it takes
-//! times and inputs, and returns what to write, reply and probe.
+//! The leader's state that is not in the log: sessions, promises and leases, measured by its own monotonic clock. It does
+//! no I/O: it takes times and inputs, and returns what to write, reply and probe.
 //!
 //! Goal: the log says who is a member and what the pending change is. Whether all members have promised, and whether
 //! silent ones have stopped, depends on time on one process's clock. Design: a [`Leader`] lives for one term. The next
@@ -25,10 +25,10 @@
 //!   first reply; a commit written after the join must count it, and is void if it does not: the leader then goes on
 //!   waiting.
 //! - *Two processes with one name.* A new process with `coexists_with_previous` is a member next to the older one until
-//!   that one's session closes. Any other waits until the older one has provably exited (its address refuses
+//!   the older one closes its session, or is found to have ended. Any other waits until the older one has provably exited (its address refuses
 //!   connections), or has been silent for a session timeout and has no lease; as long as it is alive the new one is
-//!   refused. What remains to operators (or to whoever assigns names) is an older process that is alive, partitioned
-//!   and not fenced.
+//!   refused. The leader cannot detect an older process that is alive, partitioned and not fenced: operators
+//!   (or whoever assigns names) must prevent that.
 //!
 //! A refused connection counts as proof that a process has exited; firewalls in between must drop, not refuse.
 
@@ -97,9 +97,9 @@
     }
 }
 
-/// A duration of the settings is out of its range.
+/// A duration of the settings is out of its range; all are in milliseconds.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{field} = {value} must be at least {minimum} ({reason}) and at most {MAX_DURATION_MS}")]
+#[error("{field} = {value} must be at least {minimum} ms ({reason}) and at most {MAX_DURATION_MS} ms")]
 pub struct LeaderSettingsError {
     field: &'static str,
     value: Millis,
@@ -111,29 +111,29 @@
 const MAX_DURATION_MS: Millis = 600_000.0;
 
 impl LeaderSettings {
-    /// Checks that the durations fit together.
+    /// Checks that the durations are in range and consistent with each other.
     ///
     /// # Errors
-    /// Names the first one that does not fit.
+    /// Names the first invalid one.
     pub fn check(&self) -> Result<(), LeaderSettingsError> {
         let two_heartbeats = 2.0 * self.heartbeat_interval_ms;
         let lease_with_drift = self.lease_ms * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
         let rules = [
-            ("beat_ms", self.heartbeat_interval_ms, 1.0, "a heartbeat"),
-            ("reserve_ms", self.commit_reserve_ms, 1.0, "the time of a write"),
-            ("stage_ms", self.stage_timeout_ms, two_heartbeats, "two heartbeats"),
+            ("beat_ms", self.heartbeat_interval_ms, 1.0, "the minimum heartbeat interval"),
+            ("reserve_ms", self.commit_reserve_ms, 1.0, "the minimum time for a write"),
+            ("stage_ms", self.stage_timeout_ms, two_heartbeats, "2 beat_ms"),
             (
                 "promise_ms",
                 self.promise_ms,
                 (two_heartbeats + self.commit_reserve_ms) / (1.0 - MAX_CLOCK_DRIFT),
-                "two heartbeats and the reserve",
+                "2 beat_ms + reserve_ms, and clock drift",
             ),
-            ("lease_ms", self.lease_ms, two_heartbeats, "two heartbeats"),
+            ("lease_ms", self.lease_ms, two_heartbeats, "2 beat_ms"),
             (
                 "session_ms",
                 self.session_timeout_ms,
                 lease_with_drift.max(two_heartbeats),
-                "a lease, with clock drift",
+                "lease_ms and clock drift, or 2 beat_ms",
             ),
         ];
         for (field, value, minimum, reason) in rules {
@@ -145,7 +145,7 @@
     }
 }
 
-/// An event.
+/// An event that the leader handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A heartbeat was received.
@@ -155,13 +155,14 @@
         /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// The confirmation that was requested at `requested_at` has succeeded: the replica still led *in this term* at some
-    /// moment after that, and the fleet state given contains all that was committed by then.
+    /// The confirmation that was requested at `requested_at` has succeeded: after that time this replica still led *in this
+    /// term*, and the fleet state passed with this input contains everything that was committed by then.
     Confirmed {
         /// The time of the call that returned [`Effect::ConfirmLeadership`].
         requested_at: Millis,
     },
-    /// That confirmation has failed. (If the term has ended, drop this leader.)
+    /// The confirmation that was requested at `requested_at` has failed. If the term has ended, the caller drops this
+    /// leader instead.
     ConfirmFailed {
         /// The time of the call that returned [`Effect::ConfirmLeadership`].
         requested_at: Millis,
@@ -230,8 +231,12 @@
     /// The name is invalid.
     #[error("the node's name must have 1 to {MAX_NODE_NAME_BYTES} bytes")]
     InvalidName,
-    /// It could not be confirmed in time that this replica leads, or that another process has exited.
-    #[error("no reply was possible in time: try again")]
+    /// The heartbeat has waited for a session timeout: this replica's leadership was not confirmed, the process's join was
+    /// not written, or an older process of its name has not provably ended.
+    #[error(
+        "no reply within the session timeout: leadership was not confirmed, or the process could not join because of an \
+         older process or a failed write; try again"
+    )]
     TimedOut,
     /// The same process has sent another heartbeat since.
     #[error("a newer heartbeat of this process has arrived")]
@@ -249,17 +254,18 @@
     promise_until: Option<Millis>,
     /// Why it cannot apply that change.
     refusal: Option<String>,
-    /// When its address was last probed, and when it last did not refuse.
+    /// When its address was last probed.
     probed_at: Millis,
+    /// When a probe last ended without a refused connection.
     alive_at: Option<Millis>,
 }
 
-/// A heartbeat that waits for its reply.
+/// A heartbeat that has no reply yet.
 #[derive(Clone, Debug, PartialEq)]
 struct PendingHeartbeat {
     token: u64,
     received_at: Millis,
-    /// The first round of confirmation that started after it was received.
+    /// The first confirmation of leadership that starts after it was received: a reply requires this one or a later one.
     round: u64,
     liveness_addr: SocketAddr,
     coexists_with_previous: bool,
@@ -276,8 +282,8 @@
     started_at: Millis,
     /// Its commit or abort is being written.
     deciding: bool,
-    /// Members that a commit in flight counts as fenced, which get no lease.
-    frozen: BTreeSet<Process>,
+    /// Members that get no lease, because a commit in flight counts them as fenced.
+    lease_denied: BTreeSet<Process>,
 }
 
 /// The leader of one term. Created when the replica becomes leader, dropped when the term ends.
@@ -285,23 +291,28 @@
 pub struct Leader {
     settings: LeaderSettings,
     term: u64,
-    /// The version that sessions and change were last updated from.
+    /// The version of the fleet state that `sessions` and `staging` were last updated from.
     synced_version: Option<u64>,
-    /// The agreed state as of then.
+    /// The ID of the agreed state at that version.
     agreed_state: Option<StateId>,
     sessions: BTreeMap<Process, Session>,
     pending_heartbeats: BTreeMap<Process, PendingHeartbeat>,
     staging: Option<Staging>,
     /// Processes with a command about them in flight.
     in_flight: BTreeSet<Process>,
-    /// Rounds of confirmation started and succeeded, and when the one in flight was requested.
+    /// The number of confirmations of leadership that were started.
     rounds_started: u64,
+    /// The number of the last confirmation that succeeded.
     rounds_confirmed: u64,
+    /// When the confirmation in flight was requested.
     confirm_requested_at: Option<Millis>,
-    /// The earliest times for the next confirmation and the next write, delayed after a failure.
+    /// The earliest time for the next confirmation, delayed after a failure.
     next_confirm_at: Millis,
+    /// The earliest time for the next join, commit or abort, delayed after a failure.
     next_write_at: Millis,
+    /// The earliest time to look for silent members to probe.
     next_probe_at: Millis,
+    /// The time of the last call.
     now: Millis,
 }
 
@@ -332,8 +343,9 @@
         self.handle_all(now, [input], state)
     }
 
-    /// Handles all events up to `now`, in order. The effects are determined once for all of them, because that takes time
-    /// proportional to the number of members.
+    /// Handles `inputs` in order, all at the time `now`; `state` is the replica's fleet state at this moment. Replies,
+    /// decisions and probes are determined once, after the last input, because that takes time proportional to the number of
+    /// members.
     pub fn handle_all(
         &mut self,
         now: Millis,
@@ -346,7 +358,7 @@
         for input in inputs {
             self.handle_input(now, input, state, &mut effects);
         }
-        self.join_waiting(now, state, &mut effects);
+        self.admit_waiting_processes(now, state, &mut effects);
         self.reply_to_ready(now, state, &mut effects);
         self.decide_change(now, state, &mut effects);
         self.probe_silent(now, state, &mut effects);
@@ -431,7 +443,7 @@
         let id = state.policy_state().pending_change().map(|change| change.id);
         if self.staging.as_ref().map(|staging| staging.id) != id {
             self.staging =
-                id.map(|id| Staging { id, started_at: now, deciding: false, frozen: BTreeSet::new() });
+                id.map(|id| Staging { id, started_at: now, deciding: false, lease_denied: BTreeSet::new() });
             for session in self.sessions.values_mut() {
                 (session.promise_until, session.refusal) = (None, None);
             }
@@ -513,9 +525,9 @@
         }
     }
 
-    /// Lets waiting processes join. A heartbeat that has waited for a session timeout is refused: its sender is gone, or
-    /// sends another one.
-    fn join_waiting(&mut self, now: Millis, state: &FleetState, effects: &mut Vec<Effect>) {
+    /// Writes the joins of waiting processes that no older process of the same name blocks. Refuses heartbeats that have
+    /// waited for a session timeout: their senders have gone, or will send another one.
+    fn admit_waiting_processes(&mut self, now: Millis, state: &FleetState, effects: &mut Vec<Effect>) {
         let session_timeout_ms = self.settings.session_timeout_ms;
         self.pending_heartbeats.retain(|_, pending| {
             let keep = now - pending.received_at < session_timeout_ms;
@@ -570,7 +582,8 @@
         }
     }
 
-    /// Replies to members and former members whose heartbeats were received before a confirmed round started.
+    /// Replies to members and former members whose heartbeats were received before a successful confirmation of leadership
+    /// was started.
     fn reply_to_ready(&mut self, now: Millis, state: &FleetState, effects: &mut Vec<Effect>) {
         let roster = state.roster();
         let is_ready = |process: &Process, pending: &PendingHeartbeat| {
@@ -590,22 +603,23 @@
         let agreed = OnceCell::new();
         for process in ready {
             let PendingHeartbeat { token, known_state, .. } =
-                self.pending_heartbeats.remove(&process).expect("it was just found");
+                self.pending_heartbeats.remove(&process).expect("the process was found in this map");
             let update = match known_state.filter(|_| known_state == self.agreed_state) {
                 Some(id) => AgreedUpdate::Unchanged(id),
                 None => AgreedUpdate::Changed(agreed.get_or_init(|| state.agreed_state()).clone()),
             };
             let entry = roster.member(&process);
             let fenced = entry.is_some_and(|entry| entry.fenced);
-            let is_frozen = self.staging.as_ref().is_some_and(|staging| staging.frozen.contains(&process));
-            if let Some(session) = self.sessions.get_mut(&process).filter(|_| fenced && !is_frozen) {
+            let is_lease_denied =
+                self.staging.as_ref().is_some_and(|staging| staging.lease_denied.contains(&process));
+            if let Some(session) = self.sessions.get_mut(&process).filter(|_| fenced && !is_lease_denied) {
                 session.lease_granted_at = now;
             }
             let reply = Box::new(HeartbeatReply {
                 stamp: Stamp { term: self.term, time: now },
                 update,
                 heartbeat_interval_ms: self.settings.heartbeat_interval_ms,
-                lease_ms: (fenced && !is_frozen).then_some(self.settings.lease_ms),
+                lease_ms: (fenced && !is_lease_denied).then_some(self.settings.lease_ms),
                 fenced,
                 promise_ms: self.settings.promise_ms,
                 superseded: entry.is_none(),
@@ -616,12 +630,12 @@
         }
     }
 
-    /// Returns whether the member's lease has expired by its own clock too.
+    /// Returns whether the member's lease has expired, also by the member's own clock.
     fn is_lease_expired(&self, now: Millis, session: &Session) -> bool {
         now > session.lease_granted_at + self.settings.lease_ms * (1.0 + MAX_CLOCK_DRIFT)
     }
 
-    /// Decides the pending change, if that is possible now.
+    /// Writes the commit or abort of the pending change, if one of them is possible now.
     fn decide_change(&mut self, now: Millis, state: &FleetState, effects: &mut Vec<Effect>) {
         let Some(staging) = self.staging.as_ref().filter(|staging| !staging.deciding) else { return };
         if now < self.next_write_at {
@@ -649,7 +663,7 @@
                 fenced.insert(process.clone());
             } else {
                 missing.insert(process.name.clone());
-                // A silent member is worth waiting for past the deadline, because its lease expires.
+                // If the member has been silent since the deadline, waits on until its lease has expired.
                 waits_for_lease |= may_fence
                     && entry.fenced
                     && session.last_heartbeat_at <= stage_deadline
@@ -673,7 +687,7 @@
         let staging = self.staging.as_mut().expect("a change is pending");
         staging.deciding = true;
         if matches!(command, PolicyCommand::Commit { .. }) {
-            staging.frozen.append(&mut fenced);
+            staging.lease_denied.append(&mut fenced);
         }
         effects.push(Effect::Write(Command::Policy(command)));
     }
@@ -708,7 +722,7 @@
                 };
                 staging.deciding = false;
                 match outcome {
-                    Some(Outcome::MissingMembers { .. }) => staging.frozen.clear(),
+                    Some(Outcome::MissingMembers { .. }) => staging.lease_denied.clear(),
                     Some(_) => {}
                     None => self.next_write_at = now + self.retry_delay(),
                 }
--- a/crates/control/src/limiter.rs
+++ b/crates/control/src/limiter.rs
@@ -125,7 +125,7 @@
             future::block_on(limiter.drained());
             assert_eq!(writing.load(Ordering::SeqCst), 0, "a write is in flight");
             assert_eq!(limiter.acquire().err(), Some(LimitError::Stopped));
-            writer.join().expect("ends");
+            writer.join().expect("the thread does not panic");
         };
         shuttle::check_dfs(run, None);
     }
--- a/crates/control/src/roster.rs
+++ b/crates/control/src/roster.rs
@@ -20,7 +20,7 @@
 pub const MAX_PROCESSES_PER_NODE: usize = 4;
 /// The maximum length of a node's name, in bytes.
 pub const MAX_NODE_NAME_BYTES: usize = 128;
-/// The number of processes that have left and are remembered.
+/// The maximum number of former members that are remembered.
 pub const MAX_FORMER_MEMBERS: usize = 1024;
 
 /// A member's entry in the roster.
@@ -29,7 +29,7 @@
     /// The address that the process listens on until it exits.
     #[serde(rename = "life")]
     pub liveness_addr: SocketAddr,
-    /// It admits no request without a lease, from its join to its end.
+    /// It admits no request without a lease, from its join until it leaves the roster.
     pub fenced: bool,
 }
 
@@ -103,7 +103,7 @@
         self.members.get(process)
     }
 
-    /// Returns whether the process is a former member, as far as those are remembered.
+    /// Returns whether the process is one of the last [`MAX_FORMER_MEMBERS`] former members.
     pub fn has_left(&self, process: &Process) -> bool {
         self.former_members.contains(process)
     }
--- a/crates/control/src/sync.rs
+++ b/crates/control/src/sync.rs
@@ -30,6 +30,6 @@
     }
 
     fn with<R>(&self, f: impl FnOnce(&mut T) -> R) -> R {
-        f(&mut self.lock().expect("no holder panics"))
+        f(&mut self.lock().expect("the lock is not poisoned"))
     }
 }
--- a/crates/control/src/tally.rs
+++ b/crates/control/src/tally.rs
@@ -18,7 +18,7 @@
 //!   where evidence is thin, a faulty voter that claims much weighs no more than the median voter.
 //! - *Removal.* At least `Voters` are in favor, with `Evidence` failures in sum (none contributes more than its weight)
 //!   and a `Majority` of the total weight, and they are from two zones if the voters are from two or more. Otherwise the
-//!   zones are evaluated one by one, and the server is removed for those where the first three rules hold. Fewer than
+//!   zones are evaluated one by one, and the server is removed for those that meet the first three conditions. Fewer than
 //!   `Voters` faulty voters cannot cause anything, not even a query; more of them cannot as long as they weigh less than
 //!   `Majority` of a zone's voters and of all voters.
 //! - *Extension to more zones.* The voters behind a verdict for some zones stop sending to the server, so they have no
@@ -61,7 +61,7 @@
 /// How long a server's past terms count after its return, in terms of the maximum length.
 const RETURN_MEMORY_TERMS: Millis = 12.0;
 
-/// An event.
+/// An event that the tally handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A heartbeat was received.
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Handles all events up to `now`, in order; `state` is the replica's fleet state at this moment. Returns the commands
+    /// Handles `inputs` in order, all at the time `now`; `state` is the replica's fleet state at this moment. Returns the commands
     /// to write, whose results must be reported by [`Input::WriteResult`]. It must be called before the leader writes
     /// its replies, so that they contain the current queries.
     pub fn handle_all(
@@ -234,7 +234,7 @@
         let replaced_boots = match self.voters.get(&name) {
             Some(known) if known.boot == boot => {
                 if echoed_time < known.echoed_time {
-                    return; // A newer heartbeat has overtaken it.
+                    return; // A heartbeat that was sent later has arrived earlier.
                 }
                 known.replaced_boots.clone()
             }
@@ -354,7 +354,7 @@
 
     /// Removes the servers with sufficient votes, the worst first.
     fn remove_servers(&mut self, poll: &Poll, verdicts: &VerdictState, commands: &mut Vec<VerdictCommand>) {
-        let mut condemned = Vec::new();
+        let mut removals = Vec::new();
         for (server, query) in self.queries.iter_mut().filter(|(_, query)| query.suspended.is_none()) {
             if self.in_flight.contains_key(server) {
                 continue;
@@ -379,13 +379,13 @@
                     .collect();
                 Some(zones).filter(|zones| !zones.is_empty())
             };
-            let is_over =
-                poll.now >= query.queried_at + poll.settings.ballot_ttl || total.is_hopeless(poll.settings);
+            let is_over = poll.now >= query.queried_at + poll.settings.ballot_ttl
+                || total.is_far_from_majority(poll.settings);
             let weight = total.result.in_favor.weight;
             match zones {
                 Some(zones) => {
                     let zone = server_zone(&ballots);
-                    condemned.push((server.clone(), query.born_ms, zones, total.result, zone))
+                    removals.push((server.clone(), query.born_ms, zones, total.result, zone))
                 }
                 None if is_over => {
                     query.suspended = Some((poll.now + poll.settings.evidence_window, weight));
@@ -394,14 +394,14 @@
                 None => {}
             }
         }
-        condemned.sort_by_key(|(.., result, _)| std::cmp::Reverse(result.in_favor.weight));
-        for (server, born_ms, zones, vote_result, zone) in condemned {
+        removals.sort_by_key(|(.., result, _)| std::cmp::Reverse(result.in_favor.weight));
+        for (server, born_ms, zones, vote_result, zone) in removals {
             let up_servers = poll.up_servers(&zone).unwrap_or(0);
             let in_flight = self.in_flight.values().flatten().filter(|other| **other == zone).count();
             let others =
                 verdicts.entries().filter(|(other, entry)| **other != server && entry.zone == zone).count();
             if others + in_flight >= max_removed(poll.settings.removal_cap, up_servers) {
-                let query = self.queries.get_mut(&server).expect("each condemned server has a query");
+                let query = self.queries.get_mut(&server).expect("each server to remove has a query");
                 let until = poll.now + poll.settings.evidence_window;
                 query.suspended = Some((until, vote_result.in_favor.weight));
                 query.blocked_by_cap = true;
--- a/crates/control/src/tally/poll.rs
+++ b/crates/control/src/tally/poll.rs
@@ -137,7 +137,7 @@
         let max_weight = self.max_weight(ballots);
         let answered: BTreeSet<&str> = ballots.iter().map(|valid| valid.voter).collect();
         let pending = self.active_members.iter().filter(|member| {
-            let may_vote = zone.is_none() || member.zone.is_none_or(|its| its == zone);
+            let may_vote = zone.is_none() || member.zone.is_none_or(|member_zone| member_zone == zone);
             may_vote
                 && !answered.contains(member.name)
                 && member.echoed_time.is_none_or(|time| time <= queried_at)
@@ -170,8 +170,8 @@
         self.zones.0 >= self.zones.1.min(2)
     }
 
-    /// Returns whether no answer is outstanding and the weight in favor is far from a majority.
-    pub fn is_hopeless(&self, settings: &VoteSettings) -> bool {
+    /// Returns whether no answer is outstanding and the weight in favor is less than half of what a removal needs.
+    pub fn is_far_from_majority(&self, settings: &VoteSettings) -> bool {
         let VoteResult { in_favor, against } = &self.result;
         let total = f64::from(in_favor.weight) + f64::from(against.weight);
         self.pending_weight == 0 && 2.0 * f64::from(in_favor.weight) < settings.majority * total
--- a/crates/control/src/tally/view.rs
+++ b/crates/control/src/tally/view.rs
@@ -1,4 +1,4 @@
-//! The operators' view of votes: who voted what on which evidence, when it expires, and what the caps hold back.
+//! The operators' view of votes: the ballots with their evidence and expiry, and the removals that only a cap prevents.
 
 use member::votes::{Evidence, Vote};
 use member::Millis;
@@ -85,7 +85,7 @@
     /// For or against the removal.
     #[serde(rename = "stand")]
     pub vote: Vote,
-    /// What the vote rests on.
+    /// The evidence that the vote is based on.
     pub evidence: Evidence,
     /// The time until it expires, unless it is renewed.
     #[serde(rename = "lapses_ms")]
--- a/crates/control/src/verdicts.rs
+++ b/crates/control/src/verdicts.rs
@@ -1,6 +1,6 @@
 //! The replicated verdicts: which servers are removed by votes, the removal caps, and how past verdicts ended.
 //!
-//! Goal: a cap on the number of removed servers holds only where all removals are seen in one order. Design: the
+//! Goal: a cap on the number of removed servers can be enforced only where all removals are seen in one order. Design: the
 //! leader's [`crate::tally`] counts votes and writes commands; this state machine counts removals in the log's order, and
 //! refuses those that exceed a zone's cap. It has no clock: the leader measures the terms, and each command about a
 //! verdict names the version at which the verdict last changed, so that a delayed command has no effect.
@@ -153,7 +153,7 @@
     settings.check().ok().map(|()| settings)
 }
 
-/// Returns only the cap, if the policy enables votes.
+/// Returns the cap, if the policy enables votes, without parsing any other field; the default if it is missing or invalid.
 fn removal_cap(policy: &Policy) -> Option<f64> {
     let cap = policy.0.get("Votes")?.as_object()?.get("Cap").and_then(Value::as_f64);
     Some(cap.filter(|cap| *cap > 0.0 && *cap <= 1.0).unwrap_or(VoteSettings::default().removal_cap))
