--- a/crates/control/examples/fleet/main.rs
+++ b/crates/control/examples/fleet/main.rs
@@ -3,18 +3,18 @@
 
 mod sim;
 
-use sim::{max_mixed_ms, quantile, run, Plan};
+use sim::{max_mixed_ms, quantile, run, SimulationConfig};
 
 fn main() {
     println!(
-        "Policies of 20 and of 2,000 classes: 0.7 and 64 KB; ms: p50 / p99. Mixed: two policies in service at once, bound {:.0} ms.",
+        "Policies of 20 and of 2,000 classes: 0.7 and 64 KB; ms: p50 / p99. Mixed: two policies in service at once, at most {:.0} ms.",
         max_mixed_ms()
     );
-    println!("| nodes | classes | leader dies | commit | active everywhere | mixed, most | aborted | messages | KB a change | idle messages/s | idle KB/s |");
+    println!("| nodes | classes | leader dies | commit | active everywhere | mixed, max | aborted | messages | KB a change | idle messages/s | idle KB/s |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (classes, changes, leader_dies) in [(20, 20, false), (20, 20, true), (2000, 2, false)] {
         for nodes in [30, 300, 1000] {
-            let report = run(Plan { nodes, changes, classes, leader_dies, seed: 1 });
+            let report = run(SimulationConfig { nodes, changes, classes, leader_dies, seed: 1 });
             let completed = report.active_everywhere_ms.len().max(1) as u64;
             println!(
                 "| {nodes} | {classes} | {} | {:.0} / {:.0} | {:.0} / {:.0} | {:.0} | {} | {} | {} | {:.0} | {:.0} |",
--- a/crates/control/examples/fleet/sim.rs
+++ b/crates/control/examples/fleet/sim.rs
@@ -19,17 +19,18 @@
 /// The interval between proposals.
 const PROPOSAL_INTERVAL_MS: Millis = 6000.0;
 
-/// The parameters of a simulation.
+/// The parameters of a simulation. The changes are proposed one after the other, 6 s apart.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct SimulationConfig {
     /// The number of nodes.
     pub nodes: usize,
-    /// The number of changes, which are proposed one after the other.
+    /// The number of changes.
     pub changes: usize,
-    /// The number of classes in each policy, of some 32 bytes each.
+    /// The number of classes in each policy, of about 32 bytes each.
     pub classes: usize,
-    /// The leader dies shortly after each proposal.
+    /// Whether the leader is killed, up to 60 ms after each proposal.
     pub leader_dies: bool,
+    /// The seed of all random delays, clock rates and elections.
     pub seed: u64,
 }
 
@@ -42,12 +43,15 @@
     pub active_everywhere_ms: Vec<Millis>,
     /// From the first possible admission under a new epoch to the last one under the old epoch, sorted.
     pub mixed_ms: Vec<Millis>,
-    /// The total number of messages, and their bytes, from each proposal to its activation on the last node.
+    /// The number of messages from each proposal to its activation on the last node, summed over all changes.
     pub messages: u64,
+    /// The size of these messages, in bytes of JSON.
     pub bytes: u64,
-    /// The same in the last second, while no change is pending.
+    /// The number of messages in the last second of the simulation, while no change is pending.
     pub idle_messages: f64,
+    /// The size of these messages, in bytes of JSON.
     pub idle_bytes: f64,
+    /// The number of changes that were aborted.
     pub aborted_count: usize,
 }
 
@@ -108,7 +112,7 @@
 }
 
 struct Fleet {
-    plan: Plan,
+    config: SimulationConfig,
     rng: Pcg64Mcg,
     now: Millis,
     last_event_id: u64,
@@ -133,11 +137,12 @@
 }
 
 /// Runs a simulation.
-pub fn run(plan: Plan) -> Report {
-    let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
-    let nodes = (0..plan.nodes).map(|node| {
+pub fn run(config: SimulationConfig) -> Report {
+    let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
+    let nodes = (0..config.nodes).map(|node| {
         let process = Process { name: format!("node-{node}"), boot: rng.random() };
-        let liveness_addr = "127.0.0.1:9".parse().expect("an address");
+        // The simulation makes no connection, so any address will do.
+        let liveness_addr = "127.0.0.1:9".parse().expect("a valid address");
         let config = MemberConfig {
             process,
             liveness_addr,
@@ -149,7 +154,7 @@
     });
     let nodes = nodes.collect();
     let mut fleet = Fleet {
-        plan,
+        config,
         rng,
         now: 0.0,
         last_event_id: 0,
@@ -167,14 +172,14 @@
         report: Report::default(),
     };
     fleet.after(0.0, Event::LeaderElected);
-    for node in 0..plan.nodes {
+    for node in 0..config.nodes {
         let delay = fleet.rng.random_range(0.0..1000.0);
         fleet.after(delay, Event::SendHeartbeat(node));
     }
-    for change in 0..plan.changes {
+    for change in 0..config.changes {
         fleet.after(10_000.0 + PROPOSAL_INTERVAL_MS * change as Millis, Event::Propose);
     }
-    fleet.run(10_000.0 + PROPOSAL_INTERVAL_MS * plan.changes as Millis);
+    fleet.run(10_000.0 + PROPOSAL_INTERVAL_MS * config.changes as Millis);
     let report = &mut fleet.report;
     for values in [&mut report.commit_ms, &mut report.active_everywhere_ms, &mut report.mixed_ms] {
         values.sort_by(f64::total_cmp);
@@ -223,14 +228,14 @@
         match event {
             Event::SendHeartbeat(node) => {
                 let clock = self.nodes[node].clock(self.now);
-                let other = &mut self.nodes[node];
-                if other.pending.is_some() || clock + 0.001 < other.member.next_heartbeat_at() {
+                let node_state = &mut self.nodes[node];
+                if node_state.pending.is_some() || clock + 0.001 < node_state.member.next_heartbeat_at() {
                     return; // An earlier event has already sent it.
                 }
                 self.last_token += 1;
                 let token = self.last_token;
-                other.pending = Some((token, clock));
-                let heartbeat = other.member.heartbeat(clock);
+                node_state.pending = Some((token, clock));
+                let heartbeat = node_state.member.heartbeat(clock);
                 self.count_message(&heartbeat);
                 let delay = self.link_delay();
                 self.after(delay, Event::HeartbeatArrives { node, token, heartbeat });
@@ -252,22 +257,22 @@
             }
             Event::ReplyArrives { node, token, reply } => {
                 let now = self.now;
-                let other = &mut self.nodes[node];
-                let Some((_, sent_at)) = other.pending.take_if(|(pending, _)| *pending == token) else {
+                let node_state = &mut self.nodes[node];
+                let Some((_, sent_at)) = node_state.pending.take_if(|(pending, _)| *pending == token) else {
                     return;
                 };
                 let (clock, before, admits) =
-                    (other.clock(now), other.member.active_epoch(), other.admits(now));
-                let effects = other.member.on_reply(sent_at, *reply, clock);
+                    (node_state.clock(now), node_state.member.active_epoch(), node_state.admits(now));
+                let effects = node_state.member.on_reply(sent_at, *reply, clock);
                 self.carry_out(node, effects, before, admits);
                 self.schedule_heartbeat(node);
             }
             Event::WatchEventArrives { node, agreed } => {
                 let now = self.now;
-                let other = &mut self.nodes[node];
+                let node_state = &mut self.nodes[node];
                 let (clock, before, admits) =
-                    (other.clock(now), other.member.active_epoch(), other.admits(now));
-                let effects = other.member.on_agreed_state(*agreed, clock);
+                    (node_state.clock(now), node_state.member.active_epoch(), node_state.admits(now));
+                let effects = node_state.member.on_agreed_state(*agreed, clock);
                 self.carry_out(node, effects, before, admits);
             }
             Event::Checked { node, change } => {
@@ -302,14 +307,15 @@
     }
 
     fn schedule_heartbeat(&mut self, node: usize) {
-        let other = &self.nodes[node];
-        let delay = (other.member.next_heartbeat_at() - other.clock(self.now)).max(0.0) / other.clock_rate;
+        let node_state = &self.nodes[node];
+        let delay = (node_state.member.next_heartbeat_at() - node_state.clock(self.now)).max(0.0)
+            / node_state.clock_rate;
         self.after(delay + 0.001, Event::SendHeartbeat(node));
     }
 
     fn propose(&mut self) {
         let classes =
-            (0..self.plan.classes).map(|class| format!("{{\"Name\":\"class-{class}\",\"Slo\":0.2}}"));
+            (0..self.config.classes).map(|class| format!("{{\"Name\":\"class-{class}\",\"Slo\":0.2}}"));
         let policy = format!("{{\"Classes\":[{}]}}", classes.collect::<Vec<_>>().join(","));
         let policy: Policy = serde_json::from_str(&policy).expect("JSON");
         let base_epoch = self.log.policy_state().epoch();
@@ -319,12 +325,12 @@
         self.measured = Some(MeasuredChange {
             proposed_at: self.now,
             epoch,
-            missing_nodes: self.plan.nodes,
+            missing_nodes: self.config.nodes,
             first_new_at: None,
             last_old_at: self.now,
         });
         self.handle_input(Input::Applied);
-        if self.plan.leader_dies {
+        if self.config.leader_dies {
             let delay = self.rng.random_range(0.0..60.0);
             self.after(delay, Event::LeaderDies);
         }
--- a/crates/control/examples/votes/main.rs
+++ b/crates/control/examples/votes/main.rs
@@ -3,14 +3,14 @@
 
 mod sim;
 
-use sim::{run, without_votes, Plan, Report};
+use sim::{run, without_votes, Report, SimulationConfig};
 
 const SEEDS: u64 = 20;
 
 /// Returns a simulation with a server that turns bad after 10 s; with `thin` traffic there is little evidence per node.
-fn bad_server(nodes: usize, thin: bool, seed: u64) -> Plan {
+fn bad_server(nodes: usize, thin: bool, seed: u64) -> SimulationConfig {
     let (servers, servers_per_node, rate) = if thin { (9, 9, 0.1) } else { (nodes, 8, 1.0) };
-    Plan {
+    SimulationConfig {
         nodes,
         servers,
         servers_per_node,
@@ -40,8 +40,8 @@
 }
 
 /// Runs the simulations, each on a thread of its own.
-fn run_all(plans: impl Iterator<Item = Plan>) -> Vec<Report> {
-    let threads: Vec<_> = plans.map(|plan| std::thread::spawn(move || run(plan))).collect();
+fn run_all(configs: impl Iterator<Item = SimulationConfig>) -> Vec<Report> {
+    let threads: Vec<_> = configs.map(|config| std::thread::spawn(move || run(config))).collect();
     threads.into_iter().map(|thread| thread.join().expect("the simulation ends")).collect()
 }
 
@@ -60,8 +60,8 @@
 }
 
 fn main() {
-    println!("{SEEDS} seeds a row; s, p50 / p99. Removed: from the first failure to the verdict; heard: to the last node.");
-    println!("| traffic | nodes | removed | heard | failures paid | alone: the last node | paid | B a node and s, calm | suspect | not removed |");
+    println!("{SEEDS} seeds a row; s, p50 / p99. Removed: from the first failure to the verdict; known: until the last node knows it.");
+    println!("| traffic | nodes | removed | known | failures | without votes: last ejection | failures | vote B per node and s, no suspect | suspect | not removed |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for thin in [false, true] {
         let mut costs = Vec::new();
@@ -94,19 +94,19 @@
             costs.push((nodes as f64, mean(&failures)));
         }
         let (a, b, explained) = fit(&costs);
-        println!("\nfailures paid = {a:.1} + {b:.1} ln(nodes), r2 {explained:.2}, of {costs:?}\n");
+        println!("\nfailures = {a:.1} + {b:.1} ln(nodes), r2 {explained:.2}, of {costs:?}\n");
     }
-    println!("| traffic | nodes | honest failures | simulated | wrong removals an hour | B a node and s |");
+    println!("| traffic | nodes | failures of good servers | simulated | wrong removals per hour | vote B per node and s |");
     println!("| --- | --- | --- | --- | --- | --- |");
     let sizes = [(30, 240.0), (300, 24.0), (1000, 6.0)];
     let rows =
         [false, true].into_iter().flat_map(|thin| sizes.map(|(nodes, minutes)| (thin, nodes, minutes)));
     let rows: Vec<_> = rows.flat_map(|row| [0.01, 0.05].map(|ratio| (row, ratio))).collect();
-    let plans = rows.iter().map(|&((thin, nodes, minutes), good_failure_ratio)| {
+    let configs = rows.iter().map(|&((thin, nodes, minutes), good_failure_ratio)| {
         let end = 60_000.0 * minutes;
-        Plan { good_failure_ratio, bad_at: None, end, ..bad_server(nodes, thin, 1) }
+        SimulationConfig { good_failure_ratio, bad_at: None, end, ..bad_server(nodes, thin, 1) }
     });
-    for (&((thin, nodes, minutes), good_failure_ratio), report) in rows.iter().zip(run_all(plans)) {
+    for (&((thin, nodes, minutes), good_failure_ratio), report) in rows.iter().zip(run_all(configs)) {
         println!(
             "| {} | {nodes} | {:.0}% | {minutes:.0} min | {:.2} | {:.0} |",
             if thin { "thin" } else { "8 servers each" },
--- a/crates/control/examples/votes/sim.rs
+++ b/crates/control/examples/votes/sim.rs
@@ -21,8 +21,10 @@
 
 /// The parameters of a simulation.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct SimulationConfig {
+    /// The number of nodes.
     pub nodes: usize,
+    /// The number of servers.
     pub servers: usize,
     /// The number of servers that each node sends to.
     pub servers_per_node: usize,
@@ -30,9 +32,11 @@
     pub rate: f64,
     /// The fraction of requests to a good server that fail.
     pub good_failure_ratio: f64,
-    /// When the first server stops answering.
+    /// When the first server stops answering; `None` for never.
     pub bad_at: Option<Millis>,
+    /// When the simulation ends.
     pub end: Millis,
+    /// The seed of all random delays and failures.
     pub seed: u64,
 }
 
@@ -85,7 +89,7 @@
 }
 
 struct Fleet {
-    plan: Plan,
+    config: SimulationConfig,
     settings: VoteSettings,
     rng: Pcg64Mcg,
     now: Millis,
@@ -121,9 +125,9 @@
 }
 
 /// Runs a simulation to its end, or until all nodes know the verdict on the bad server.
-pub fn run(plan: Plan) -> Report {
+pub fn run(config: SimulationConfig) -> Report {
     let settings = VoteSettings::default();
-    let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
     let mut log = FleetState::new();
     let policy = Policy(
         [("Votes".to_owned(), serde_json::to_value(&settings).expect("settings serialize"))]
@@ -135,7 +139,7 @@
         PolicyCommand::Commit { change: ChangeId(1), staged_members: vec![], fenced_members: vec![] };
     log.apply(2, &Command::Policy(commit));
     let mut nodes = Vec::new();
-    for node in 0..plan.nodes {
+    for node in 0..config.nodes {
         let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
         let join = RosterCommand::Join {
             process,
@@ -145,12 +149,12 @@
             active_epoch: None,
         };
         log.apply(log.version() + 1, &Command::Roster(join));
-        let mut servers: Vec<usize> = (0..plan.servers).collect();
-        for index in 0..plan.servers_per_node {
-            let other = rng.random_range(index..plan.servers);
+        let mut servers: Vec<usize> = (0..config.servers).collect();
+        for index in 0..config.servers_per_node {
+            let other = rng.random_range(index..config.servers);
             servers.swap(index, other);
         }
-        servers.truncate(plan.servers_per_node);
+        servers.truncate(config.servers_per_node);
         nodes.push(Node {
             servers,
             observations: BTreeMap::new(),
@@ -175,9 +179,9 @@
         unaware_nodes: 0,
         bytes: (0, 0),
         report: Report::default(),
-        plan,
+        config,
     };
-    for node in 0..fleet.plan.nodes {
+    for node in 0..fleet.config.nodes {
         let delay = fleet.rng.random_range(0.0..HEARTBEAT_INTERVAL_MS);
         fleet.after(delay, Event::SendHeartbeat(node));
         fleet.schedule_request(node);
@@ -188,20 +192,21 @@
 
 impl Fleet {
     fn run(&mut self) {
-        let bad_at = self.plan.bad_at.unwrap_or(self.plan.end);
+        let bad_at = self.config.bad_at.unwrap_or(self.config.end);
         let per_node_and_s =
             |bytes: u64, ms: Millis, nodes: usize| bytes as f64 * 1000.0 / ms.max(1.0) / nodes as f64;
         while let Some(Reverse((due_us, id))) = self.due.pop() {
             self.now = due_us as Millis / 1000.0;
-            if self.now > self.plan.end || self.report.known_everywhere_ms.is_some() {
+            if self.now > self.config.end || self.report.known_everywhere_ms.is_some() {
                 break;
             }
             let event = self.events.remove(&id).expect("each due event exists");
             self.handle(event);
         }
-        self.report.idle_bytes_per_s = per_node_and_s(self.bytes.0, bad_at, self.plan.nodes);
+        self.report.idle_bytes_per_s = per_node_and_s(self.bytes.0, bad_at, self.config.nodes);
         let removed_at = self.first_failure_at.unwrap_or(0.0) + self.report.removed_ms.unwrap_or(0.0);
-        self.report.suspect_bytes_per_s = per_node_and_s(self.bytes.1, removed_at - bad_at, self.plan.nodes);
+        self.report.suspect_bytes_per_s =
+            per_node_and_s(self.bytes.1, removed_at - bad_at, self.config.nodes);
     }
 
     fn after(&mut self, delay: Millis, event: Event) {
@@ -217,7 +222,7 @@
     }
 
     fn count_bytes(&mut self, bytes: usize) {
-        if self.plan.bad_at.is_none_or(|bad_at| self.now < bad_at) {
+        if self.config.bad_at.is_none_or(|bad_at| self.now < bad_at) {
             self.bytes.0 += bytes as u64;
         } else if self.report.removed_ms.is_none() {
             self.bytes.1 += bytes as u64;
@@ -225,7 +230,7 @@
     }
 
     fn schedule_request(&mut self, node: usize) {
-        let rate = self.plan.rate * self.nodes[node].servers.len() as f64;
+        let rate = self.config.rate * self.nodes[node].servers.len() as f64;
         let delay = -1000.0 / rate * (1.0 - self.rng.random::<f64>()).ln();
         self.after(delay, Event::SendRequest(node));
     }
@@ -286,8 +291,8 @@
             return;
         }
         observed.advance_to(half);
-        let is_bad = server == 0 && self.plan.bad_at.is_some_and(|bad_at| now >= bad_at);
-        let fails = is_bad || self.rng.random_bool(self.plan.good_failure_ratio);
+        let is_bad = server == 0 && self.config.bad_at.is_some_and(|bad_at| now >= bad_at);
+        let fails = is_bad || self.rng.random_bool(self.config.good_failure_ratio);
         observed.current.0 += 1;
         observed.current.1 += u32::from(fails);
         observed.consecutive_failures = if fails { observed.consecutive_failures + 1 } else { 0 };
@@ -340,7 +345,7 @@
             ballots.clear();
         }
         let up_servers =
-            (0..ZONES).map(|index| (zone(index), ((self.plan.servers + ZONES - 1 - index) / ZONES) as u32));
+            (0..ZONES).map(|index| (zone(index), ((self.config.servers + ZONES - 1 - index) / ZONES) as u32));
         VoteReport { zone: Some(zone(node)), up_servers: up_servers.collect(), abstains, ballots }
     }
 
@@ -413,16 +418,16 @@
 
 /// Simulates the same bad server for nodes without votes, each of which ejects it after [`OUTLIER_FAILURES`] consecutive
 /// failures. Returns the time from the first failure to the last node's ejection, and the number of failures.
-pub fn without_votes(plan: &Plan) -> (Millis, u64) {
-    let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
+pub fn without_votes(config: &SimulationConfig) -> (Millis, u64) {
+    let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
     let (mut first, mut last, mut failures) = (Millis::INFINITY, 0.0_f64, 0);
-    for _ in 0..plan.nodes {
-        if !rng.random_bool(plan.servers_per_node as f64 / plan.servers as f64) {
+    for _ in 0..config.nodes {
+        if !rng.random_bool(config.servers_per_node as f64 / config.servers as f64) {
             continue;
         }
         let mut at = 0.0;
         for failure in 0..OUTLIER_FAILURES {
-            at -= 1000.0 / plan.rate * (1.0 - rng.random::<f64>()).ln();
+            at -= 1000.0 / config.rate * (1.0 - rng.random::<f64>()).ln();
             first = if failure == 0 { first.min(at) } else { first };
             failures += 1;
         }
--- a/crates/control/tests/edge.rs
+++ b/crates/control/tests/edge.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::StatusCode;
 use member::WatchEvent;
-use support::{call, open, Group, Node, Reply, SHORT_SETTINGS, SLOW_SETTINGS, TEST_TIMEOUT};
+use support::{call, open, Group, Node, Reply, LONG_TIMEOUT_SETTINGS, SHORT_TIMEOUT_SETTINGS, TEST_TIMEOUT};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
@@ -20,13 +20,13 @@
     let read = async {
         loop {
             let frame = watch.frame().await.expect("the watch has not ended").expect("a frame");
-            let bytes = frame.into_data().expect("data");
+            let bytes = frame.into_data().expect("a data frame");
             if bytes != "\n" {
                 return serde_json::from_slice(&bytes).expect("a watch event");
             }
         }
     };
-    timeout(TEST_TIMEOUT, read).await.expect("in time")
+    timeout(TEST_TIMEOUT, read).await.expect("within TEST_TIMEOUT")
 }
 
 #[track_caller]
@@ -36,7 +36,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_commits_on_every_node_and_reaches_every_watch() {
-    let group = Group::start(SLOW_SETTINGS, "").await;
+    let group = Group::start(LONG_TIMEOUT_SETTINGS, "").await;
     let mut nodes = Vec::new();
     for name in ["a", "b", "c"] {
         nodes.push(Node::start(&group, name, None).await);
@@ -64,17 +64,18 @@
             (agreed.epoch, serde_json::to_string(&agreed.policy).expect("JSON")),
             (1, POLICY.to_owned())
         );
-        // A watcher that knows this version gets only empty lines; one that knows another gets the full state.
+        // The first line is empty for a watcher that knows the current version, and the full state for one that names a
+        // version unknown to the replica.
         let at = *group.addresses.values().next().expect("three replicas");
         for (from, empty) in [(agreed.version, true), (agreed.version + 9, false)] {
             let path = format!("/v1/watch?from={from}");
-            let mut again = open(at, "GET", &path, "").await.expect("a response").into_body();
-            let first = timeout(TEST_TIMEOUT, again.frame())
+            let mut second_watch = open(at, "GET", &path, "").await.expect("a response").into_body();
+            let first = timeout(TEST_TIMEOUT, second_watch.frame())
                 .await
-                .expect("in time")
+                .expect("within TEST_TIMEOUT")
                 .expect("a frame")
-                .expect("no error");
-            assert_eq!(first.into_data().expect("data") == "\n", empty, "{path}");
+                .expect("a frame without an error");
+            assert_eq!(first.into_data().expect("a data frame") == "\n", empty, "{path}");
         }
     }
     let listed = group.call("GET", "/v1/nodes", "").await.body;
@@ -84,8 +85,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_refusal_aborts_the_change_and_its_number_is_not_reused() {
-    let group = Group::start(SLOW_SETTINGS, "").await;
+async fn one_refusal_aborts_the_change_and_its_epoch_is_not_reused() {
+    let group = Group::start(LONG_TIMEOUT_SETTINGS, "").await;
     let mut good = Node::start(&group, "good", None).await;
     let bad = Node::start(&group, "bad", Some("no class of that name")).await;
     let reply = group.propose(0, POLICY).await;
@@ -101,8 +102,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_node_aborts_changes_until_it_is_removed() {
-    let group = Group::start(SHORT_SETTINGS, "").await;
+async fn changes_are_aborted_until_a_silent_node_is_removed() {
+    let group = Group::start(SHORT_TIMEOUT_SETTINGS, "").await;
     let _good = Node::start(&group, "good", None).await;
     let silent = Node::start(&group, "silent", None).await;
     silent.fall_silent();
@@ -118,20 +119,21 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_left_or_died_does_not_delay_a_change() {
-    let group = Group::start(SLOW_SETTINGS, "").await;
+    let group = Group::start(LONG_TIMEOUT_SETTINGS, "").await;
     let mut stays = Node::start(&group, "stays", None).await;
     Node::start(&group, "leaves", None).await.leave().await;
     Node::start(&group, "dies", None).await.kill().await;
     assert_outcome(&group.propose(0, POLICY).await, StatusCode::OK, "committed");
     stays.wait_for_epoch(|epoch| epoch == 1).await;
     let listed = group.call("GET", "/v1/nodes", "").await.body;
-    let names: Vec<_> = listed["nodes"].as_array().expect("a list").iter().map(|n| &n["name"]).collect();
+    let names: Vec<_> =
+        listed["nodes"].as_array().expect("a JSON array").iter().map(|n| &n["name"]).collect();
     assert_eq!(names, ["stays"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn one_of_two_operators_proposals_wins_and_the_other_operator_can_cancel_it() {
-    let group = Group::start(SLOW_SETTINGS, "").await;
+    let group = Group::start(LONG_TIMEOUT_SETTINGS, "").await;
     let silent = Node::start(&group, "silent", None).await;
     silent.fall_silent();
     // Both run at the same time, because the change waits for the silent node.
@@ -143,7 +145,7 @@
     let second = async {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while group.call("GET", "/v1/policy", "").await.body["change"].is_null() {
-            assert!(Instant::now() < deadline, "the change is pending");
+            assert!(Instant::now() < deadline, "the change has not become pending");
             sleep(Duration::from_millis(10)).await;
         }
         assert_outcome(&group.propose(0, "{}").await, StatusCode::CONFLICT, "busy");
@@ -155,7 +157,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_commits_under_the_next_leader_and_after_a_replica_is_replaced() {
-    let mut group = Group::start(SLOW_SETTINGS, "").await;
+    let mut group = Group::start(LONG_TIMEOUT_SETTINGS, "").await;
     let mut node = Node::start(&group, "a", None).await;
     assert_outcome(&group.propose(0, POLICY).await, StatusCode::OK, "committed");
     let leader = group.leader().await;
@@ -175,7 +177,7 @@
     let reply = group.call("DELETE", &format!("/v1/replicas/{first}"), "").await;
     assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
     let ids: Vec<_> =
-        reply.body["replicas"].as_array().expect("a list").iter().map(|r| r["id"].as_u64()).collect();
+        reply.body["replicas"].as_array().expect("a JSON array").iter().map(|r| r["id"].as_u64()).collect();
     assert!(ids.len() == 3 && ids.contains(&Some(4)) && !ids.contains(&Some(first)), "{reply:?}");
     assert_outcome(&group.propose(2, POLICY).await, StatusCode::OK, "committed");
     node.wait_for_epoch(|epoch| epoch == 3).await;
@@ -183,7 +185,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_answers_waiting_callers_and_the_last_replica_reports_that_it_has_no_leader() {
-    let mut group = Group::start(SLOW_SETTINGS, "").await;
+    let mut group = Group::start(LONG_TIMEOUT_SETTINGS, "").await;
     let silent = Node::start(&group, "silent", None).await;
     silent.fall_silent();
     let leader = group.leader().await;
@@ -192,7 +194,7 @@
     let waiting = tokio::spawn(async move { call(leader, "PUT", "/v1/policy", &proposal).await });
     let deadline = Instant::now() + TEST_TIMEOUT;
     while call(leader, "GET", "/v1/policy", "").await.body["change"].is_null() {
-        assert!(Instant::now() < deadline, "the change is pending");
+        assert!(Instant::now() < deadline, "the change has not become pending");
         sleep(Duration::from_millis(10)).await;
     }
     group.stop(first).await;
@@ -204,7 +206,7 @@
     let mut watch = open(at, "GET", "/v1/watch", "").await.expect("a response").into_body();
     next_event(&mut watch).await;
     let other = group.addresses.keys().copied().find(|id| *id != first && *id != group.id_of(at));
-    group.stop(other.expect("the third")).await;
+    group.stop(other.expect("a third replica")).await;
     while let Some(Ok(_)) =
         timeout(TEST_TIMEOUT, watch.frame()).await.expect("a replica without a leader ends watches")
     {}
@@ -217,12 +219,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_watcher_that_does_not_read_is_disconnected() {
-    let group = Group::start(SLOW_SETTINGS, "").await;
+    let group = Group::start(LONG_TIMEOUT_SETTINGS, "").await;
     let leader = group.leader().await;
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a buffer size");
-    let mut stream = socket.connect(leader).await.expect("it listens");
-    stream.write_all(b"GET /v1/watch HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("a write");
+    let mut stream = socket.connect(leader).await.expect("the replica accepts connections");
+    stream.write_all(b"GET /v1/watch HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("the write succeeds");
     let deadline = Instant::now() + TEST_TIMEOUT;
     let mut has_started = false;
     let mut base = 0;
@@ -239,14 +241,14 @@
                 base += 1;
             }
         }
-        assert!(Instant::now() < deadline, "the watcher is disconnected");
+        assert!(Instant::now() < deadline, "the watcher is still connected");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_calls_are_refused_with_advice() {
-    let group = Group::start(SLOW_SETTINGS, "").await;
+    let group = Group::start(LONG_TIMEOUT_SETTINGS, "").await;
     let leader = group.leader().await;
     let heartbeat = "{\"process\":{\"name\":\"a\",\"boot\":1},\"life\":\"127.0.0.1:0\"}";
     let large = format!("{{\"base\":0,\"policy\":{{\"ServerBans\":[{:?}]}}}}", "x".repeat(70_000));
@@ -299,26 +301,26 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_are_limited_and_slow_ones_time_out() {
-    let group = Group::start(SLOW_SETTINGS, "[limits]\nconnections = 16").await;
+    let group = Group::start(LONG_TIMEOUT_SETTINGS, "[limits]\nconnections = 16").await;
     let at = *group.addresses.values().next().expect("three replicas");
     // A head that never ends, a body that never arrives, and a head that is too large.
-    let mut slow = TcpStream::connect(at).await.expect("it listens");
-    slow.write_all(b"GET /ready HTTP/1.1\r\nhost: x\r\n").await.expect("a write");
-    let mut no_body = TcpStream::connect(at).await.expect("it listens");
+    let mut slow = TcpStream::connect(at).await.expect("the replica accepts connections");
+    slow.write_all(b"GET /ready HTTP/1.1\r\nhost: x\r\n").await.expect("the write succeeds");
+    let mut no_body = TcpStream::connect(at).await.expect("the replica accepts connections");
     let head = b"PUT /v1/policy HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n{";
-    no_body.write_all(head).await.expect("a write");
-    let mut large = TcpStream::connect(at).await.expect("it listens");
+    no_body.write_all(head).await.expect("the write succeeds");
+    let mut large = TcpStream::connect(at).await.expect("the replica accepts connections");
     let head = format!("GET /ready HTTP/1.1\r\nhost: {}\r\n\r\n", "x".repeat(40_000));
     // The response may arrive before all of it is written.
     let _ = large.write_all(head.as_bytes()).await;
     let mut answer = Vec::new();
-    let _ = timeout(TEST_TIMEOUT, large.read_to_end(&mut answer)).await.expect("in time");
+    let _ = timeout(TEST_TIMEOUT, large.read_to_end(&mut answer)).await.expect("within TEST_TIMEOUT");
     assert!(answer.starts_with(b"HTTP/1.1 431") || answer.is_empty(), "{}", String::from_utf8_lossy(&answer));
 
     let mut open_connections = Vec::new();
     let refused = timeout(TEST_TIMEOUT, async {
         loop {
-            let mut one = TcpStream::connect(at).await.expect("it listens");
+            let mut one = TcpStream::connect(at).await.expect("the replica accepts connections");
             let request = b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n";
             let mut byte = [0];
             let written = one.write_all(request).await;
@@ -328,24 +330,30 @@
             }
         }
     });
-    refused.await.expect("the limit is reached");
+    refused.await.expect("a connection above the limit is closed");
     assert!(open_connections.len() < 16, "{} connections are open", open_connections.len());
     drop(open_connections);
 
     answer.clear();
-    timeout(TEST_TIMEOUT, slow.read_to_end(&mut answer)).await.expect("in time").expect("an orderly close");
+    timeout(TEST_TIMEOUT, slow.read_to_end(&mut answer))
+        .await
+        .expect("within TEST_TIMEOUT")
+        .expect("an orderly close");
     assert!(answer.is_empty() || answer.starts_with(b"HTTP/1.1 408"), "{}", String::from_utf8_lossy(&answer));
     answer.clear();
-    let _ = timeout(TEST_TIMEOUT, no_body.read_to_end(&mut answer)).await.expect("in time");
+    let _ = timeout(TEST_TIMEOUT, no_body.read_to_end(&mut answer)).await.expect("within TEST_TIMEOUT");
     assert!(answer.starts_with(b"HTTP/1.1 408"), "{}", String::from_utf8_lossy(&answer));
     assert_eq!(call(at, "GET", "/ready", "").await.status, StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_commits_under_a_leader_that_restarted_in_its_term() {
-    let mut group = Group::start(SHORT_SETTINGS, "").await;
+async fn a_change_commits_after_all_replicas_have_restarted() {
+    let mut group = Group::start(SHORT_TIMEOUT_SETTINGS, "").await;
     let mut node = Node::start(&group, "a", None).await;
-    // The node has stamps from the clocks of these processes; the clocks of the restarted ones start at 0.
+    // The node echoes the newest stamp that it has received, with a time of up to 4500 ms. Replicas' clocks start at 0 again
+    // after a restart, and a replica may lead again in its previous raft term. If it then took that stamp for one of its
+    // own, it would ignore the node's stage replies until its clock has reached the stamp's time, and could abort the
+    // change after the stage timeout of 3000 ms.
     sleep(Duration::from_millis(4500)).await;
     for id in 1..=3 {
         group.stop(id).await;
--- a/crates/control/tests/fleet.rs
+++ b/crates/control/tests/fleet.rs
@@ -4,13 +4,13 @@
 #[path = "../examples/fleet/sim.rs"]
 mod sim;
 
-use sim::{max_mixed_ms, quantile, run, Plan};
+use sim::{max_mixed_ms, quantile, run, SimulationConfig};
 
 #[test]
 fn a_change_is_active_everywhere_within_a_second_at_a_cost_proportional_to_the_nodes() {
     let mut costs = Vec::new();
     for nodes in [30, 120] {
-        let report = run(Plan { nodes, changes: 4, classes: 20, leader_dies: false, seed: 7 });
+        let report = run(SimulationConfig { nodes, changes: 4, classes: 20, leader_dies: false, seed: 7 });
         assert_eq!(
             (report.commit_ms.len(), report.active_everywhere_ms.len(), report.aborted_count),
             (4, 4, 0),
@@ -28,7 +28,7 @@
 
 #[test]
 fn losing_the_leader_in_each_change_delays_it_and_keeps_the_bounds() {
-    let report = run(Plan { nodes: 30, changes: 6, classes: 20, leader_dies: true, seed: 7 });
+    let report = run(SimulationConfig { nodes: 30, changes: 6, classes: 20, leader_dies: true, seed: 7 });
     assert_eq!(report.active_everywhere_ms.len() + report.aborted_count, 6, "{report:?}");
     assert!(
         report.active_everywhere_ms.len() >= 5 && quantile(&report.active_everywhere_ms, 1.0) < 4000.0,
--- a/crates/control/tests/leader.rs
+++ b/crates/control/tests/leader.rs
@@ -18,8 +18,9 @@
     Process { name: name.to_owned(), boot }
 }
 
+/// Returns the liveness address of all processes; nothing connects to it in these tests.
 fn liveness_addr() -> SocketAddr {
-    "127.0.0.1:9".parse().expect("an address")
+    "127.0.0.1:9".parse().expect("a valid address")
 }
 
 fn heartbeat(process: &Process, echoed_time: Option<Millis>) -> Heartbeat {
@@ -63,7 +64,7 @@
     Command::Policy(PolicyCommand::Propose { base_epoch, policy: Policy::default() })
 }
 
-/// A leader with a log of one replica, whose writes are applied when the test says so.
+/// A leader and the fleet state that it reads. Its writes are applied only by the test.
 struct LeaderHarness {
     leader: Leader,
     state: FleetState,
@@ -213,16 +214,16 @@
         "that version is from another log"
     );
     let change = harness.propose(30.0);
-    let AgreedUpdate::Changed(asked) = update(&mut harness, 40.0, Some(known)) else {
+    let AgreedUpdate::Changed(pending) = update(&mut harness, 40.0, Some(known)) else {
         panic!("a change is pending")
     };
-    let known = asked.state_id();
+    let known = pending.state_id();
     assert_eq!(update(&mut harness, 50.0, Some(known)), AgreedUpdate::Unchanged(known));
     harness.apply(&Command::Policy(PolicyCommand::Abort { change, reason: AbortReason::Operator }));
     let AgreedUpdate::Changed(ended) = update(&mut harness, 60.0, Some(known)) else {
         panic!("the change has ended")
     };
-    assert!(ended.version > asked.version && ended.change.is_none());
+    assert!(ended.version > pending.version && ended.change.is_none());
     let next = harness.propose(70.0);
     assert!(next.0 > ended.version);
 }
@@ -454,7 +455,7 @@
     });
     assert_eq!((log.apply(7, &commit), log.apply(8, &commit)), (Outcome::Done, Outcome::Obsolete));
     let bans = serde_json::json!({"ServerBans": vec!["x".repeat(64); 1100]});
-    let too_large = Policy(bans.as_object().expect("an object").clone());
+    let too_large = Policy(bans.as_object().expect("a JSON object").clone());
     let propose = Command::Policy(PolicyCommand::Propose { base_epoch: 2, policy: too_large });
     assert_eq!(log.apply(9, &propose), Outcome::LimitExceeded);
 }
@@ -533,7 +534,7 @@
     let settings = LeaderSettings { promise_ms: 600.0, ..LeaderSettings::default() };
     assert!(settings
         .check()
-        .expect_err("two heartbeats and the reserve")
+        .expect_err("shorter than two heartbeats and the reserve")
         .to_string()
         .starts_with("promise_ms = 600"));
     assert!(
--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -354,7 +354,7 @@
                 state.heartbeats.push(((node, other.boot, other.sent), heartbeat));
                 if state.heartbeats.iter().filter(|(token, _)| token.0 == node).count() > self.max_in_flight {
                     let oldest = state.heartbeats.iter().position(|(token, _)| token.0 == node);
-                    state.heartbeats.remove(oldest.expect("one was just sent"));
+                    state.heartbeats.remove(oldest.expect("the sent heartbeat is in flight"));
                 }
             }
             Action::DeliverHeartbeat(index, leader, duplicated) => {
--- a/crates/control/tests/steps.rs
+++ b/crates/control/tests/steps.rs
@@ -1,6 +1,6 @@
 //! Kills the leader after each message that it sends during a policy change, for every message in turn.
 //!
-//! Each replica has a runtime of its own, which can be shut down at any point, and a relay in front of it that sees all
+//! Each replica has a runtime of its own, which can be shut down at any point, and a proxy in front of it that sees all
 //! its traffic. From the proposal on, the messages that leave the leader are counted: messages to replicas, and responses
 //! to nodes and the operator. After the `k`-th message nothing more passes, and the leader is killed; `k` grows until the
 //! change ends, and all nodes know its outcome, before that.
@@ -27,51 +27,53 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// The shortest promise that the configuration allows.
+/// Just above the shortest promise that the configuration allows for these settings (2172 ms).
 const PROMISE_MS: f64 = 2180.0;
 const SETTINGS: &str = "[terms]\nbeat_ms = 50\nstage_ms = 4000\npromise_ms = 2180\nreserve_ms = 50\n\
                      [election]\nafter_ms = [860, 900]";
 /// The tolerance of time measurements: the time is read before or after a node answers, on a busy machine.
 const TOLERANCE_MS: f64 = 5.0;
-/// The number of groups that run in parallel and share the steps.
-const LANES: usize = 6;
-/// An upper limit, above the number of messages during a change, including heartbeats, on a busy machine.
+/// The number of groups of replicas that run in parallel; each runs a part of the steps.
+const PARALLEL_GROUPS: usize = 6;
+/// The test fails if a change has not ended after this many messages of its leader. That is more than a change and the
+/// heartbeats during it take, also on a busy machine.
 const MAX_STEPS: usize = 400;
-/// The interval of requesting admission from the nodes.
+/// The interval at which the test requests admission from the nodes and polls for conditions.
 const POLL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Which messages of the leader pass the relays.
+/// Which messages of the leader the proxies pass on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Cut {
-    Off,
-    /// This many more messages of this replica.
-    After(usize, u64),
-    /// No more messages of this replica.
-    Done(u64),
+enum Filter {
+    /// All messages pass.
+    PassAll,
+    /// This many more messages of this replica pass.
+    PassNext(usize, u64),
+    /// No more messages of this replica pass.
+    Block(u64),
 }
 
-/// A relay between callers and a replica.
+/// A TCP proxy between a replica's callers and the replica.
 #[derive(Clone)]
-struct Relay {
+struct Proxy {
     id: u64,
     target: SocketAddr,
-    cut: watch::Sender<Cut>,
+    filter: watch::Sender<Filter>,
 }
 
-impl Relay {
+impl Proxy {
     async fn run(self, listener: TcpListener) {
         let mut open = JoinSet::new();
         loop {
             let (client, _) = listener.accept().await.expect("a connection");
-            let relay = self.clone();
+            let proxy = self.clone();
             open.spawn(async move {
-                let Ok(server) = TcpStream::connect(relay.target).await else { return };
+                let Ok(server) = TcpStream::connect(proxy.target).await else { return };
                 let _ = (client.set_nodelay(true), server.set_nodelay(true));
                 let (from_client, to_client) = client.into_split();
                 let (from_server, to_server) = server.into_split();
                 tokio::select! {
-                    () = relay.pass(from_client, to_server, true) => {}
-                    () = relay.pass(from_server, to_client, false) => {}
+                    () = proxy.pass(from_client, to_server, true) => {}
+                    () = proxy.pass(from_server, to_client, false) => {}
                 }
             });
             while open.try_join_next().is_some() {}
@@ -91,15 +93,15 @@
             // As long as there is a leader, only it sends messages to replicas.
             let from_leader =
                 |leader| if to_replica { from_replica && leader != self.id } else { leader == self.id };
-            let (mut passes, mut last_of) = (true, None);
-            self.cut.send_if_modified(|cut| match *cut {
-                Cut::After(remaining, leader) if from_leader(leader) => {
+            let (mut passes, mut last_from) = (true, None);
+            self.filter.send_if_modified(|filter| match *filter {
+                Filter::PassNext(remaining, leader) if from_leader(leader) => {
                     passes = remaining > 0;
-                    last_of = (remaining == 1).then_some(leader);
-                    *cut = Cut::After(remaining.saturating_sub(1), leader);
+                    last_from = (remaining == 1).then_some(leader);
+                    *filter = Filter::PassNext(remaining.saturating_sub(1), leader);
                     passes
                 }
-                Cut::Done(leader) if from_leader(leader) => {
+                Filter::Block(leader) if from_leader(leader) => {
                     passes = false;
                     false
                 }
@@ -108,34 +110,36 @@
             if !passes || to.write_all(&bytes[..count]).await.is_err() {
                 return;
             }
-            if let Some(leader) = last_of {
-                self.cut.send_replace(Cut::Done(leader));
+            if let Some(leader) = last_from {
+                self.filter.send_replace(Filter::Block(leader));
             }
         }
     }
 }
 
-/// Three replicas, each behind its relay.
+/// Three replicas, each behind its proxy.
 struct Group {
-    /// The addresses of each replica's relay and listener.
+    /// The addresses of each replica's proxy and listener.
     addresses: BTreeMap<u64, (SocketAddr, SocketAddr)>,
     running: BTreeMap<u64, (oneshot::Sender<()>, JoinHandle<()>)>,
-    relays: Vec<AbortHandle>,
-    cut: watch::Sender<Cut>,
+    proxies: Vec<AbortHandle>,
+    filter: watch::Sender<Filter>,
     state_dir: TempDir,
 }
 
 impl Group {
     async fn start() -> Self {
         let addresses: BTreeMap<_, _> = (1..=3).map(|id| (id, (free_address(), free_address()))).collect();
-        let cut = watch::Sender::new(Cut::Off);
-        let mut relays = Vec::new();
+        let filter = watch::Sender::new(Filter::PassAll);
+        let mut proxies = Vec::new();
         for (&id, &(address, target)) in &addresses {
             let listener = TcpListener::bind(address).await.expect("an unused address");
-            relays.push(tokio::spawn(Relay { id, target, cut: cut.clone() }.run(listener)).abort_handle());
+            proxies.push(
+                tokio::spawn(Proxy { id, target, filter: filter.clone() }.run(listener)).abort_handle(),
+            );
         }
-        let state_dir = tempfile::tempdir().expect("a folder");
-        let mut group = Self { addresses, running: BTreeMap::new(), relays, cut, state_dir };
+        let state_dir = tempfile::tempdir().expect("a temporary folder");
+        let mut group = Self { addresses, running: BTreeMap::new(), proxies, filter, state_dir };
         for id in 1..=3 {
             group.run(id).await;
         }
@@ -205,31 +209,32 @@
 
 impl Drop for Group {
     fn drop(&mut self) {
-        for relay in &self.relays {
-            relay.abort();
+        for proxy in &self.proxies {
+            proxy.abort();
         }
     }
 }
 
 /// Checks the nodes' answers to requests for admission against the rules.
 #[derive(Default)]
-struct Referee {
+struct AdmissionChecker {
     /// The node that refuses changes: it makes no promise, so it is never in doubt.
     refusing_node: Option<usize>,
     /// When any node first admitted a request under each epoch.
     first_admissions: BTreeMap<Epoch, Instant>,
     /// The newest epoch of each node.
     newest_epochs: BTreeMap<usize, Epoch>,
+    /// The number of requests refused because the node was in doubt.
     in_doubt_count: usize,
     violations: Vec<String>,
 }
 
-impl Referee {
+impl AdmissionChecker {
     fn check(&mut self, node: usize, requested_at: Instant, admission: &Admission) {
         self.in_doubt_count += usize::from(admission.admitted == Err(AdmissionError::InDoubt));
         let Ok(epoch) = admission.admitted else { return };
         if admission.has_pending_change
-            && admission.last_reply_ms > PROMISE_MS
+            && admission.since_last_reply_ms > PROMISE_MS
             && self.refusing_node != Some(node)
         {
             self.violations.push(format!("node {node} admits requests in doubt: {admission:?}"));
@@ -259,9 +264,10 @@
     Refused,
 }
 
-/// Kills leaders after `first`, `first + stride`, … messages. Returns the first count that a change did not reach, and how
-/// often a node was in doubt.
-async fn run_lane(
+/// Runs the steps `first`, `first + stride`, … up to `max_steps` with one group of replicas: step `k` kills the leader after
+/// `k` messages. Returns the first step at which the change ended before the kill, and the number of requests for admission
+/// that were refused because the node was in doubt.
+async fn run_group(
     scenario: Scenario,
     first: usize,
     stride: usize,
@@ -277,14 +283,18 @@
     }
     let nodes = Arc::new(nodes);
     let refusing_node = matches!(scenario, Scenario::Refused).then_some(2);
-    let referee = Arc::new(Mutex::new(Referee { refusing_node, ..Referee::default() }));
-    let (polled_nodes, poll_referee) = (nodes.clone(), referee.clone());
+    let checker = Arc::new(Mutex::new(AdmissionChecker { refusing_node, ..AdmissionChecker::default() }));
+    let (polled_nodes, polled_checker) = (nodes.clone(), checker.clone());
     let polling = tokio::spawn(async move {
         loop {
             for (index, node) in polled_nodes.iter().enumerate() {
                 let requested_at = Instant::now();
                 let admission = node.request_admission();
-                poll_referee.lock().expect("no test panics with it").check(index, requested_at, &admission);
+                polled_checker.lock().expect("the lock is not poisoned").check(
+                    index,
+                    requested_at,
+                    &admission,
+                );
             }
             sleep(POLL_INTERVAL).await;
         }
@@ -293,15 +303,15 @@
     let mut end_step = None;
     for step in (first..=max_steps).step_by(stride) {
         let base_epoch = policy["epoch"].as_u64().expect("an epoch");
-        let last_before = policy["ended"].as_array().expect("a list").last().cloned();
-        group.cut.send_replace(Cut::After(step, leader));
+        let last_before = policy["ended"].as_array().expect("a JSON array").last().cloned();
+        group.filter.send_replace(Filter::PassNext(step, leader));
         let proposal =
             format!("{{\"base\":{base_epoch},\"policy\":{{\"Limits\":{{\"AttemptsCap\":{step}}}}}}}");
         let at = group.addresses[&leader].0;
         let operator = tokio::spawn(async move { try_call(at, "PUT", "/v1/policy", &proposal).await.ok() });
-        let mut cut = group.cut.subscribe();
+        let mut filter = group.filter.subscribe();
         let killed = tokio::select! {
-            _ = cut.wait_for(|cut| matches!(cut, Cut::Done(_))) => true,
+            _ = filter.wait_for(|filter| matches!(filter, Filter::Block(_))) => true,
             () = async {
                 // The change has ended once the operator and all nodes know the outcome.
                 while !operator.is_finished() || nodes.iter().any(|node| node.request_admission().has_pending_change) {
@@ -313,8 +323,9 @@
         if killed {
             group.kill(leader).await;
         }
-        group.cut.send_replace(Cut::Off);
-        let reply = timeout(TEST_TIMEOUT, operator).await.expect("in time").expect("the call ends");
+        group.filter.send_replace(Filter::PassAll);
+        let reply =
+            timeout(TEST_TIMEOUT, operator).await.expect("within TEST_TIMEOUT").expect("the call ends");
         if killed {
             // The remaining replicas end the change without it.
             let (_, remaining) = group.settled().await;
@@ -324,7 +335,7 @@
         }
         (leader, policy) = group.settled().await;
         let epoch = policy["epoch"].as_u64().expect("an epoch");
-        let last = policy["ended"].as_array().expect("a list").last().cloned();
+        let last = policy["ended"].as_array().expect("a JSON array").last().cloned();
         let context = || format!("{scenario:?}, step {step}: reply {reply:?}, agreed {policy}");
         let ended = last.filter(|last| Some(last) != last_before.as_ref());
         let is_committed = ended.as_ref().is_some_and(|ended| ended["aborted"].is_null());
@@ -345,10 +356,10 @@
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             let (violations, admitted) = {
-                let referee = referee.lock().expect("no test panics with it");
+                let checker = checker.lock().expect("the lock is not poisoned");
                 (
-                    referee.violations.clone(),
-                    referee.first_admissions.keys().copied().collect::<BTreeSet<_>>(),
+                    checker.violations.clone(),
+                    checker.first_admissions.keys().copied().collect::<BTreeSet<_>>(),
                 )
             };
             assert!(violations.is_empty(), "{}: {violations:?}", context());
@@ -371,29 +382,29 @@
     for id in 1..=3 {
         group.kill(id).await;
     }
-    let in_doubt_count = referee.lock().expect("no test panics with it").in_doubt_count;
+    let in_doubt_count = checker.lock().expect("the lock is not poisoned").in_doubt_count;
     (end_step, in_doubt_count)
 }
 
-/// Runs all steps, each lane with a group of its own.
-async fn run_all_steps(scenario: Scenario, lanes: usize, max_steps: usize) {
+/// Divides the steps among `groups` groups of replicas that run in parallel.
+async fn run_all_steps(scenario: Scenario, groups: usize, max_steps: usize) {
     let mut running = JoinSet::new();
-    for first in 1..=lanes {
-        running.spawn(run_lane(scenario, first, lanes, max_steps));
+    for first in 1..=groups {
+        running.spawn(run_group(scenario, first, groups, max_steps));
     }
     let ends = running.join_all().await;
     let in_doubt_count: usize = ends.iter().map(|(_, count)| count).sum();
     let steps: Vec<_> = ends.iter().map(|(end_step, _)| *end_step).collect();
-    println!("{scenario:?}: ended before the kill at step {steps:?}; {in_doubt_count} times in doubt");
-    assert!(steps.iter().all(Option::is_some), "more than {max_steps} steps");
+    println!("{scenario:?}: changes ended before the kill at steps {steps:?}; {in_doubt_count} requests refused in doubt");
+    assert!(steps.iter().all(Option::is_some), "a change takes more than {max_steps} messages");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn killing_the_leader_at_any_message_of_a_staged_change_leaves_one_outcome() {
-    run_all_steps(Scenario::Staged, LANES, MAX_STEPS).await;
+    run_all_steps(Scenario::Staged, PARALLEL_GROUPS, MAX_STEPS).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn killing_the_leader_at_any_message_of_a_refused_change_leaves_one_outcome() {
-    run_all_steps(Scenario::Refused, LANES, MAX_STEPS).await;
+    run_all_steps(Scenario::Refused, PARALLEL_GROUPS, MAX_STEPS).await;
 }
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -23,16 +23,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The timeout of each step of a test, with room for a busy machine.
+/// The timeout of each wait in a test: long, so that only a failure reaches it, also on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// The timeout of a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Leader settings with timeouts that are long enough for a busy machine.
-pub const SLOW_SETTINGS: &str = "beat_ms = 50\nstage_ms = 8000\npromise_ms = 5000\nreserve_ms = 200";
-/// Leader settings with a shorter stage timeout, for changes that are aborted because a node is silent.
-pub const SHORT_SETTINGS: &str = "beat_ms = 50\nstage_ms = 3000\npromise_ms = 5000\nreserve_ms = 200";
+/// Leader settings with a stage timeout of 8 s: on a busy machine nodes stage a change within it, and a change that waits
+/// for a silent node stays pending long enough to be cancelled or interrupted.
+pub const LONG_TIMEOUT_SETTINGS: &str = "beat_ms = 50\nstage_ms = 8000\npromise_ms = 5000\nreserve_ms = 200";
+/// Leader settings with a stage timeout of 3 s, for tests that wait for it to expire or that compare another time with it.
+pub const SHORT_TIMEOUT_SETTINGS: &str = "beat_ms = 50\nstage_ms = 3000\npromise_ms = 5000\nreserve_ms = 200";
 
 /// Returns an unused address, with a loopback IP of its own for each call.
 pub fn free_address() -> SocketAddr {
@@ -57,7 +58,7 @@
         let mut group = Self {
             addresses: (1..=3).map(|id| (id, free_address())).collect(),
             running: BTreeMap::new(),
-            state_dir: tempfile::tempdir().expect("a folder"),
+            state_dir: tempfile::tempdir().expect("a temporary folder"),
             config: format!("[terms]\n{leader_settings}\n[election]\nafter_ms = [1000, 2000]\n{more}"),
         };
         for id in 1..=3 {
@@ -175,7 +176,7 @@
     timeout(TEST_TIMEOUT, call).await?
 }
 
-/// A command to a node of a test.
+/// A command from a test to its node.
 enum NodeCommand {
     /// Send no more heartbeats, but stay alive.
     FallSilent,
@@ -192,15 +193,17 @@
     task: JoinHandle<()>,
 }
 
-/// A member with its clock, and when it received its last reply.
+/// A member that the node's task and the test share.
 struct SharedMember {
+    /// The zero point of the member's clock.
     started_at: Instant,
+    /// The member, and when it received its last reply, in milliseconds on its clock.
     member: Mutex<(Member, f64)>,
 }
 
 impl SharedMember {
     fn with<R>(&self, f: impl FnOnce(&mut Member, f64) -> R) -> R {
-        let mut guard = self.member.lock().expect("no test panics with it");
+        let mut guard = self.member.lock().expect("the lock is not poisoned");
         f(&mut guard.0, self.started_at.elapsed().as_secs_f64() * 1000.0)
     }
 
@@ -212,7 +215,7 @@
         reply: HeartbeatReply,
         refusal: Option<&'static str>,
     ) -> (Option<Epoch>, bool) {
-        let mut guard = self.member.lock().expect("no test panics with it");
+        let mut guard = self.member.lock().expect("the lock is not poisoned");
         let now = self.started_at.elapsed().as_secs_f64() * 1000.0;
         let (member, last_reply_at) = &mut *guard;
         *last_reply_at = now;
@@ -230,10 +233,10 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     pub admitted: Result<Epoch, AdmissionError>,
-    /// It has staged a change, or is checking one.
+    /// It is checking a change, or has staged or refused one whose outcome it does not know.
     pub has_pending_change: bool,
     /// The time since its last reply, in milliseconds.
-    pub last_reply_ms: f64,
+    pub since_last_reply_ms: f64,
 }
 
 impl Node {
@@ -266,13 +269,13 @@
 
     /// Requests admission at this moment.
     pub fn request_admission(&self) -> Admission {
-        let guard = self.shared.member.lock().expect("no test panics with it");
+        let guard = self.shared.member.lock().expect("the lock is not poisoned");
         let now = self.shared.started_at.elapsed().as_secs_f64() * 1000.0;
         let (member, last_reply_at) = &*guard;
         Admission {
             admitted: member.admit(now),
             has_pending_change: member.pending_change().is_some(),
-            last_reply_ms: now - last_reply_at,
+            since_last_reply_ms: now - last_reply_at,
         }
     }
 
@@ -298,7 +301,7 @@
     /// Closes its session, and waits until the leader has confirmed it.
     pub async fn leave(self) {
         self.commands.send(NodeCommand::Leave).expect("a running node");
-        timeout(TEST_TIMEOUT, self.task).await.expect("in time").expect("the node ends");
+        timeout(TEST_TIMEOUT, self.task).await.expect("within TEST_TIMEOUT").expect("the node ends");
     }
 
     /// Ends immediately, like a killed process.
@@ -333,10 +336,10 @@
         let call = try_call(replicas[replica], "POST", "/v1/session", &heartbeat);
         match timeout(HEARTBEAT_TIMEOUT, call).await.unwrap_or_else(|late| Err(late.into())) {
             Ok(Reply { status: StatusCode::OK, body, .. }) => {
-                let reply: HeartbeatReply = serde_json::from_value(body).expect("a reply");
-                let (epoch, superseded) = shared.on_reply(sent_at, reply, refusal);
+                let reply: HeartbeatReply = serde_json::from_value(body).expect("a valid reply");
+                let (epoch, has_ended) = shared.on_reply(sent_at, reply, refusal);
                 admitted.send_replace(epoch);
-                if superseded {
+                if has_ended {
                     return;
                 }
             }
--- a/crates/control/tests/votes.rs
+++ b/crates/control/tests/votes.rs
@@ -1,4 +1,5 @@
-//! The verdicts' state machine, and those rules of the tally that do not depend on the order of events.
+//! Rules of the verdicts' state machine and of the tally, each checked with one fixed sequence of events. `votes_model.rs`
+//! checks the tally with every order of events.
 
 use consensus::StateMachine as _;
 use control::command::{Command, Outcome, PolicyCommand, RosterCommand, VerdictCommand};
@@ -8,7 +9,8 @@
 use member::votes::{Ballot, Evidence, Vote, VoteReport};
 use member::{ChangeId, Millis, Policy, Process, Stamp};
 
-/// A tally with a log of one replica; heartbeats arrive in order and are answered immediately.
+/// A tally and the fleet state that it reads. Each heartbeat echoes a stamp of the time at which it is received. The
+/// commands that the tally returns take effect only if the test applies them.
 struct TallyHarness {
     log: FleetState,
     tally: Tally,
@@ -27,7 +29,7 @@
 
     fn commit_policy(&mut self, policy: &str) {
         let (base_epoch, change) = (self.log.policy_state().epoch(), ChangeId(self.log.version() + 1));
-        let policy: Policy = serde_json::from_str(policy).expect("JSON");
+        let policy: Policy = serde_json::from_str(policy).expect("valid JSON");
         self.apply(Command::Policy(PolicyCommand::Propose { base_epoch, policy }));
         let staged_members = self.log.roster().members().map(|(process, _)| process.clone()).collect();
         let commit = PolicyCommand::Commit { change, staged_members, fenced_members: vec![] };
@@ -35,7 +37,8 @@
     }
 
     fn join(&mut self, name: &str, boot: u64, coexists_with_previous: bool) {
-        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("an address"), process(name, boot));
+        // Nothing connects to this address in these tests.
+        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("a valid address"), process(name, boot));
         let join = RosterCommand::Join {
             process,
             liveness_addr,
@@ -83,6 +86,7 @@
     }
 }
 
+/// Returns a process of a node; `boot` distinguishes the node's processes.
 fn process(name: &str, boot: u64) -> Process {
     Process { name: name.to_owned(), boot }
 }
@@ -112,7 +116,7 @@
 fn a_snapshot_has_the_old_schema_until_there_are_verdicts() {
     let mut harness = TallyHarness::new(r#"{"Votes": {}}"#);
     let schema = |log: &FleetState| {
-        serde_json::from_slice::<serde_json::Value>(&log.snapshot()).expect("JSON")["schema"].clone()
+        serde_json::from_slice::<serde_json::Value>(&log.snapshot()).expect("valid JSON")["schema"].clone()
     };
     assert_eq!(schema(&harness.log), 1);
     assert_eq!(FleetState::restore(&harness.log.snapshot()), Ok(harness.log.clone()));
--- a/crates/control/tests/votes_model.rs
+++ b/crates/control/tests/votes_model.rs
@@ -351,7 +351,7 @@
         let now = Self::now(state);
         for (server, changed) in state.changed.iter().enumerate() {
             let Some((_, since)) = changed else { continue };
-            let entry = state.log.verdicts().get(SERVERS[server]).expect("it has changed");
+            let entry = state.log.verdicts().get(SERVERS[server]).expect("a changed verdict is in force");
             let duration = match entry.probers.is_empty() {
                 true => VERDICT_TERM_MS * Millis::from(1 << entry.term_index.min(3)),
                 false => EVIDENCE_WINDOW_MS + BALLOT_TTL_MS,
@@ -378,7 +378,10 @@
             Action::SendAndDeliver(node) => {
                 self.act(state, Action::Send(node));
                 let newest = state.in_flight.iter().rposition(|message| message.node == node);
-                return self.act(state, Action::Deliver(newest.expect("it was just sent"), true, false));
+                return self.act(
+                    state,
+                    Action::Deliver(newest.expect("the sent heartbeat is in flight"), true, false),
+                );
             }
             Action::Send(node) => {
                 let report = self.report(state, node);
@@ -396,7 +399,7 @@
                     > self.max_in_flight.max(1)
                 {
                     let oldest = state.in_flight.iter().position(is_own);
-                    state.in_flight.remove(oldest.expect("one was just sent"));
+                    state.in_flight.remove(oldest.expect("the sent heartbeat is in flight"));
                 }
             }
             Action::Deliver(index, reply_arrives, duplicated) => {
