--- a/crates/control/examples/votes/sim.rs
+++ b/crates/control/examples/votes/sim.rs
@@ -140,7 +140,7 @@
     log.apply(2, &Command::Policy(commit));
     let mut nodes = Vec::new();
     for node in 0..config.nodes {
-        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
+        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("a valid address"), process(node));
         let join = RosterCommand::Join {
             process,
             liveness_addr,
@@ -261,8 +261,8 @@
                 self.after(confirmation + delay, Event::ReplyArrives { node, stamp, queried });
             }
             Event::ReplyArrives { node, stamp, queried } => {
-                let other = &mut self.nodes[node];
-                (other.stamp, other.queried) = (Some(stamp), queried);
+                let node_state = &mut self.nodes[node];
+                (node_state.stamp, node_state.queried) = (Some(stamp), queried);
                 self.after(HEARTBEAT_INTERVAL_MS, Event::SendHeartbeat(node));
             }
             Event::VerdictsArrive { node, verdicts } => self.on_verdicts(node, verdicts),
@@ -280,10 +280,11 @@
         let server = self.nodes[node].servers[index];
         let is_suspect_turn = self.rng.random_bool(self.settings.suspect_share);
         let (now, half) = (self.now, (self.now / (self.settings.evidence_window / 2.0)) as u64);
-        let other = &mut self.nodes[node];
+        let node_state = &mut self.nodes[node];
         let own_name = format!("node-{node}");
-        let verdict = other.verdicts.verdicts.iter().find(|verdict| verdict.server == server_name(server));
-        let observed = other.observations.entry(server).or_default();
+        let verdict =
+            node_state.verdicts.verdicts.iter().find(|verdict| verdict.server == server_name(server));
+        let observed = node_state.observations.entry(server).or_default();
         let is_suspect = observed.consecutive_failures >= OUTLIER_FAILURES;
         if verdict.is_some_and(|verdict| !verdict.probers.contains(&own_name))
             || is_suspect && (now < observed.paused_until || !is_suspect_turn)
@@ -350,18 +351,20 @@
     }
 
     fn on_verdicts(&mut self, node: usize, verdicts: Rc<Verdicts>) {
-        let other = &mut self.nodes[node];
-        if verdicts.version <= other.verdicts.version {
+        let node_state = &mut self.nodes[node];
+        if verdicts.version <= node_state.verdicts.version {
             return;
         }
-        let was_removed = other.verdicts.verdicts.iter().any(|verdict| verdict.server == server_name(0));
+        let was_removed = node_state.verdicts.verdicts.iter().any(|verdict| verdict.server == server_name(0));
         let is_removed = verdicts.verdicts.iter().any(|verdict| verdict.server == server_name(0));
-        for verdict in verdicts.verdicts.iter().filter(|verdict| !other.verdicts.verdicts.contains(verdict)) {
+        for verdict in
+            verdicts.verdicts.iter().filter(|verdict| !node_state.verdicts.verdicts.contains(verdict))
+        {
             // When a server is removed, and when it is probed, earlier observations no longer count.
-            other.observations.retain(|server, _| server_name(*server) != verdict.server);
+            node_state.observations.retain(|server, _| server_name(*server) != verdict.server);
         }
-        other.verdicts = verdicts;
-        if is_removed && !was_removed && other.servers.contains(&0) && self.unaware_nodes > 0 {
+        node_state.verdicts = verdicts;
+        if is_removed && !was_removed && node_state.servers.contains(&0) && self.unaware_nodes > 0 {
             self.unaware_nodes -= 1;
             if self.unaware_nodes == 0 {
                 self.report.known_everywhere_ms = self.first_failure_at.map(|first| self.now - first);
--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -2,12 +2,13 @@
 //! order of its events.
 //!
 //! The world: one change is proposed to a few nodes. Heartbeats and replies are lost, delayed, reordered or duplicated;
-//! nodes pause, crash and restart; the leader is deposed at any moment, may not know it and go on, and its last write may
+//! nodes pause, crash and restart; the leader is deposed at any moment, may continue without knowing it, and its last write may
 //! have been committed or not; the outcome of a write may stay unknown; watches deliver any state of the log. Clocks
-//! start at different times and differ in rate by the allowed maximum. The order of the log is given, because that is
-//! tested with the consensus library.
+//! start at different times and differ in rate by the allowed maximum. The model assumes that the log has one order, because
+//! that is tested with the consensus library.
 //!
-//! In every state each node is asked whether it would admit a request now, so the model sees whatever a client could.
+//! In every state each node is asked whether it would admit a request at that moment, so the model observes every
+//! admission that a client could.
 
 use std::fmt::{self, Write as _};
 use std::hash::{Hash, Hasher};
@@ -24,9 +25,10 @@
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 
-/// The duration of one tick on the slowest and on the fastest clock, in milliseconds.
-const SLOW: Millis = 1000.0;
-const FAST: Millis = 1009.0;
+/// The duration of one tick on the slowest clock, in milliseconds.
+const SLOW_TICK_MS: Millis = 1000.0;
+/// The duration of one tick on the fastest clock, in milliseconds.
+const FAST_TICK_MS: Millis = 1009.0;
 /// The duration of promises and leases: after two ticks they have expired on a fast clock, but not on a slow one.
 const PROMISE_MS: Millis = 2010.0;
 /// The maximum duration of a promise, in ticks.
@@ -54,8 +56,9 @@
     StaleProof,
 }
 
+/// The number of threads of the model checker.
 const THREADS: usize = 8;
-/// An upper limit, above the number of states of any of these worlds.
+/// The number of states at which an exploration stops, and the test fails as incomplete; every world here has fewer.
 const MAX_STATES: usize = 20_000_000;
 
 #[derive(Clone, Debug)]
@@ -66,19 +69,24 @@
     heartbeats: u8,
     /// The number of them that may be in flight; beyond it the oldest is lost.
     max_in_flight: usize,
+    /// The number of ticks until the end.
     ticks: u8,
+    /// The maximum number of times that the leader is deposed.
     depositions: u8,
-    /// A deposed leader goes on. It can cause nothing without a confirmation or a write, which it does not get, so the
+    /// A deposed leader continues. It can cause nothing without a confirmation or a write, which it does not get, so the
     /// larger worlds leave this out.
-    deposed_leaders_go_on: bool,
+    deposed_leaders_continue: bool,
+    /// The maximum number of times that a node restarts.
     restarts: u8,
-    /// The number of heartbeats that are delivered twice.
+    /// The maximum number of heartbeats that are delivered twice.
     duplicates: u8,
-    /// The number of writes with an unknown outcome.
+    /// The maximum number of writes with an unknown outcome.
     unknown_writes: u8,
-    /// The duration of one tick on the leaders' clocks and on each node's.
+    /// The duration of one tick on the leaders' clocks, in milliseconds.
     leader_tick: Millis,
+    /// The duration of one tick on each node's clock, in milliseconds.
     node_tick: Millis,
+    /// The defect that the world has.
     mutant: Mutant,
 }
 
@@ -198,7 +206,8 @@
 
     fn new_member(&self, node: usize, boot: u64) -> Member {
         let process = Process { name: format!("n{node}"), boot };
-        let liveness_addr = format!("127.0.0.1:{}", 100 * node as u64 + boot).parse().expect("an address");
+        let liveness_addr =
+            format!("127.0.0.1:{}", 100 * node as u64 + boot).parse().expect("a valid address");
         let config = MemberConfig {
             process,
             liveness_addr,
@@ -421,7 +430,7 @@
                 old.writes.clear();
                 let next = self.new_leader(tick, old.term + 1, &state.log);
                 state.unknown_writes.clear();
-                state.leaders = if self.deposed_leaders_go_on { vec![old, next] } else { vec![next] };
+                state.leaders = if self.deposed_leaders_continue { vec![old, next] } else { vec![next] };
                 self.handle(state, state.leaders.len() - 1, Input::Applied);
             }
             Action::Restart(node) => {
@@ -557,12 +566,12 @@
         max_in_flight: 2,
         ticks: 4,
         depositions: 0,
-        deposed_leaders_go_on: false,
+        deposed_leaders_continue: false,
         restarts: 0,
         duplicates: 0,
         unknown_writes: 0,
-        leader_tick: SLOW,
-        node_tick: FAST,
+        leader_tick: SLOW_TICK_MS,
+        node_tick: FAST_TICK_MS,
         mutant: Mutant::None,
     }
 }
@@ -590,7 +599,7 @@
 fn modes() -> Vec<SmallWorld> {
     let mut modes = Vec::new();
     for unreachable_action in [UnreachableAction::Abort, UnreachableAction::Fence] {
-        for (leader_tick, node_tick) in [(SLOW, FAST), (FAST, SLOW)] {
+        for (leader_tick, node_tick) in [(SLOW_TICK_MS, FAST_TICK_MS), (FAST_TICK_MS, SLOW_TICK_MS)] {
             modes.push(SmallWorld { leader_tick, node_tick, ..small_world(unreachable_action) });
         }
     }
@@ -611,7 +620,7 @@
             heartbeats: 2,
             max_in_flight: 1,
             depositions: 1,
-            deposed_leaders_go_on: true,
+            deposed_leaders_continue: true,
             ..small_world(mode)
         }]);
     }
@@ -672,11 +681,11 @@
         let mut world = SmallWorld {
             mutant,
             depositions,
-            deposed_leaders_go_on: mutant == NoConfirmation,
+            deposed_leaders_continue: mutant == NoConfirmation,
             ..small_world(unreachable_action)
         };
         if (unreachable_action, mutant) == (Fence, NoDrift) {
-            (world.leader_tick, world.node_tick) = (FAST, SLOW);
+            (world.leader_tick, world.node_tick) = (FAST_TICK_MS, SLOW_TICK_MS);
         }
         let found = explore(world);
         println!("{unreachable_action:?}, {mutant:?}: {found:?}");
@@ -694,12 +703,12 @@
         fast_leader in any::<bool>(),
         choices in proptest::collection::vec(any::<prop::sample::Index>(), 150),
     ) {
-        let (leader_tick, node_tick) = if fast_leader { (FAST, SLOW) } else { (SLOW, FAST) };
+        let (leader_tick, node_tick) = if fast_leader { (FAST_TICK_MS, SLOW_TICK_MS) } else { (SLOW_TICK_MS, FAST_TICK_MS) };
         let unreachable_action = if fence { UnreachableAction::Fence } else { UnreachableAction::Abort };
-        let (nodes, heartbeats, max_in_flight, ticks, deposed_leaders_go_on) = (3, 12, 3, 9, true);
+        let (nodes, heartbeats, max_in_flight, ticks, deposed_leaders_continue) = (3, 12, 3, 9, true);
         let (depositions, restarts, duplicates, unknown_writes) = (2, 2, 4, 2);
         let world = SmallWorld {
-            unreachable_action, nodes, heartbeats, max_in_flight, ticks, depositions, deposed_leaders_go_on, restarts,
+            unreachable_action, nodes, heartbeats, max_in_flight, ticks, depositions, deposed_leaders_continue, restarts,
             duplicates, unknown_writes, leader_tick, node_tick, mutant: Mutant::None,
         };
         let mut state = world.initial_state();
--- a/crates/control/tests/votes_model.rs
+++ b/crates/control/tests/votes_model.rs
@@ -31,8 +31,9 @@
 const UP_SERVERS: u32 = 3;
 /// A server that never fails, and two that may.
 const SERVERS: [&str; 3] = ["good", "bad", "worse"];
+/// The number of threads of the model checker.
 const THREADS: usize = 8;
-/// An upper limit, above the number of states of any of these worlds.
+/// The number of states at which an exploration stops, and the test fails as incomplete; every world here has fewer.
 const MAX_STATES: usize = 30_000_000;
 
 /// Deliberate defects, to show that the model finds them.
@@ -56,20 +57,26 @@
     faulty_voters: usize,
     /// The number of votes that a removal needs.
     min_voters: u32,
-    /// Nodes alternate between two zones.
+    /// Whether nodes alternate between two zones; otherwise they have none.
     zones: bool,
+    /// The number of ticks until the end.
     ticks: u8,
     /// The number of heartbeats of a node that may be in flight; beyond it the oldest is lost. Each node sends at most
     /// one per tick.
     max_in_flight: usize,
+    /// The maximum number of heartbeats that are delivered twice.
     duplicates: u8,
-    /// The number of replies that are lost.
+    /// The maximum number of replies that are lost.
     lost_replies: u8,
+    /// The maximum number of times that the leader is deposed.
     depositions: u8,
+    /// The maximum number of writes with an unknown outcome.
     unknown_writes: u8,
     /// The number of servers that may fail, and then may restart and work again.
     failing_servers: usize,
+    /// The maximum number of server restarts.
     restarts: u8,
+    /// The defect that the world has.
     mutant: Mutant,
 }
 
@@ -218,7 +225,7 @@
     log.apply(1, &Command::Policy(PolicyCommand::Propose { base_epoch: 0, policy }));
     assert_eq!(log.apply(2, &Command::Policy(commit)), Outcome::Done);
     for node in 0..nodes {
-        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
+        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("a valid address"), process(node));
         let join = RosterCommand::Join {
             process,
             liveness_addr,
