--- a/crates/control/tests/votes_model.rs
+++ b/crates/control/tests/votes_model.rs
@@ -31,8 +31,9 @@
 const UP_SERVERS: u32 = 3;
 /// A server that never fails, and two that may.
 const SERVERS: [&str; 3] = ["good", "bad", "worse"];
+/// The number of threads of the model checker.
 const THREADS: usize = 8;
-/// An upper limit, above the number of states of any of these worlds.
+/// The number of states at which an exploration stops, and the test fails as incomplete; every world here has fewer.
 const MAX_STATES: usize = 30_000_000;
 
 /// Deliberate defects, to show that the model finds them.
@@ -56,20 +57,26 @@
     faulty_voters: usize,
     /// The number of votes that a removal needs.
     min_voters: u32,
-    /// Nodes alternate between two zones.
+    /// Whether nodes alternate between two zones; otherwise they have none.
     zones: bool,
+    /// The number of ticks until the end.
     ticks: u8,
     /// The number of heartbeats of a node that may be in flight; beyond it the oldest is lost. Each node sends at most
     /// one per tick.
     max_in_flight: usize,
+    /// The maximum number of heartbeats that are delivered twice.
     duplicates: u8,
-    /// The number of replies that are lost.
+    /// The maximum number of replies that are lost.
     lost_replies: u8,
+    /// The maximum number of times that the leader is deposed.
     depositions: u8,
+    /// The maximum number of writes with an unknown outcome.
     unknown_writes: u8,
     /// The number of servers that may fail, and then may restart and work again.
     failing_servers: usize,
+    /// The maximum number of server restarts.
     restarts: u8,
+    /// The defect that the world has.
     mutant: Mutant,
 }
 
@@ -218,7 +225,7 @@
     log.apply(1, &Command::Policy(PolicyCommand::Propose { base_epoch: 0, policy }));
     assert_eq!(log.apply(2, &Command::Policy(commit)), Outcome::Done);
     for node in 0..nodes {
-        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("an address"), process(node));
+        let (liveness_addr, process) = ("127.0.0.1:9".parse().expect("a valid address"), process(node));
         let join = RosterCommand::Join {
             process,
             liveness_addr,
@@ -351,7 +358,7 @@
         let now = Self::now(state);
         for (server, changed) in state.changed.iter().enumerate() {
             let Some((_, since)) = changed else { continue };
-            let entry = state.log.verdicts().get(SERVERS[server]).expect("it has changed");
+            let entry = state.log.verdicts().get(SERVERS[server]).expect("a changed verdict is in force");
             let duration = match entry.probers.is_empty() {
                 true => VERDICT_TERM_MS * Millis::from(1 << entry.term_index.min(3)),
                 false => EVIDENCE_WINDOW_MS + BALLOT_TTL_MS,
@@ -378,7 +385,10 @@
             Action::SendAndDeliver(node) => {
                 self.act(state, Action::Send(node));
                 let newest = state.in_flight.iter().rposition(|message| message.node == node);
-                return self.act(state, Action::Deliver(newest.expect("it was just sent"), true, false));
+                return self.act(
+                    state,
+                    Action::Deliver(newest.expect("the sent heartbeat is in flight"), true, false),
+                );
             }
             Action::Send(node) => {
                 let report = self.report(state, node);
@@ -396,7 +406,7 @@
                     > self.max_in_flight.max(1)
                 {
                     let oldest = state.in_flight.iter().position(is_own);
-                    state.in_flight.remove(oldest.expect("one was just sent"));
+                    state.in_flight.remove(oldest.expect("the sent heartbeat is in flight"));
                 }
             }
             Action::Deliver(index, reply_arrives, duplicated) => {
