--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -17,12 +17,12 @@
 #[derive(Debug, Error)]
 pub enum ListenError {
     /// The address cannot be bound.
-    #[error("{field}: {at}: {error}")]
+    #[error("{field}: {addr}: {error}")]
     Bind {
         /// The name of the address in the configuration.
         field: &'static str,
         /// The address.
-        at: SocketAddr,
+        addr: SocketAddr,
         /// The system's error.
         error: io::Error,
     },
@@ -63,16 +63,16 @@
 ///
 /// # Errors
 /// [`ListenError::Bind`].
-pub fn bind(field: &'static str, at: SocketAddr) -> Result<TcpListener, ListenError> {
+pub fn bind(field: &'static str, addr: SocketAddr) -> Result<TcpListener, ListenError> {
     let bound = || -> io::Result<TcpListener> {
-        let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
+        let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
-        socket.bind(&at.into())?;
+        socket.bind(&addr.into())?;
         socket.listen(ACCEPT_BACKLOG)?;
         socket.set_nonblocking(true)?;
         Ok(socket.into())
     };
-    bound().map_err(|error| ListenError::Bind { field, at, error })
+    bound().map_err(|error| ListenError::Bind { field, addr, error })
 }
 
 /// Takes over the listening socket that this process inherited. Must be called before the process opens a
@@ -107,7 +107,7 @@
     listener: TcpListener,
 ) -> Result<(tokio::net::TcpListener, SocketAddr), ListenError> {
     let converted =
-        tokio::net::TcpListener::from_std(listener).and_then(|l| l.local_addr().map(|at| (l, at)));
+        tokio::net::TcpListener::from_std(listener).and_then(|l| l.local_addr().map(|addr| (l, addr)));
     converted.map_err(|error| ListenError::Runtime { field, error })
 }
 
@@ -119,8 +119,8 @@
     #[test]
     fn each_error_has_its_advice() {
         use ListenError::*;
-        let at = SocketAddr::from(([127, 0, 0, 1], 9000));
-        let bind = |kind: io::ErrorKind| Bind { field: "listen", at, error: kind.into() };
+        let addr = SocketAddr::from(([127, 0, 0, 1], 9000));
+        let bind = |kind: io::ErrorKind| Bind { field: "listen", addr, error: kind.into() };
         assert_each_has_advice(|before| match before {
             None => Some(bind(io::ErrorKind::AddrInUse)),
             Some(Bind { error, .. }) if error.kind() == io::ErrorKind::AddrInUse => {
--- a/src/net/membership.rs
+++ b/src/net/membership.rs
@@ -172,10 +172,10 @@
         let (mut connection, mut index): (Option<ReplicaConnection>, _) = (None, self.first_replica());
         let (mut leader, mut redirects, mut failures) = (None, 0, 0);
         while !self.superseded() {
-            let at = leader.unwrap_or_else(|| self.replica(index));
-            let reused = connection.as_ref().is_some_and(|c| c.at() == at);
-            let result = timeout(HEARTBEAT_TIMEOUT, self.send_heartbeat(&mut connection, at)).await;
-            match result.unwrap_or(Err(CallError::TimedOut { at })) {
+            let addr = leader.unwrap_or_else(|| self.replica(index));
+            let reused = connection.as_ref().is_some_and(|c| c.addr() == addr);
+            let result = timeout(HEARTBEAT_TIMEOUT, self.send_heartbeat(&mut connection, addr)).await;
+            match result.unwrap_or(Err(CallError::TimedOut { addr })) {
                 Ok((sent, voted, mut reply)) => {
                     (redirects, failures) = (0, 0);
                     let (queried, verdicts) =
@@ -189,7 +189,7 @@
                 // The replica has closed the idle connection, or was restarted.
                 Err(CallError::ConnectionFailed { .. }) if reused => connection = None,
                 Err(CallError::NotLeader { leader: other, .. })
-                    if redirects < MAX_REDIRECTS && other != at =>
+                    if redirects < MAX_REDIRECTS && other != addr =>
                 {
                     (leader, redirects, connection) = (Some(other), redirects + 1, None);
                 }
@@ -211,11 +211,11 @@
     async fn send_heartbeat(
         &self,
         connection: &mut Option<ReplicaConnection>,
-        at: SocketAddr,
+        addr: SocketAddr,
     ) -> Result<(Millis, bool, HeartbeatReply), CallError> {
         let connection = match connection.take() {
-            Some(kept) if kept.at() == at => connection.insert(kept),
-            _ => connection.insert(ReplicaConnection::connect(at).await?),
+            Some(kept) if kept.addr() == addr => connection.insert(kept),
+            _ => connection.insert(ReplicaConnection::connect(addr).await?),
         };
         let sent = self.admission.now();
         let mut heartbeat = self.admission.member.borrow_mut().heartbeat(sent);
@@ -246,8 +246,8 @@
         }
     }
 
-    async fn watch(&self, at: SocketAddr, from: &mut u64, failures: &mut u32) -> Result<(), CallError> {
-        let mut watch = Watch::open(at, *from).await?;
+    async fn watch(&self, addr: SocketAddr, from: &mut u64, failures: &mut u32) -> Result<(), CallError> {
+        let mut watch = Watch::open(addr, *from).await?;
         while let Some(event) = watch.next().await? {
             (*from, *failures) = (event.version, 0);
             if let Some(state) = event.agreed_state {
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -424,8 +424,8 @@
     pub fn heartbeat_votes(&self, zone: Option<&str>) -> Option<(VoteReport, u64)> {
         let state = self.state.borrow();
         let votes = state.votes.as_ref()?;
-        let own = state.balancer.ballots();
-        let ballots = own.ballots.into_iter().filter_map(|own| {
+        let own_votes = state.balancer.ballots();
+        let ballots = own_votes.ballots.into_iter().filter_map(|own| {
             let host = state.servers.get(&own.server)?;
             Some(Ballot {
                 server: host.name.clone(),
@@ -438,7 +438,7 @@
         let up =
             |host: &&ServerInfo| host.state == ServerState::Up && !state.policy_bans.contains(&host.name);
         let up = state.servers.values().filter(up).map(|host| host.zone.as_deref().unwrap_or_default());
-        Some((votes.heartbeat_votes(zone, up, own.self_doubt, ballots.collect()), votes.version()))
+        Some((votes.heartbeat_votes(zone, up, own_votes.self_doubt, ballots.collect()), votes.version()))
     }
 
     /// A leader has answered a heartbeat that had votes. This counts as contact with the group even if no verdict
--- a/src/net/replica.rs
+++ b/src/net/replica.rs
@@ -32,50 +32,50 @@
 #[derive(Debug, Error)]
 pub enum CallError {
     /// The connection could not be made.
-    #[error("control: {at}: cannot connect: {error}")]
+    #[error("control: {addr}: cannot connect: {error}")]
     ConnectFailed {
         /// The replica.
-        at: SocketAddr,
+        addr: SocketAddr,
         /// The system's error.
         error: std::io::Error,
     },
     /// There was no response in time, or the watch stopped sending.
-    #[error("control: {at}: no response in time")]
+    #[error("control: {addr}: no response in time")]
     TimedOut {
         /// The replica.
-        at: SocketAddr,
+        addr: SocketAddr,
     },
     /// The connection failed during the call.
-    #[error("control: {at}: connection failed: {reason}")]
+    #[error("control: {addr}: connection failed: {reason}")]
     ConnectionFailed {
         /// The replica.
-        at: SocketAddr,
+        addr: SocketAddr,
         /// hyper's error.
         reason: String,
     },
     /// The replica is not the leader.
-    #[error("control: {at}: not the leader, names {leader} as leader")]
+    #[error("control: {addr}: not the leader, names {leader} as leader")]
     NotLeader {
         /// The replica.
-        at: SocketAddr,
+        addr: SocketAddr,
         /// The address of the leader, as far as the replica knows.
         leader: SocketAddr,
     },
     /// The replica refused the call.
-    #[error("control: {at}: status {status}: {reason}")]
+    #[error("control: {addr}: status {status}: {reason}")]
     Refused {
         /// The replica.
-        at: SocketAddr,
+        addr: SocketAddr,
         /// The status.
         status: StatusCode,
         /// The reason that it gave.
         reason: String,
     },
     /// The response does not follow the protocol.
-    #[error("control: {at}: unreadable response: {reason}")]
+    #[error("control: {addr}: unreadable response: {reason}")]
     Unreadable {
         /// The replica.
-        at: SocketAddr,
+        addr: SocketAddr,
         /// What is wrong with it.
         reason: String,
     },
@@ -99,13 +99,13 @@
     }
 }
 
-fn connection_failed(at: SocketAddr, error: &hyper::Error) -> CallError {
-    CallError::ConnectionFailed { at, reason: error.to_string() }
+fn connection_failed(addr: SocketAddr, error: &hyper::Error) -> CallError {
+    CallError::ConnectionFailed { addr, reason: error.to_string() }
 }
 
 /// A connection to a replica.
 pub struct ReplicaConnection {
-    at: SocketAddr,
+    addr: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
@@ -121,21 +121,21 @@
     ///
     /// # Errors
     /// [`CallError::ConnectFailed`] or [`CallError::ConnectionFailed`].
-    pub async fn connect(at: SocketAddr) -> Result<Self, CallError> {
-        let socket = TcpStream::connect(at).await.and_then(TrackedSocket::new);
-        let socket = socket.map_err(|error| CallError::ConnectFailed { at, error })?;
+    pub async fn connect(addr: SocketAddr) -> Result<Self, CallError> {
+        let socket = TcpStream::connect(addr).await.and_then(TrackedSocket::new);
+        let socket = socket.map_err(|error| CallError::ConnectFailed { addr, error })?;
         let handshake = http1::handshake(HyperIo(socket)).await;
-        let (sender, connection) = handshake.map_err(|e| connection_failed(at, &e))?;
+        let (sender, connection) = handshake.map_err(|e| connection_failed(addr, &e))?;
         let driver = spawn_local(async move {
             // An error of the connection also fails the call, and is reported there.
             let _ = connection.await;
         });
-        Ok(Self { at, sender, driver })
+        Ok(Self { addr, sender, driver })
     }
 
     /// The address of the replica.
-    pub fn at(&self) -> SocketAddr {
-        self.at
+    pub fn addr(&self) -> SocketAddr {
+        self.addr
     }
 
     /// Sends one heartbeat. The caller sets the timeout.
@@ -144,11 +144,11 @@
     /// A [`CallError`] if no valid answer has arrived. The connection cannot be used any more then, unless the
     /// replica has refused the call.
     pub async fn send_heartbeat(&mut self, heartbeat: &Heartbeat) -> Result<HeartbeatReply, CallError> {
-        let at = self.at;
-        let unreadable = |reason: String| CallError::Unreadable { at, reason };
+        let addr = self.addr;
+        let unreadable = |reason: String| CallError::Unreadable { addr, reason };
         let body = serde_json::to_vec(heartbeat).map_err(|e| unreadable(e.to_string()))?;
         let request = Request::post("/v1/session").header(CONTENT_TYPE, "application/json");
-        let request = request.header(HOST, at.to_string()).body(Full::new(Bytes::from(body)));
+        let request = request.header(HOST, addr.to_string()).body(Full::new(Bytes::from(body)));
         let response = self.call(request.map_err(|e| unreadable(e.to_string()))?).await?;
         if response.status() != StatusCode::OK {
             return Err(self.refusal(response).await);
@@ -159,21 +159,21 @@
     }
 
     async fn refusal(&self, response: Response<Incoming>) -> CallError {
-        let (at, status) = (self.at, response.status());
+        let (addr, status) = (self.addr, response.status());
         let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
         let refusal = body.ok().and_then(|body| serde_json::from_slice(&body.to_bytes()).ok());
         match refusal {
-            Some(NotLeader { leader: Some(leader), .. }) => CallError::NotLeader { at, leader },
+            Some(NotLeader { leader: Some(leader), .. }) => CallError::NotLeader { addr, leader },
             Some(NotLeader { error, .. }) => {
-                CallError::Refused { at, status, reason: error.chars().take(MAX_REASON_CHARS).collect() }
+                CallError::Refused { addr, status, reason: error.chars().take(MAX_REASON_CHARS).collect() }
             }
-            None => CallError::Refused { at, status, reason: "no reason given".into() },
+            None => CallError::Refused { addr, status, reason: "no reason given".into() },
         }
     }
 
     async fn call(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
-        self.sender.ready().await.map_err(|e| connection_failed(self.at, &e))?;
-        self.sender.send_request(request).await.map_err(|e| connection_failed(self.at, &e))
+        self.sender.ready().await.map_err(|e| connection_failed(self.addr, &e))?;
+        self.sender.send_request(request).await.map_err(|e| connection_failed(self.addr, &e))
     }
 }
 
@@ -190,18 +190,18 @@
     /// # Errors
     /// A [`CallError`] if the replica refuses, or if connecting or the response takes longer than
     /// [`WATCH_START_TIMEOUT`].
-    pub async fn open(at: SocketAddr, from: u64) -> Result<Self, CallError> {
-        let timed_out = |_| CallError::TimedOut { at };
+    pub async fn open(addr: SocketAddr, from: u64) -> Result<Self, CallError> {
+        let timed_out = |_| CallError::TimedOut { addr };
         let mut connection =
-            timeout(WATCH_START_TIMEOUT, ReplicaConnection::connect(at)).await.map_err(timed_out)??;
-        let request = Request::get(format!("/v1/watch?from={from}")).header(HOST, at.to_string());
+            timeout(WATCH_START_TIMEOUT, ReplicaConnection::connect(addr)).await.map_err(timed_out)??;
+        let request = Request::get(format!("/v1/watch?from={from}")).header(HOST, addr.to_string());
         let request = request.body(Full::default());
-        let request = request.map_err(|e| CallError::Unreadable { at, reason: e.to_string() })?;
+        let request = request.map_err(|e| CallError::Unreadable { addr, reason: e.to_string() })?;
         let response = timeout(WATCH_START_TIMEOUT, connection.call(request)).await.map_err(timed_out)??;
         if response.status() != StatusCode::OK {
             return Err(timeout(WATCH_START_TIMEOUT, connection.refusal(response))
                 .await
-                .unwrap_or(CallError::TimedOut { at }));
+                .unwrap_or(CallError::TimedOut { addr }));
         }
         Ok(Self { connection, body: response.into_body(), splitter: MessageSplitter::default() })
     }
@@ -211,13 +211,13 @@
     /// # Errors
     /// A [`CallError`] if the connection failed, nothing arrived in time, or a line is invalid.
     pub async fn next(&mut self) -> Result<Option<WatchEvent>, CallError> {
-        let at = self.connection.at;
-        let unreadable = |reason: String| CallError::Unreadable { at, reason };
+        let addr = self.connection.addr;
+        let unreadable = |reason: String| CallError::Unreadable { addr, reason };
         loop {
             // The timeout is for whole lines: bytes of a line that never ends do not show that the replica works.
             let line = timeout(WATCH_SILENCE_TIMEOUT, self.next_line())
                 .await
-                .map_err(|_| CallError::TimedOut { at })??;
+                .map_err(|_| CallError::TimedOut { addr })??;
             let Some(line) = line else { return Ok(None) };
             if !line.is_empty() {
                 return serde_json::from_slice(&line).map(Some).map_err(|e| unreadable(e.to_string()));
@@ -226,15 +226,15 @@
     }
 
     async fn next_line(&mut self) -> Result<Option<Vec<u8>>, CallError> {
-        let at = self.connection.at;
+        let addr = self.connection.addr;
         loop {
             if let Some(line) = self.splitter.next() {
                 return Ok(Some(line));
             }
             let Some(frame) = self.body.frame().await else { return Ok(None) };
-            if let Ok(data) = frame.map_err(|e| connection_failed(at, &e))?.into_data() {
+            if let Ok(data) = frame.map_err(|e| connection_failed(addr, &e))?.into_data() {
                 let pushed = self.splitter.push(&data);
-                pushed.map_err(|e| CallError::Unreadable { at, reason: e.to_string() })?;
+                pushed.map_err(|e| CallError::Unreadable { addr, reason: e.to_string() })?;
             }
         }
     }
@@ -248,19 +248,19 @@
     #[test]
     fn each_error_has_its_advice() {
         use CallError::*;
-        let at = SocketAddr::from(([127, 0, 0, 1], 9301));
+        let addr = SocketAddr::from(([127, 0, 0, 1], 9301));
         assert_each_has_advice(|before| match before {
-            None => Some(ConnectFailed { at, error: std::io::ErrorKind::ConnectionRefused.into() }),
-            Some(ConnectFailed { .. }) => Some(TimedOut { at }),
-            Some(TimedOut { .. }) => Some(ConnectionFailed { at, reason: "closed".into() }),
-            Some(ConnectionFailed { .. }) => Some(NotLeader { at, leader: at }),
+            None => Some(ConnectFailed { addr, error: std::io::ErrorKind::ConnectionRefused.into() }),
+            Some(ConnectFailed { .. }) => Some(TimedOut { addr }),
+            Some(TimedOut { .. }) => Some(ConnectionFailed { addr, reason: "closed".into() }),
+            Some(ConnectionFailed { .. }) => Some(NotLeader { addr, leader: addr }),
             Some(NotLeader { .. }) => {
-                Some(Refused { at, status: StatusCode::BAD_REQUEST, reason: "no such name".into() })
+                Some(Refused { addr, status: StatusCode::BAD_REQUEST, reason: "no such name".into() })
             }
             Some(Refused { status, .. }) if status.is_client_error() => {
-                Some(Refused { at, status: StatusCode::SERVICE_UNAVAILABLE, reason: "no leader".into() })
+                Some(Refused { addr, status: StatusCode::SERVICE_UNAVAILABLE, reason: "no leader".into() })
             }
-            Some(Refused { .. }) => Some(Unreadable { at, reason: "not JSON".into() }),
+            Some(Refused { .. }) => Some(Unreadable { addr, reason: "not JSON".into() }),
             Some(Unreadable { .. }) => None,
         });
     }
--- a/src/net/votes.rs
+++ b/src/net/votes.rs
@@ -111,21 +111,21 @@
         self.last_answer.map(|at| now - at)
     }
 
-    /// The verdicts that apply to this node, with whether it is to probe the server. `born` gives the start date of
-    /// a listed server's process; a verdict about another process does not apply.
+    /// The verdicts that apply to this node, with whether it is to probe the server. `start_date` is the listed date of a
+    /// server's process; a verdict about another process does not apply.
     pub fn verdicts_here<'a>(
         &'a self,
-        me: &'a str,
+        node_name: &'a str,
         zone: Option<&'a str>,
-        born: impl Fn(&str) -> Option<f64> + 'a,
+        start_date: impl Fn(&str) -> Option<f64> + 'a,
     ) -> impl Iterator<Item = (&'a str, bool)> + 'a {
         let here = move |verdict: &&Verdict| {
             let zones = &verdict.zones;
             (zones.is_empty() || zone.is_some_and(|zone| zones.iter().any(|z| z == zone)))
-                && born(&verdict.server) == Some(verdict.born_ms)
+                && start_date(&verdict.server) == Some(verdict.born_ms)
         };
         let with_probing = move |verdict: &'a Verdict| {
-            (verdict.server.as_str(), verdict.probers.iter().any(|prober| prober == me))
+            (verdict.server.as_str(), verdict.probers.iter().any(|prober| prober == node_name))
         };
         self.verdicts.verdicts.iter().filter(here).map(with_probing)
     }
