--- a/src/net/votes.rs
+++ b/src/net/votes.rs
@@ -111,8 +111,8 @@
         self.last_answer.map(|at| now - at)
     }
 
-    /// The verdicts that apply to this node, with whether it is to probe the server. `start_date` is the listed date of a
-    /// server's process; a verdict about another process does not apply.
+    /// The verdicts that apply to this node, with whether it is to probe the server. `start_date` is the listed start
+    /// date of a server's process; a verdict about another process does not apply.
     pub fn verdicts_here<'a>(
         &'a self,
         node_name: &'a str,
