--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -436,7 +436,10 @@
             state = monitor.ended() => state == BodyState::Complete,
             early = &mut receiver => {
                 cancel.answered = true;
-                return early.map_or_else(|_| empty_response(StatusCode::BAD_GATEWAY), |response| into_http(response, guard));
+                return early.map_or_else(
+                    |_| empty_response(StatusCode::BAD_GATEWAY),
+                    |response| into_http(response, guard),
+                );
             }
         };
         cancel.since = Instant::now();
--- a/src/net/servers.rs
+++ b/src/net/servers.rs
@@ -147,7 +147,12 @@
         };
         let result = tokio::select! {
             biased;
-            response = send_request(node, &mut connection, || build_request(request, body, deadline), time / BUFFER_TIME_DIVISOR) => Some(response),
+            response = send_request(
+                node,
+                &mut connection,
+                || build_request(request, body, deadline),
+                time / BUFFER_TIME_DIVISOR,
+            ) => Some(response),
             () = timed_out => None,
         };
         let (any_sent, all_sent) = (socket.any_sent(), socket.all_sent());
--- a/src/net/votes.rs
+++ b/src/net/votes.rs
@@ -152,7 +152,8 @@
 pub fn describe_evidence(evidence: Evidence) -> String {
     let Evidence { attempts, connect_failures, connection_resets, timeouts, errors } = evidence;
     format!(
-        "{attempts} attempts, {} failed ({connect_failures} failed connects, {connection_resets} broken connections, {timeouts} timeouts, {errors} errors)",
+        "{attempts} attempts, {} failed ({connect_failures} failed connects, \
+         {connection_resets} broken connections, {timeouts} timeouts, {errors} errors)",
         evidence.failures()
     )
 }
