--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -71,24 +71,24 @@
 }
 
 /// Writes a client's request and tells what came of it.
-pub async fn ask(stage: Rc<Stage>, ask: usize) {
-    let got = converse(&stage, ask).await;
-    stage.with(|world, now| world.try_ended(now, ask, got));
-    stage.asked_for(ask);
+pub async fn run_try(stage: Rc<Stage>, try_id: usize) {
+    let got = converse(&stage, try_id).await;
+    stage.with(|world, now| world.try_ended(now, try_id, got));
+    stage.asked_for(try_id);
 }
 
-async fn converse(stage: &Rc<Stage>, ask: usize) -> TryOutcome {
-    let pool = stage.pool(ask);
+async fn converse(stage: &Rc<Stage>, try_id: usize) -> TryOutcome {
+    let pool = stage.pool(try_id);
     let Ok(_place) = pool.most.acquire().await else { return TryOutcome::NoConnection };
     if let Some(mut conn) = pool.idle() {
         // A node may close a connection between requests: a request that crosses that goes out once more.
-        if let Ok(answer) = conn.send.send_request(request(stage, ask)).await {
-            return hear(stage, &pool, ask, conn, answer).await;
+        if let Ok(answer) = conn.send.send_request(request(stage, try_id)).await {
+            return hear(stage, &pool, try_id, conn, answer).await;
         }
     }
     let Some(mut conn) = pool.open().await else { return TryOutcome::NoConnection };
-    match conn.send.send_request(request(stage, ask)).await {
-        Ok(answer) => hear(stage, &pool, ask, conn, answer).await,
+    match conn.send.send_request(request(stage, try_id)).await {
+        Ok(answer) => hear(stage, &pool, try_id, conn, answer).await,
         Err(_) => TryOutcome::ConnectionLost { partial_answer: false },
     }
 }
@@ -96,7 +96,7 @@
 async fn hear(
     stage: &Rc<Stage>,
     pool: &Pool,
-    ask: usize,
+    try_id: usize,
     conn: Conn,
     answer: Response<hyper::body::Incoming>,
 ) -> TryOutcome {
@@ -104,7 +104,7 @@
     let Ok(body) = Limited::new(body, BODY_MOST).collect().await else {
         return TryOutcome::ConnectionLost { partial_answer: true };
     };
-    stage.admitted(ask, &head);
+    stage.admitted(try_id, &head);
     let after = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
     let body = body.to_bytes();
     pool.idle.borrow_mut().push(conn);
@@ -112,9 +112,9 @@
     TryOutcome::Answer { status: head.status.as_u16(), retry_after: after.map(us_from_s), attempt }
 }
 
-fn request(stage: &Stage, ask: usize) -> Request<Full<Bytes>> {
+fn request(stage: &Stage, try_id: usize) -> Request<Full<Bytes>> {
     let world = stage.world();
-    let asked = world.client_try(ask);
+    let asked = world.client_try(try_id);
     let class = &world.draw().classes[asked.class];
     let (method, body) = match class.idempotency {
         Idempotency::Safe => (Method::GET, Bytes::new()),
@@ -134,7 +134,7 @@
         }
     };
     header("host", "service.internal".into());
-    header("x-txn", world.txn(ask));
+    header("x-txn", world.txn(try_id));
     header("x-remaining-ms", (asked.timeout / 1000).to_string());
     header("x-estimate", format!("{:.0}", asked.work_estimate));
     if asked.is_retry {
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -280,12 +280,12 @@
         while !self.closed.get() {
             let Some(out) = self.world.borrow_mut().next_effect() else { return };
             match out {
-                Effect::DeliverRequest(ask) => {
-                    let task = spawn_local(clients::ask(self.clone(), ask));
-                    self.asking.borrow_mut().insert(ask, task.abort_handle());
+                Effect::DeliverRequest(try_id) => {
+                    let task = spawn_local(clients::run_try(self.clone(), try_id));
+                    self.asking.borrow_mut().insert(try_id, task.abort_handle());
                 }
-                Effect::ClientDisconnect(ask) => {
-                    if let Some(task) = self.asking.borrow_mut().remove(&ask) {
+                Effect::ClientDisconnect(try_id) => {
+                    if let Some(task) = self.asking.borrow_mut().remove(&try_id) {
                         task.abort();
                     }
                 }
@@ -315,23 +315,23 @@
     }
 
     /// Under which epoch a node's answer says that its request was admitted.
-    fn admitted(self: &Rc<Self>, ask: usize, head: &hyper::http::response::Parts) {
+    fn admitted(self: &Rc<Self>, try_id: usize, head: &hyper::http::response::Parts) {
         if self.group.is_none() {
             return;
         }
         let told = head.headers.get("x-policy-epoch").and_then(|v| v.to_str().ok()?.parse().ok());
         // A node that admits under no epoch refuses; whatever else answers so was not asked to be admitted.
         if told.is_some() || head.status.as_u16() == 503 {
-            self.with(|world, now| world.record_admission(now, ask, told));
+            self.with(|world, now| world.record_admission(now, try_id, told));
         }
     }
 
-    fn pool(&self, ask: usize) -> Rc<Pool> {
-        self.pools[self.world().client_try(ask).node].clone()
+    fn pool(&self, try_id: usize) -> Rc<Pool> {
+        self.pools[self.world().client_try(try_id).node].clone()
     }
 
-    fn asked_for(&self, ask: usize) {
-        self.asking.borrow_mut().remove(&ask);
+    fn asked_for(&self, try_id: usize) {
+        self.asking.borrow_mut().remove(&try_id);
     }
 
     // ---- Nodes ----
--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -196,8 +196,8 @@
     fn carry_out(&mut self) -> Result<(), ModelError> {
         while let Some(out) = self.world.next_effect() {
             let to = match &out {
-                Effect::DeliverRequest(ask) | Effect::ClientDisconnect(ask) => {
-                    Some(self.world.client_try(*ask).node)
+                Effect::DeliverRequest(try_id) | Effect::ClientDisconnect(try_id) => {
+                    Some(self.world.client_try(*try_id).node)
                 }
                 Effect::DeliverReply { attempt, .. } => Some(self.origins[*attempt].0),
                 Effect::SendListUpdate { node, .. } => Some(*node),
@@ -214,19 +214,19 @@
     /// A message of the world's is there.
     fn reach(&mut self, out: Effect) -> Result<(), ModelError> {
         match out {
-            Effect::DeliverRequest(ask) => {
-                let asked = self.world.client_try(ask);
+            Effect::DeliverRequest(try_id) => {
+                let asked = self.world.client_try(try_id);
                 match &mut self.nodes[asked.node] {
                     Some(node) if node.serves() => {
-                        let wants = node.asked(self.now, ask, &asked);
+                        let wants = node.asked(self.now, try_id, &asked);
                         self.want(asked.node, wants);
                     }
-                    _ => self.world.try_ended(self.now, ask, TryOutcome::NoConnection),
+                    _ => self.world.try_ended(self.now, try_id, TryOutcome::NoConnection),
                 }
             }
-            Effect::ClientDisconnect(ask) => {
-                let node = self.world.client_try(ask).node;
-                let wants = self.nodes[node].as_mut().map(|n| n.left(self.now, RequestId(ask as u64)));
+            Effect::ClientDisconnect(try_id) => {
+                let node = self.world.client_try(try_id).node;
+                let wants = self.nodes[node].as_mut().map(|n| n.left(self.now, RequestId(try_id as u64)));
                 self.want(node, wants.unwrap_or_default());
             }
             Effect::DeliverReply { attempt, reply } => {
@@ -378,8 +378,8 @@
         self.lives[node] += 1;
         let Some(ended) = self.nodes[node].take() else { return };
         let (asks, attempts, links) = ended.ends();
-        for ask in asks {
-            self.world.try_ended(self.now, ask, TryOutcome::ConnectionLost { partial_answer: false });
+        for try_id in asks {
+            self.world.try_ended(self.now, try_id, TryOutcome::ConnectionLost { partial_answer: false });
         }
         for attempt in attempts {
             self.world.attempt_closed(self.now, attempt);
@@ -489,8 +489,12 @@
         for want in wants {
             match want {
                 Want::Timer(at) => self.at(node, at, Wake::Timer),
-                Want::Answer { ask, status, retry_after, attempt } => {
-                    self.world.try_ended(self.now, ask, TryOutcome::Answer { status, retry_after, attempt });
+                Want::Answer { try_id, status, retry_after, attempt } => {
+                    self.world.try_ended(
+                        self.now,
+                        try_id,
+                        TryOutcome::Answer { status, retry_after, attempt },
+                    );
                 }
                 Want::Send { id, attempt, server, until } => self.send(node, id, attempt, server, until),
                 Want::Close { attempt, link } => {
--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -31,7 +31,7 @@
     /// A final answer.
     Answer {
         /// The client's try.
-        ask: usize,
+        try_id: usize,
         /// The status.
         status: u16,
         /// When the client should come back.
@@ -69,7 +69,7 @@
 }
 
 struct Open {
-    ask: usize,
+    try_id: usize,
     owed: bool,
     tries: Vec<Try>,
 }
@@ -214,7 +214,7 @@
     ) -> Option<Want> {
         let open = self.requests.get_mut(&id)?;
         let owed = std::mem::replace(&mut open.owed, false);
-        owed.then_some(Want::Answer { ask: open.ask, status, retry_after, attempt })
+        owed.then_some(Want::Answer { try_id: open.try_id, status, retry_after, attempt })
     }
 
     /// An attempt that is still out ends here: its connection closes.
@@ -247,9 +247,9 @@
     }
 
     /// A client's request.
-    pub fn asked(&mut self, now: Us, ask: usize, asked: &ClientTry) -> Vec<Want> {
-        let id = RequestId(ask as u64);
-        self.requests.insert(id, Open { ask, owed: true, tries: Vec::new() });
+    pub fn asked(&mut self, now: Us, try_id: usize, asked: &ClientTry) -> Vec<Want> {
+        let id = RequestId(try_id as u64);
+        self.requests.insert(id, Open { try_id, owed: true, tries: Vec::new() });
         let margin = MARGIN.0.min(asked.timeout / MARGIN.1);
         // Its time is counted from when it was sent.
         let deadline = millis((asked.sent_at + asked.timeout).saturating_sub(margin).max(now));
@@ -390,7 +390,7 @@
 
     /// It ends: the tries that it owes an answer, the attempts that are out, and all connections.
     pub fn ends(self) -> (Vec<usize>, Vec<usize>, Vec<Link>) {
-        let asks = self.requests.values().filter(|r| r.owed).map(|r| r.ask).collect();
+        let asks = self.requests.values().filter(|r| r.owed).map(|r| r.try_id).collect();
         let out = self.requests.values().flat_map(|r| &r.tries).filter(|t| !t.over);
         let (attempts, busy): (Vec<usize>, Vec<Link>) = out.filter_map(|t| t.written).unzip();
         let idle =
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -1,322 +1,337 @@
-//! One app server as a pure state machine over a virtual clock.
+//! Model of one app server: a pure state machine over a virtual clock.
 //!
-//! Requests run first come first served, one to a core, with a bounded queue; one more is turned away. What it gets
-//! done depends on its speed, how warm it is, slow spells, what another program takes, how many requests and
-//! connections it holds, and whether crowding has choked it. Sent too much while cold, it falls over and stays down.
+//! Requests are served in arrival order, one per core, with a bounded queue; a request that finds the queue full is
+//! turned away with 503. The service rate depends on the server's speed, its warm-up, injected slowdowns, the share of
+//! CPU that a noisy neighbour takes, the number of requests and connections in flight, and whether sustained crowding
+//! has choked the server. A cold server that receives far more work than it can do crashes and stays down.
 
 use std::collections::VecDeque;
 
-/// A time or a span, in microseconds from the run's start.
+/// A time since the start of the run, or a duration, in microseconds.
 pub type Us = u64;
 
-/// While a server warms up its capacity is taken as constant for this long.
-const WARMING_STEP: Us = 20_000;
-/// What the fall rule allows beyond the budget, for chance: work in microseconds.
-const FALL_SLACK: f64 = 200_000.0;
+/// While a server warms up, its service rate is treated as constant over steps of this length.
+const WARM_UP_STEP_US: Us = 20_000;
+/// Work (µs at speed 1) that a cold server may receive beyond `overload_multiple` before it crashes, so that random
+/// clustering of arrivals alone does not crash it.
+const OVERLOAD_SLACK_US: f64 = 200_000.0;
 
-/// What a server is like. Work is in microseconds of one core at speed 1.
+/// Parameters of one server. Work is in microseconds of one core at speed 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerParameters {
-    /// Cores.
+    /// Number of cores.
     pub cores: usize,
-    /// Work that a core gets done in a microsecond.
+    /// Work that one core does per microsecond.
     pub speed: f64,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub max_waiting: usize,
-    /// Held requests for each core from which on it works less well ...
+    /// Requests in flight per core above which the server loses efficiency.
     pub thrash_threshold: f64,
-    /// ... by this part for each further one.
+    /// Slowdown per request in flight per core above `thrash_threshold`.
     pub thrash_slowdown: f64,
-    /// Capacity at the start, as a share.
+    /// Share of full capacity that a server has when it starts.
     pub initial_warmth: f64,
-    /// It is warm after this.
+    /// Time from start until full capacity.
     pub warm_up: Us,
-    /// The share of requests that fail.
+    /// Share of requests that fail with 500.
     pub error_rate: f64,
-    /// A cancelled request that waits is dropped.
+    /// Whether a cancelled request is removed from the queue.
     pub drops_cancelled: bool,
-    /// The connections that it accepts.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// The share of capacity that a full table of them takes.
+    /// Share of capacity lost when the connection table is full; proportional below that.
     pub connection_overhead: f64,
-    /// The work of a new one.
+    /// Work of one connection handshake.
     pub handshake_work: f64,
-    /// Crowding.
+    /// Choking under sustained crowding.
     pub choke: ChokeParameters,
-    /// The rule on cold servers: it falls when sent this many times its capacity ...
+    /// A cold server crashes when it receives more than this many times its capacity ...
     pub overload_multiple: f64,
-    /// ... over this window.
+    /// ... within this window.
     pub overload_window: Us,
 }
 
-/// How a server is choked by crowding.
+/// How sustained crowding chokes a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChokeParameters {
-    /// More held requests for each core than this ...
+    /// The server is crowded above this number of requests in flight per core.
     pub threshold: f64,
-    /// ... for this long ...
+    /// Crowding for this long chokes the server.
     pub onset: Us,
-    /// ... make it slower by this ...
+    /// Factor by which a choked server is slower.
     pub slowdown: f64,
-    /// ... until it held fewer than this ...
+    /// A choked server recovers below this number of requests in flight per core ...
     pub recovery_threshold: f64,
-    /// ... for this long ...
+    /// ... sustained for this long.
     pub recovery: Us,
-    /// ... or this has passed.
+    /// A server is choked for no longer than this.
     pub max_duration: Us,
 }
 
-/// What became of a request that arrived.
+/// Outcome of a request's arrival at a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It runs or waits.
+    /// The request runs or waits.
     Accepted,
-    /// There was no room.
+    /// The queue was full.
     TurnedAway,
-    /// It was too much for a cold server, which is down from now on. `told` is the share of the work in the window
-    /// that came from nodes which had been told of its start.
+    /// The request overloaded a cold server, which crashed and is down from now on. `informed_share` is the share of
+    /// the work in the window that came from nodes which had been notified of the server's start.
     Crashed {
         /// From 0 to 1.
         informed_share: f64,
     },
 }
 
-/// What a server was sent while it was cold.
+/// Work that a server received while it was cold.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdLoad {
-    /// The most in a window, as a part of what pushes it over.
+    /// Highest amount within one window, as a fraction of what crashes the server.
     pub peak: f64,
-    /// All of it, as work.
+    /// Total work received.
     pub sent: f64,
-    /// All that it could have done meanwhile, as work.
+    /// Total work that the server could have done in that time.
     pub capacity: f64,
 }
 
 #[derive(Debug)]
 struct Running {
-    job: u64,
-    left: f64,
+    request: u64,
+    remaining: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Choked {
-    No { crowded: Option<Us> },
-    Since { at: Us, rested: Option<Us> },
+enum ChokeState {
+    Normal { crowded_since: Option<Us> },
+    Choked { since: Us, relieved_since: Option<Us> },
 }
 
-/// A server.
+/// Simulated app server.
 #[derive(Debug)]
 pub struct Server {
     parameters: ServerParameters,
     now: Us,
-    /// When it started; `None` where it has been warm all along.
-    born: Option<Us>,
+    /// Start time; `None` if the server has been warm from the start of the run.
+    started_at: Option<Us>,
     running: Vec<Running>,
     waiting: VecDeque<(u64, f64)>,
-    slower: f64,
-    taken: f64,
-    held_connections: usize,
-    /// Work of handshakes that the next request to start has to wait for.
-    handshakes: f64,
-    choked: Choked,
-    /// Work that arrived in the fall window: when, how much, from a node that was told of the start.
-    pressure: VecDeque<(Us, f64, bool)>,
+    slowdown: f64,
+    stolen_share: f64,
+    open_connections: usize,
+    /// Handshake work that is added to the next request to start.
+    pending_handshake_work: f64,
+    choke_state: ChokeState,
+    /// Work received within the overload window: time, amount, and whether the sending node had been notified of this
+    /// server's start.
+    cold_arrivals: VecDeque<(Us, f64, bool)>,
     cold_load: ColdLoad,
-    /// Work that it has done in all.
-    done: f64,
+    /// Total work done.
+    work_done: f64,
 }
 
 impl Server {
-    /// A server that has been warm for long, or that starts at `born`.
-    pub fn new(parameters: ServerParameters, born: Option<Us>) -> Self {
+    /// Creates a server that is already warm, or one that starts cold at `started_at`.
+    pub fn new(parameters: ServerParameters, started_at: Option<Us>) -> Self {
         Self {
             parameters,
-            now: born.unwrap_or(0),
-            born,
+            now: started_at.unwrap_or(0),
+            started_at,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            slower: 1.0,
-            taken: 0.0,
-            held_connections: 0,
-            handshakes: 0.0,
-            choked: Choked::No { crowded: None },
-            pressure: VecDeque::new(),
+            slowdown: 1.0,
+            stolen_share: 0.0,
+            open_connections: 0,
+            pending_handshake_work: 0.0,
+            choke_state: ChokeState::Normal { crowded_since: None },
+            cold_arrivals: VecDeque::new(),
             cold_load: ColdLoad::default(),
-            done: 0.0,
+            work_done: 0.0,
         }
     }
 
-    /// What it is like.
+    /// Returns the server's parameters.
     pub fn parameters(&self) -> &ServerParameters {
         &self.parameters
     }
 
-    /// Requests that run or wait.
+    /// Number of requests that run or wait.
     pub fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Work that it has done in all.
+    /// Total work done.
     pub fn work_done(&self) -> f64 {
-        self.done
+        self.work_done
     }
 
-    /// Work that it holds and has not done.
+    /// Remaining work of all requests that run or wait.
     pub fn backlog(&self) -> f64 {
-        self.running.iter().map(|r| r.left).sum::<f64>() + self.waiting.iter().map(|w| w.1).sum::<f64>()
+        self.running.iter().map(|r| r.remaining).sum::<f64>() + self.waiting.iter().map(|w| w.1).sum::<f64>()
     }
 
-    /// What it was sent while it was cold, up to now.
+    /// Work received while cold, and the capacity over that time, up to `now`.
     pub fn cold_load(&self, now: Us) -> ColdLoad {
-        let (f, age) = (&self.parameters, self.born.map_or(0, |born| now.saturating_sub(born)));
+        let (f, age) =
+            (&self.parameters, self.started_at.map_or(0, |started_at| now.saturating_sub(started_at)));
         let age = age.min(f.warm_up) as f64;
-        let warmths =
+        let average_warmth_time =
             f.initial_warmth * age + (1.0 - f.initial_warmth) * age * age / (2.0 * f.warm_up.max(1) as f64);
-        ColdLoad { capacity: f.speed * f.cores as f64 * warmths, ..self.cold_load }
+        ColdLoad { capacity: f.speed * f.cores as f64 * average_warmth_time, ..self.cold_load }
     }
 
-    /// Is it still warming up?
+    /// Whether the server is still warming up.
     pub fn is_cold(&self, now: Us) -> bool {
-        self.born.is_some_and(|born| now < born + self.parameters.warm_up)
+        self.started_at.is_some_and(|started_at| now < started_at + self.parameters.warm_up)
     }
 
-    /// The share of its capacity that it has by its age.
+    /// Share of full capacity that the server has at its age.
     fn warmth(&self, now: Us) -> f64 {
         let from = self.parameters.initial_warmth;
-        match self.born {
-            Some(born) if now < born + self.parameters.warm_up => {
-                from + (1.0 - from) * now.saturating_sub(born) as f64 / self.parameters.warm_up as f64
+        match self.started_at {
+            Some(started_at) if now < started_at + self.parameters.warm_up => {
+                from + (1.0 - from) * now.saturating_sub(started_at) as f64 / self.parameters.warm_up as f64
             }
             _ => 1.0,
         }
     }
 
-    /// Work that a core gets done in a microsecond, as things are.
+    /// Work that one core does per microsecond in the current state.
     fn rate(&self, now: Us) -> f64 {
         let f = &self.parameters;
-        let crowd = (self.in_flight() as f64 / f.cores as f64 - f.thrash_threshold).max(0.0);
-        let table = (self.held_connections as f64 / f.max_connections.max(1) as f64).min(1.0);
-        let choke = if matches!(self.choked, Choked::Since { .. }) { f.choke.slowdown } else { 1.0 };
-        f.speed * self.warmth(now) * (1.0 - self.taken) * (1.0 - f.connection_overhead * table)
-            / (self.slower * choke * (1.0 + f.thrash_slowdown * crowd))
+        let excess = (self.in_flight() as f64 / f.cores as f64 - f.thrash_threshold).max(0.0);
+        let table_fill = (self.open_connections as f64 / f.max_connections.max(1) as f64).min(1.0);
+        let choke =
+            if matches!(self.choke_state, ChokeState::Choked { .. }) { f.choke.slowdown } else { 1.0 };
+        f.speed * self.warmth(now) * (1.0 - self.stolen_share) * (1.0 - f.connection_overhead * table_fill)
+            / (self.slowdown * choke * (1.0 + f.thrash_slowdown * excess))
     }
 
-    /// Work that it gets done in a microsecond with all cores busy.
+    /// Work done per microsecond with all cores busy.
     pub fn capacity(&self, now: Us) -> f64 {
         self.rate(now) * self.parameters.cores as f64
     }
 
-    /// Makes it slower by a factor, and lets another program take a share of it.
-    pub fn set_slowdown(&mut self, slower: f64, taken: f64) {
-        (self.slower, self.taken) = (slower.max(0.01), taken.clamp(0.0, 0.99));
+    /// Sets the factor by which the server is slowed down, and the share of its CPU that another program takes.
+    pub fn set_slowdown(&mut self, slowdown: f64, stolen_share: f64) {
+        (self.slowdown, self.stolen_share) = (slowdown.max(0.01), stolen_share.clamp(0.0, 0.99));
     }
 
-    /// One more connection; false where it has no room for it.
+    /// Opens a connection; returns false if the connection table is full.
     pub fn connect(&mut self) -> bool {
-        if self.held_connections >= self.parameters.max_connections {
+        if self.open_connections >= self.parameters.max_connections {
             return false;
         }
-        self.held_connections += 1;
-        self.handshakes += self.parameters.handshake_work;
+        self.open_connections += 1;
+        self.pending_handshake_work += self.parameters.handshake_work;
         true
     }
 
-    /// A connection ended.
+    /// Closes a connection.
     pub fn disconnect(&mut self) {
-        self.held_connections = self.held_connections.saturating_sub(1);
+        self.open_connections = self.open_connections.saturating_sub(1);
     }
 
-    /// A request arrives; [`Server::advance`] must have brought the server to this moment.
-    pub fn arrive(&mut self, job: u64, work: f64, told: bool) -> Admission {
-        if let Some(informed_share) = self.pressed(work, told) {
+    /// Handles the arrival of a request; [`Server::advance`] must have been called for this moment. `informed` tells
+    /// whether the sending node had been notified of this server's start.
+    pub fn arrive(&mut self, request: u64, work: f64, informed: bool) -> Admission {
+        if let Some(informed_share) = self.record_cold_arrival(work, informed) {
             return Admission::Crashed { informed_share };
         }
         if self.running.len() < self.parameters.cores {
-            self.start(job, work);
+            self.start(request, work);
         } else if self.waiting.len() < self.parameters.max_waiting {
-            self.waiting.push_back((job, work));
+            self.waiting.push_back((request, work));
         } else {
             return Admission::TurnedAway;
         }
-        self.crowd();
+        self.update_choke_state();
         Admission::Accepted
     }
 
-    /// Notes what a cold server was sent; the told share where it was too much.
-    fn pressed(&mut self, work: f64, told: bool) -> Option<f64> {
+    /// Records work that arrives at a cold server. Returns the share that came from informed nodes if the server is
+    /// now overloaded.
+    fn record_cold_arrival(&mut self, work: f64, informed: bool) -> Option<f64> {
         let (now, window) = (self.now, self.parameters.overload_window);
         if !self.is_cold(now) {
-            self.pressure.clear();
+            self.cold_arrivals.clear();
             return None;
         }
-        self.pressure.push_back((now, work, told));
-        while self.pressure.front().is_some_and(|p| p.0 + window < now) {
-            self.pressure.pop_front();
+        self.cold_arrivals.push_back((now, work, informed));
+        while self.cold_arrivals.front().is_some_and(|p| p.0 + window < now) {
+            self.cold_arrivals.pop_front();
         }
-        let sent: f64 = self.pressure.iter().map(|p| p.1).sum();
-        let able = self.parameters.speed * self.warmth(now) * self.parameters.cores as f64;
-        let budget = self.parameters.overload_multiple * able * window as f64 + FALL_SLACK;
+        let sent: f64 = self.cold_arrivals.iter().map(|p| p.1).sum();
+        let capacity = self.parameters.speed * self.warmth(now) * self.parameters.cores as f64;
+        let budget = self.parameters.overload_multiple * capacity * window as f64 + OVERLOAD_SLACK_US;
         self.cold_load.sent += work;
         self.cold_load.peak = self.cold_load.peak.max(sent / budget);
-        let from_told = || self.pressure.iter().filter(|p| p.2).map(|p| p.1).sum::<f64>() / sent;
-        (sent > budget).then(from_told)
+        let informed_share = || self.cold_arrivals.iter().filter(|p| p.2).map(|p| p.1).sum::<f64>() / sent;
+        (sent > budget).then(informed_share)
     }
 
-    fn start(&mut self, job: u64, work: f64) {
-        let left = work + std::mem::take(&mut self.handshakes);
-        self.running.push(Running { job, left });
+    fn start(&mut self, request: u64, work: f64) {
+        let remaining = work + std::mem::take(&mut self.pending_handshake_work);
+        self.running.push(Running { request, remaining });
     }
 
-    /// Its node no longer wants this; true where it waited and is dropped.
-    pub fn cancel(&mut self, job: u64) -> bool {
-        let place = self.waiting.iter().position(|w| w.0 == job);
-        let dropped = self.parameters.drops_cancelled && place.is_some();
-        if let (true, Some(place)) = (dropped, place) {
-            self.waiting.remove(place);
-            self.crowd();
+    /// Cancels a request for its node; returns true if it was waiting and was dropped.
+    pub fn cancel(&mut self, request: u64) -> bool {
+        let position = self.waiting.iter().position(|w| w.0 == request);
+        let dropped = self.parameters.drops_cancelled && position.is_some();
+        if let (true, Some(position)) = (dropped, position) {
+            self.waiting.remove(position);
+            self.update_choke_state();
         }
         dropped
     }
 
-    /// Looks at how crowded it is, for how long, and what follows.
-    fn crowd(&mut self) {
+    /// Updates the choke state from the current crowding and its duration.
+    fn update_choke_state(&mut self) {
         let (now, choke) = (self.now, &self.parameters.choke);
-        let held = self.in_flight() as f64 / self.parameters.cores as f64;
-        self.choked = match self.choked {
-            Choked::No { crowded } if held > choke.threshold => match crowded {
-                Some(since) if now >= since + choke.onset => Choked::Since { at: now, rested: None },
-                since => Choked::No { crowded: since.or(Some(now)) },
-            },
-            Choked::No { .. } => Choked::No { crowded: None },
-            Choked::Since { at, .. } if now >= at + choke.max_duration => Choked::No { crowded: None },
-            Choked::Since { at, rested } if held < choke.recovery_threshold => match rested {
-                Some(since) if now >= since + choke.recovery => Choked::No { crowded: None },
-                since => Choked::Since { at, rested: since.or(Some(now)) },
+        let in_flight = self.in_flight() as f64 / self.parameters.cores as f64;
+        self.choke_state = match self.choke_state {
+            ChokeState::Normal { crowded_since } if in_flight > choke.threshold => match crowded_since {
+                Some(since) if now >= since + choke.onset => {
+                    ChokeState::Choked { since: now, relieved_since: None }
+                }
+                since => ChokeState::Normal { crowded_since: since.or(Some(now)) },
             },
-            Choked::Since { at, .. } => Choked::Since { at, rested: None },
+            ChokeState::Normal { .. } => ChokeState::Normal { crowded_since: None },
+            ChokeState::Choked { since, .. } if now >= since + choke.max_duration => {
+                ChokeState::Normal { crowded_since: None }
+            }
+            ChokeState::Choked { since, relieved_since } if in_flight < choke.recovery_threshold => {
+                match relieved_since {
+                    Some(relieved) if now >= relieved + choke.recovery => {
+                        ChokeState::Normal { crowded_since: None }
+                    }
+                    relieved => ChokeState::Choked { since, relieved_since: relieved.or(Some(now)) },
+                }
+            }
+            ChokeState::Choked { since, .. } => ChokeState::Choked { since, relieved_since: None },
         };
     }
 
-    /// Is it slow from crowding?
+    /// Whether the server is choked by crowding.
     pub fn is_choked(&self) -> bool {
-        matches!(self.choked, Choked::Since { .. })
+        matches!(self.choke_state, ChokeState::Choked { .. })
     }
 
-    /// When something happens next, if nothing else comes.
+    /// Time of the next state change if no request arrives before it.
     pub fn next_due(&self) -> Option<Us> {
         let f = &self.parameters;
-        let choke = match self.choked {
-            Choked::No { crowded } => crowded.map(|since| since + f.choke.onset),
-            Choked::Since { at, rested } => {
-                let most = at + f.choke.max_duration;
-                Some(rested.map_or(most, |since| most.min(since + f.choke.recovery)))
+        let choke = match self.choke_state {
+            ChokeState::Normal { crowded_since } => crowded_since.map(|since| since + f.choke.onset),
+            ChokeState::Choked { since, relieved_since } => {
+                let latest = since + f.choke.max_duration;
+                Some(relieved_since.map_or(latest, |relieved| latest.min(relieved + f.choke.recovery)))
             }
         };
-        let least = self.running.iter().map(|r| r.left).min_by(f64::total_cmp);
-        let done = least.map(|left| {
-            let end = self.now + ((left / self.rate(self.now)).ceil() as Us).max(1);
+        let least_remaining = self.running.iter().map(|r| r.remaining).min_by(f64::total_cmp);
+        let done = least_remaining.map(|remaining| {
+            let end = self.now + ((remaining / self.rate(self.now)).ceil() as Us).max(1);
             if self.is_cold(self.now) {
-                end.min(self.now + WARMING_STEP)
+                end.min(self.now + WARM_UP_STEP_US)
             } else {
                 end
             }
@@ -324,31 +339,31 @@
         [choke, done].into_iter().flatten().min().map(|due| due.max(self.now))
     }
 
-    /// Lets time pass; the requests that ended, with when they did.
+    /// Advances the clock to `to`, and appends the requests that ended and their end times.
     pub fn advance(&mut self, to: Us, ended: &mut Vec<(u64, Us)>) {
         while let Some(due) = self.next_due().filter(|due| *due <= to) {
-            self.pass(due, ended);
+            self.advance_constant_rate(due, ended);
         }
-        self.pass(to, ended);
+        self.advance_constant_rate(to, ended);
     }
 
-    /// Lets time pass in which the rate is constant.
-    fn pass(&mut self, to: Us, ended: &mut Vec<(u64, Us)>) {
+    /// Advances the clock over a span with a constant service rate.
+    fn advance_constant_rate(&mut self, to: Us, ended: &mut Vec<(u64, Us)>) {
         let span = to.saturating_sub(self.now) as f64;
         let step = span * self.rate(self.now);
         self.now = self.now.max(to);
         for running in &mut self.running {
-            self.done += step.min(running.left);
-            running.left -= step;
+            self.work_done += step.min(running.remaining);
+            running.remaining -= step;
         }
-        let over = |r: &Running| r.left <= 1e-6;
-        ended.extend(self.running.iter().filter(|r| over(r)).map(|r| (r.job, to)));
-        self.running.retain(|r| !over(r));
+        let is_done = |r: &Running| r.remaining <= 1e-6;
+        ended.extend(self.running.iter().filter(|r| is_done(r)).map(|r| (r.request, to)));
+        self.running.retain(|r| !is_done(r));
         while self.running.len() < self.parameters.cores {
-            let Some((job, work)) = self.waiting.pop_front() else { break };
-            self.start(job, work);
+            let Some((request, work)) = self.waiting.pop_front() else { break };
+            self.start(request, work);
         }
-        self.crowd();
+        self.update_choke_state();
     }
 }
 
@@ -383,62 +398,65 @@
         }
     }
 
-    fn ends(server: &mut Server, to: Us) -> Vec<(u64, Us)> {
+    fn advance_to(server: &mut Server, to: Us) -> Vec<(u64, Us)> {
         let mut ended = Vec::new();
         server.advance(to, &mut ended);
         ended
     }
 
     #[test]
-    fn two_run_four_wait_and_the_seventh_is_turned_away() {
+    fn a_request_beyond_cores_and_queue_is_turned_away() {
         let mut server = Server::new(parameters(), None);
-        let came: Vec<_> = (0..7).map(|job| server.arrive(job, 10_000.0, true)).collect();
-        assert_eq!(came[..6], [Admission::Accepted; 6]);
-        assert_eq!(came[6], Admission::TurnedAway);
-        assert_eq!(ends(&mut server, 10_000), [(0, 10_000), (1, 10_000)]);
-        assert!(server.cancel(5) && !server.cancel(2), "only what waits is dropped");
-        assert_eq!(ends(&mut server, 40_000), [(2, 20_000), (3, 20_000), (4, 30_000)]);
+        let admissions: Vec<_> = (0..7).map(|request| server.arrive(request, 10_000.0, true)).collect();
+        assert_eq!(admissions[..6], [Admission::Accepted; 6]);
+        assert_eq!(admissions[6], Admission::TurnedAway);
+        assert_eq!(advance_to(&mut server, 10_000), [(0, 10_000), (1, 10_000)]);
+        assert!(server.cancel(5) && !server.cancel(2), "only a waiting request is dropped");
+        assert_eq!(advance_to(&mut server, 40_000), [(2, 20_000), (3, 20_000), (4, 30_000)]);
         assert_eq!((server.in_flight(), server.work_done().round()), (0, 50_000.0));
     }
 
     #[test]
-    fn a_cold_one_takes_longer_the_colder_it_is() {
+    fn service_time_shrinks_as_a_cold_server_warms_up() {
         let mut server = Server::new(parameters(), Some(0));
         server.arrive(1, 10_000.0, true);
-        let early = ends(&mut server, 1_000_000)[0].1;
+        let early = advance_to(&mut server, 1_000_000)[0].1;
         assert!((19_500..20_100).contains(&early), "{early}");
-        ends(&mut server, 2_000_000);
+        advance_to(&mut server, 2_000_000);
         server.arrive(2, 10_000.0, true);
-        let later = ends(&mut server, 3_000_000)[0].1 - 2_000_000;
-        assert!((13_000..13_400).contains(&later), "at three quarters of its speed: {later}");
+        let later = advance_to(&mut server, 3_000_000)[0].1 - 2_000_000;
+        assert!((13_000..13_400).contains(&later), "at 3/4 of full speed: {later}");
     }
 
     #[test]
-    fn a_cold_one_sent_three_times_its_capacity_falls_and_a_warm_one_does_not() {
-        let push = |born| {
-            let mut server = Server::new(parameters(), born);
+    fn a_cold_server_sent_three_times_its_capacity_crashes_and_a_warm_one_does_not() {
+        let overload = |started_at| {
+            let mut server = Server::new(parameters(), started_at);
             (0..2000u64).find_map(|n| {
-                ends(&mut server, n * 2_000);
+                advance_to(&mut server, n * 2_000);
                 match server.arrive(n, 10_000.0, n % 4 != 0) {
                     Admission::Crashed { informed_share } => Some((n * 2_000, informed_share)),
                     _ => None,
                 }
             })
         };
-        // Five cores' worth of work a second against three times one to one and a half: by 1.5 s or so.
-        let (at, told) = push(Some(0)).expect("it falls");
-        assert!((900_000..1_600_000).contains(&at) && (0.74..0.76).contains(&told), "{at} {told}");
-        assert_eq!(push(None), None);
+        // 5 core-seconds of work arrive per second; the budget is 3 times a capacity of 1 to 1.5.
+        let (crashed_at, informed_share) = overload(Some(0)).expect("the server crashes");
+        assert!(
+            (900_000..1_600_000).contains(&crashed_at) && (0.74..0.76).contains(&informed_share),
+            "{crashed_at} {informed_share}"
+        );
+        assert_eq!(overload(None), None);
     }
 
     #[test]
-    fn a_cold_one_s_use_counts_until_it_is_warm() {
+    fn cold_load_counts_only_until_the_server_is_warm() {
         let mut server = Server::new(parameters(), Some(0));
         for n in 0..100 {
-            ends(&mut server, n * 50_000);
+            advance_to(&mut server, n * 50_000);
             server.arrive(n, 30_000.0, true);
         }
-        // Cold for 4 s: 80 requests of 30 ms, and 0.75 of a core on average.
+        // Cold for 4 s: 80 requests of 30 ms, and on average 0.75 of each core.
         let used = server.cold_load(5_000_000);
         assert_eq!(
             (used.sent, used.capacity),
@@ -446,28 +464,28 @@
         );
         assert!(
             (0.1..0.2).contains(&used.peak),
-            "0.6 of a core, over three times 1.2 and the slack: {used:?}"
+            "0.6 of a core against 3 times 1.2 cores plus the slack: {used:?}"
         );
     }
 
     #[test]
-    fn crowding_for_long_chokes_it_until_it_has_rested() {
+    fn sustained_crowding_chokes_a_server_until_it_recovers() {
         let mut server = Server::new(parameters(), None);
-        for job in 0..6 {
-            server.arrive(job, 200_000.0, true);
+        for request in 0..6 {
+            server.arrive(request, 200_000.0, true);
         }
-        ends(&mut server, 90_000);
+        advance_to(&mut server, 90_000);
         assert!(!server.is_choked());
-        ends(&mut server, 110_000);
+        advance_to(&mut server, 110_000);
         assert!(server.is_choked());
-        // 100 ms of work are left of the first two, at half the speed.
-        assert_eq!(ends(&mut server, 400_000), [(0, 300_000), (1, 300_000)]);
-        let last = ends(&mut server, 1_200_000).last().copied();
+        // The first two have 100 ms of work left, at half speed.
+        assert_eq!(advance_to(&mut server, 400_000), [(0, 300_000), (1, 300_000)]);
+        let last = advance_to(&mut server, 1_200_000).last().copied();
         assert_eq!((last, server.is_choked()), (Some((5, 1_100_000)), false), "50 ms after the last");
     }
 
     #[test]
-    fn it_has_room_for_so_many_connections_and_their_work_comes_first() {
+    fn connections_are_limited_and_handshakes_delay_the_next_request() {
         let mut server = Server::new(ServerParameters { handshake_work: 5_000.0, ..parameters() }, None);
         assert_eq!(
             [server.connect(), server.connect(), server.connect(), server.connect()],
@@ -476,26 +494,26 @@
         server.disconnect();
         assert!(server.connect());
         server.arrive(1, 10_000.0, true);
-        assert_eq!(ends(&mut server, 100_000), [(1, 30_000)]);
+        assert_eq!(advance_to(&mut server, 100_000), [(1, 30_000)]);
     }
 
     #[test]
-    fn the_same_inputs_give_the_same_trace_and_none_is_lost() {
-        let play = || {
+    fn equal_inputs_give_equal_traces_and_no_request_is_lost() {
+        let run = || {
             let mut server = Server::new(ServerParameters { thrash_threshold: 1.0, ..parameters() }, Some(0));
             let mut trace = Vec::new();
-            let mut taken = 0;
+            let mut accepted = 0;
             for n in 0..300u64 {
                 server.advance(n * 7_001, &mut trace);
                 server.set_slowdown(if n % 50 < 25 { 1.0 } else { 3.0 }, 0.0);
-                taken +=
+                accepted +=
                     usize::from(server.arrive(n, 1_000.0 * (n % 17) as f64, true) == Admission::Accepted);
             }
             server.advance(60_000_000, &mut trace);
-            assert_eq!(trace.len(), taken);
+            assert_eq!(trace.len(), accepted);
             assert!(trace.is_sorted_by_key(|t| t.1));
             trace
         };
-        assert_eq!(play(), play());
+        assert_eq!(run(), run());
     }
 }
--- a/crates/lab/src/world/control.rs
+++ b/crates/lab/src/world/control.rs
@@ -1,4 +1,4 @@
-//! Changes of policy: what operators asked for, and under which epoch each request was admitted.
+//! Policy changes: what operators proposed, and the epoch under which each request was admitted.
 
 use member::Epoch;
 
@@ -6,81 +6,81 @@
 use crate::epochs::{ControlMetrics, EpochBreach, Outcome};
 
 impl World {
-    /// A control group agrees on the nodes' policy; a request may be admitted under an older epoch for `bound` once a
-    /// newer one is in force.
+    /// Enables the epoch checks: a control group agrees on the nodes' policy, and a request may be admitted under an
+    /// older epoch for at most `bound` after a newer one is in force.
     pub fn expect_epochs(&mut self, bound: Us) {
         self.epochs = Some(EpochTracker::new(bound, self.nodes.len()));
     }
 
-    /// A node's answer to a client's try says under which epoch it was admitted; `None` where it was held back for want
-    /// of one.
-    pub fn record_admission(&mut self, now: Us, ask: usize, epoch: Option<Epoch>) {
+    /// Records the epoch under which a node's answer says that a try was admitted; `None` if the node refused the try
+    /// because it had no epoch.
+    pub fn record_admission(&mut self, now: Us, try_id: usize, epoch: Option<Epoch>) {
         self.advance(now);
-        let (node, sent) = (self.tries[ask].node, self.tries[ask].at);
+        let (node, sent_at) = (self.tries[try_id].node, self.tries[try_id].sent_at);
         let Some(epochs) = &mut self.epochs else { return };
-        let found = match epoch {
-            Some(epoch) => epochs.record_admission(now, node, ask, epoch, sent),
+        let breaches = match epoch {
+            Some(epoch) => epochs.record_admission(now, node, try_id, epoch, sent_at),
             None => {
                 epochs.record_refusal();
                 Vec::new()
             }
         };
-        self.note_all(now, found);
+        self.record_breaches(now, breaches);
     }
 
-    /// Operators ask for a policy; the wish's number.
+    /// Records that an operator proposed a policy; returns the proposal's number.
     pub fn policy_proposed(&mut self, now: Us) -> usize {
         self.advance(now);
         let running = self.nodes.iter().map(|n| n.running).collect();
         self.epochs.as_mut().map_or(0, |epochs| epochs.record_proposal(now, running))
     }
 
-    /// What became of a wish.
-    pub fn policy_ended(&mut self, now: Us, wish: usize, outcome: Outcome) {
+    /// Records the outcome of a proposal.
+    pub fn policy_ended(&mut self, now: Us, proposal: usize, outcome: Outcome) {
         self.advance(now);
         if let Some(epochs) = &mut self.epochs {
-            epochs.record_outcome(now, wish, outcome);
+            epochs.record_outcome(now, proposal, outcome);
         }
     }
 
-    /// How long nothing could be written after the leader was struck; `None` where it went on to the end.
+    /// Records for how long no write succeeded after a fault hit the leader; `None` if that lasted until the end.
     pub fn record_write_gap(&mut self, gap: Option<Us>) {
         if let Some(epochs) = &mut self.epochs {
             epochs.record_write_gap(gap);
         }
     }
 
-    /// The play is over; the newest epoch that the replicas know, `None` where none answers.
+    /// Records the newest epoch that the replicas agree on at the end of the run; `None` if no majority runs.
     pub fn record_final_epoch(&mut self, now: Us, agreed: Option<Epoch>) {
         self.advance(now);
-        let found = self.epochs.as_ref().map_or(Vec::new(), |epochs| epochs.final_breaches(agreed));
-        self.note_all(now, found);
+        let breaches = self.epochs.as_ref().map_or(Vec::new(), |epochs| epochs.final_breaches(agreed));
+        self.record_breaches(now, breaches);
     }
 
-    /// The newest epoch that was acknowledged to the operator.
+    /// Newest epoch that was acknowledged to the operator, or 0.
     pub fn acknowledged_epoch(&self) -> Epoch {
         self.epochs.as_ref().and_then(EpochTracker::newest_acknowledged).unwrap_or(0)
     }
 
-    /// A replica's process ended by itself.
-    pub fn replica_ended(&mut self, now: Us, replica: usize, words: String) {
+    /// Records a breach: a replica's process ended unexpectedly.
+    pub fn replica_ended(&mut self, now: Us, replica: usize, reason: String) {
         self.advance(now);
         self.referee.record_breach(
             Rule::Alive,
             now,
             BreachSubject::default(),
-            format!("replica r{replica}: {words}"),
+            format!("replica r{replica}: {reason}"),
         );
     }
 
-    /// What came of the changes of policy; `None` where no group agrees on any.
+    /// Metrics of the policy changes; `None` without a control group.
     pub fn control_metrics(&self) -> Option<ControlMetrics> {
         self.epochs.as_ref().map(EpochTracker::metrics)
     }
 
-    fn note_all(&mut self, now: Us, found: Vec<EpochBreach>) {
-        for (rule, node, request, words) in found {
-            self.referee.record_breach(rule, now, BreachSubject { node, server: None, request }, words);
+    fn record_breaches(&mut self, now: Us, breaches: Vec<EpochBreach>) {
+        for (rule, node, request, reason) in breaches {
+            self.referee.record_breach(rule, now, BreachSubject { node, server: None, request }, reason);
         }
     }
 }
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -1,29 +1,29 @@
-//! The timeline: faults begin and end.
+//! The timeline of faults: what happens when each kind begins and ends.
 
 use super::*;
 
 impl World {
-    pub(super) fn begin(&mut self, n: usize) {
+    pub(super) fn begin_fault(&mut self, n: usize) {
         let draw = self.draw.clone();
         let fault = &draw.faults[n];
         let step = |k: usize| (k * fault.steps / fault.targets.len().max(1)) as u64;
-        let pause = (fault.until - fault.at) / fault.steps as u64;
+        let step_length = (fault.until - fault.at) / fault.steps as u64;
         match fault.kind {
             FaultKind::Kill => fault.targets.iter().for_each(|t| self.kill(*t)),
             FaultKind::Restart => {
                 for (k, node) in fault.targets.iter().enumerate() {
-                    self.at(self.now + step(k) * pause, Ev::RestartNode(*node));
+                    self.schedule_event(self.now + step(k) * step_length, Event::RestartNode(*node));
                 }
             }
             FaultKind::Pause => {
                 for node in &fault.targets {
-                    self.nodes[*node].away.push((self.now, fault.until));
-                    self.out.push_back(Effect::SignalNode(*node, Signal::Stop));
+                    self.nodes[*node].outages.push((self.now, fault.until));
+                    self.effects.push_back(Effect::SignalNode(*node, Signal::Stop));
                 }
             }
             FaultKind::IdleConnections => {
                 let (count, until) = (fault.factor as usize, fault.until);
-                self.out.extend(fault.targets.iter().map(|node| Effect::OpenIdleConnections {
+                self.effects.extend(fault.targets.iter().map(|node| Effect::OpenIdleConnections {
                     node: *node,
                     count,
                     until,
@@ -31,34 +31,41 @@
             }
             FaultKind::Vanish => {
                 for server in &fault.targets {
-                    self.settle(*server);
-                    self.servers[*server].power = Power::Dark;
-                    let life = self.servers[*server].life;
-                    self.reaches(*server);
-                    self.at(self.now + draw.discovery.vanish_delay, Ev::ListGone(*server, life));
+                    self.advance_server(*server);
+                    self.servers[*server].power = Power::Silent;
+                    let incarnation = self.servers[*server].incarnation;
+                    self.update_reachability(*server);
+                    self.schedule_event(
+                        self.now + draw.discovery.vanish_delay,
+                        Event::ListRemovesServer(*server, incarnation),
+                    );
                 }
             }
-            FaultKind::Crash => fault.targets.iter().for_each(|t| self.power_off(*t)),
+            FaultKind::Crash => fault.targets.iter().for_each(|t| self.crash_server(*t)),
             FaultKind::Slow | FaultKind::Errors | FaultKind::GrayFailure | FaultKind::ResetConnections => {
-                self.strain(fault, true)
+                self.apply_server_fault(fault, true)
             }
-            FaultKind::NoisyNeighbour => self.toggle(n, true),
+            FaultKind::NoisyNeighbour => self.toggle_neighbour(n, true),
             FaultKind::Release | FaultKind::Replace => {
                 let replace = fault.kind == FaultKind::Replace;
                 for (k, server) in fault.targets.iter().enumerate() {
-                    self.servers[*server].next_build = fault.factor;
-                    let listed = self.now + step(k) * pause + draw.discovery.leave_delay;
-                    self.at(listed, Ev::Drain(*server, replace));
+                    self.servers[*server].next_release_error_rate = fault.factor;
+                    let listed = self.now + step(k) * step_length + draw.discovery.leave_delay;
+                    self.schedule_event(listed, Event::ServerDrains(*server, replace));
                 }
             }
-            FaultKind::Partition => self.cut(fault, true),
-            FaultKind::BreakConnections => self.break_links(fault),
-            FaultKind::LimitBandwidth => self.link(fault, |link| link.us_per_byte = 1e6 / fault.factor),
-            FaultKind::ListOutage => self.silence(true),
-            FaultKind::StaleList => self.fall_behind(fault.factor as u64),
-            FaultKind::ReorderedList => self.reorder(true),
-            FaultKind::UplinkLoss => fault.targets.iter().for_each(|t| self.nodes[*t].uplink = fault.factor),
-            // Drawn with the arrivals.
+            FaultKind::Partition => self.set_partition(fault, true),
+            FaultKind::BreakConnections => self.break_connections(fault),
+            FaultKind::LimitBandwidth => {
+                self.update_links(fault, |link| link.us_per_byte = 1e6 / fault.factor)
+            }
+            FaultKind::ListOutage => self.set_list_outage(true),
+            FaultKind::StaleList => self.set_list_lag(fault.factor as u64),
+            FaultKind::ReorderedList => self.set_list_reordering(true),
+            FaultKind::UplinkLoss => {
+                fault.targets.iter().for_each(|t| self.nodes[*t].uplink_loss = fault.factor)
+            }
+            // Already part of the drawn arrivals.
             FaultKind::Burst => {}
             FaultKind::Policy
             | FaultKind::ReplicaKill
@@ -67,31 +74,31 @@
             | FaultKind::GroupOutage
             | FaultKind::PartitionControl
             | FaultKind::PartitionReplica
-            | FaultKind::FaultyVoters => self.out.push_back(Effect::BeginGroupFault(n)),
+            | FaultKind::FaultyVoters => self.effects.push_back(Effect::BeginGroupFault(n)),
         }
-        self.look_over();
+        self.update_faulty_servers();
     }
 
-    pub(super) fn finish(&mut self, n: usize) {
+    pub(super) fn end_fault(&mut self, n: usize) {
         let draw = self.draw.clone();
         let fault = &draw.faults[n];
         match fault.kind {
             FaultKind::Kill => fault.targets.iter().for_each(|t| self.start_node(*t)),
             FaultKind::Pause => {
                 let signal = |t: &usize| Effect::SignalNode(*t, Signal::Continue);
-                self.out.extend(fault.targets.iter().map(signal));
+                self.effects.extend(fault.targets.iter().map(signal));
             }
             FaultKind::Vanish | FaultKind::Crash => fault.targets.iter().for_each(|t| self.start_server(*t)),
             FaultKind::Slow | FaultKind::Errors | FaultKind::GrayFailure | FaultKind::ResetConnections => {
-                self.strain(fault, false)
+                self.apply_server_fault(fault, false)
             }
-            FaultKind::NoisyNeighbour => self.burden(fault, |place| place.taken = 0.0),
-            FaultKind::Partition => self.cut(fault, false),
-            FaultKind::LimitBandwidth => self.link(fault, |link| link.us_per_byte = 0.0),
-            FaultKind::ListOutage => self.silence(false),
-            FaultKind::StaleList => self.fall_behind(0),
-            FaultKind::ReorderedList => self.reorder(false),
-            FaultKind::UplinkLoss => fault.targets.iter().for_each(|t| self.nodes[*t].uplink = 0.0),
+            FaultKind::NoisyNeighbour => self.update_servers(fault, |instance| instance.stolen_share = 0.0),
+            FaultKind::Partition => self.set_partition(fault, false),
+            FaultKind::LimitBandwidth => self.update_links(fault, |link| link.us_per_byte = 0.0),
+            FaultKind::ListOutage => self.set_list_outage(false),
+            FaultKind::StaleList => self.set_list_lag(0),
+            FaultKind::ReorderedList => self.set_list_reordering(false),
+            FaultKind::UplinkLoss => fault.targets.iter().for_each(|t| self.nodes[*t].uplink_loss = 0.0),
             FaultKind::Restart
             | FaultKind::IdleConnections
             | FaultKind::BreakConnections
@@ -105,55 +112,58 @@
             | FaultKind::GroupOutage
             | FaultKind::PartitionControl
             | FaultKind::PartitionReplica
-            | FaultKind::FaultyVoters => self.out.push_back(Effect::EndGroupFault(n)),
+            | FaultKind::FaultyVoters => self.effects.push_back(Effect::EndGroupFault(n)),
         }
-        self.look_over();
+        self.update_faulty_servers();
     }
 
-    fn strain(&mut self, fault: &FaultSpec, on: bool) {
+    fn apply_server_fault(&mut self, fault: &FaultSpec, on: bool) {
         let share = if on { fault.factor } else { 0.0 };
-        let garbled = if on { fault.truncated_share } else { 0.0 };
-        self.burden(fault, |place| match fault.kind {
-            FaultKind::Slow => place.slower = if on { fault.factor } else { 1.0 },
-            FaultKind::Errors => place.errors = share,
-            FaultKind::ResetConnections => place.resets = share,
-            _ => place.gray = (share, fault.answer_delay, garbled),
+        let truncated_share = if on { fault.truncated_share } else { 0.0 };
+        self.update_servers(fault, |instance| match fault.kind {
+            FaultKind::Slow => instance.slowdown = if on { fault.factor } else { 1.0 },
+            FaultKind::Errors => instance.error_rate = share,
+            FaultKind::ResetConnections => instance.reset_rate = share,
+            _ => instance.gray_failure = (share, fault.answer_delay, truncated_share),
         });
     }
 
-    fn burden(&mut self, fault: &FaultSpec, change: impl Fn(&mut Place)) {
+    fn update_servers(&mut self, fault: &FaultSpec, change: impl Fn(&mut ServerInstance)) {
         for server in &fault.targets {
-            self.settle(*server);
-            let place = &mut self.servers[*server];
-            change(place);
-            place.model.set_slowdown(place.slower, place.taken);
-            self.schedule(*server);
+            self.advance_server(*server);
+            let instance = &mut self.servers[*server];
+            change(instance);
+            instance.model.set_slowdown(instance.slowdown, instance.stolen_share);
+            self.schedule_server(*server);
         }
     }
 
-    /// A neighbour comes or goes, until the fault is over.
-    pub(super) fn toggle(&mut self, n: usize, on: bool) {
+    /// A noisy neighbour starts or stops; the next toggle is scheduled until the fault ends.
+    pub(super) fn toggle_neighbour(&mut self, n: usize, on: bool) {
         let draw = self.draw.clone();
         let fault = &draw.faults[n];
         if self.now >= fault.until {
             return;
         }
-        let taken = if on { fault.factor } else { 0.0 };
-        self.burden(fault, |place| place.taken = taken);
-        self.look_over();
-        let span = self.chance.random_range(NEIGHBOUR..5 * NEIGHBOUR);
-        self.at((self.now + span).min(fault.until), Ev::Toggle(n, !on));
+        let stolen_share = if on { fault.factor } else { 0.0 };
+        self.update_servers(fault, |instance| instance.stolen_share = stolen_share);
+        self.update_faulty_servers();
+        let span = self.rng.random_range(MIN_NEIGHBOUR_SPAN_US..5 * MIN_NEIGHBOUR_SPAN_US);
+        self.schedule_event((self.now + span).min(fault.until), Event::NeighbourToggles(n, !on));
     }
 
-    fn cut(&mut self, fault: &FaultSpec, on: bool) {
-        self.link(fault, |link| link.cuts = if on { link.cuts + 1 } else { link.cuts.saturating_sub(1) });
+    fn set_partition(&mut self, fault: &FaultSpec, on: bool) {
+        self.update_links(fault, |link| {
+            link.cuts = if on { link.cuts + 1 } else { link.cuts.saturating_sub(1) }
+        });
         for server in 0..self.servers.len() {
-            self.reaches(server);
+            self.update_reachability(server);
         }
     }
 
-    /// Changes the links between the fault's zones and the others, both ways or the one that it names.
-    fn link(&mut self, fault: &FaultSpec, change: impl Fn(&mut Link)) {
+    /// Changes the links between the fault's zones and the others, in both directions or only the one that the fault
+    /// names.
+    fn update_links(&mut self, fault: &FaultSpec, change: impl Fn(&mut Link)) {
         for zone in &fault.targets {
             let others = (0..self.draw.zones.len()).filter(|z| z != zone);
             for other in others.filter(|z| fault.peer_zone.is_none_or(|to| to == *z)) {
@@ -166,22 +176,22 @@
         }
     }
 
-    /// All connections between the fault's zones and the others break.
-    fn break_links(&mut self, fault: &FaultSpec) {
+    /// Closes all connections between the fault's zones and the others.
+    fn break_connections(&mut self, fault: &FaultSpec) {
         for server in 0..self.servers.len() {
             let here = self.servers[server].spec.zone;
             let zones = (0..self.draw.zones.len()).filter(|z| *z != here);
             let broken = zones.filter(|z| fault.targets.contains(z) || fault.targets.contains(&here));
-            self.out.extend(broken.map(|zone| Effect::CloseConnections { server, zone: Some(zone) }));
+            self.effects.extend(broken.map(|zone| Effect::CloseConnections { server, zone: Some(zone) }));
         }
     }
 
-    fn silence(&mut self, on: bool) {
-        self.silent = on;
+    fn set_list_outage(&mut self, on: bool) {
+        self.list_outage = on;
         if !on {
             let version = self.list.version();
             for node in 0..self.nodes.len() {
-                self.at(self.now, Ev::Tell(node, version));
+                self.schedule_event(self.now, Event::ListVersionAtAgent(node, version));
             }
         }
     }
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -1,53 +1,56 @@
-//! Starts and ends of nodes and app servers.
+//! Starts and ends of the processes of nodes and app servers.
 
 use super::*;
 
 impl World {
-    /// A node can serve.
+    /// A node is ready to serve.
     pub fn node_ready(&mut self, now: Us, node: usize) {
         self.advance(now);
-        self.nodes[node].believed = true;
+        self.nodes[node].in_rotation = true;
     }
 
-    /// A node's process ended.
+    /// A node's process ended; a breach unless it had been sent a signal.
     pub fn node_ended(&mut self, now: Us, node: usize) {
         self.advance(now);
         let n = &mut self.nodes[node];
         if !std::mem::replace(&mut n.running, false) {
             return;
         }
-        n.away.push((now, now));
-        if n.terminated.is_none() {
+        n.outages.push((now, now));
+        if n.terminated_at.is_none() {
             let about = BreachSubject { node: Some(node), ..BreachSubject::default() };
             self.referee.record_breach(Rule::Alive, now, about, "the process ended by itself");
         }
-        if n.restart {
-            self.at(now + 1, Ev::StartNode(node));
+        if n.restart_after_exit {
+            self.schedule_event(now + 1, Event::StartNode(node));
         }
-        self.at(now + self.draw.front_detection_delay, Ev::FrontNotices(node));
+        self.schedule_event(now + self.draw.front_detection_delay, Event::FrontDetectsNodeDown(node));
     }
 
-    /// What a node holds, against what it may.
-    pub fn record_limit_breach(&mut self, now: Us, node: usize, words: String) {
+    /// Records a breach: a node exceeds its memory or descriptor limit.
+    pub fn record_limit_breach(&mut self, now: Us, node: usize, reason: String) {
         self.advance(now);
         let about = BreachSubject { node: Some(node), ..BreachSubject::default() };
-        self.referee.record_breach(Rule::Limits, now, about, words);
+        self.referee.record_breach(Rule::Limits, now, about, reason);
     }
 
     pub(super) fn kill(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if std::mem::replace(&mut n.running, false) {
-            n.away.push((self.now, self.now));
-            self.out.push_back(Effect::SignalNode(node, Signal::Kill));
-            self.at(self.now + self.draw.front_detection_delay, Ev::FrontNotices(node));
+            n.outages.push((self.now, self.now));
+            self.effects.push_back(Effect::SignalNode(node, Signal::Kill));
+            self.schedule_event(
+                self.now + self.draw.front_detection_delay,
+                Event::FrontDetectsNodeDown(node),
+            );
         }
     }
 
-    /// SIGKILL, some time after SIGTERM, where the process is still there.
-    pub(super) fn kill_if_running(&mut self, node: usize, told: Us) {
-        if self.nodes[node].terminated == Some(told) && self.nodes[node].running {
+    /// Sends SIGKILL if the process that was sent SIGTERM at `terminated_at` still runs.
+    pub(super) fn kill_if_running(&mut self, node: usize, terminated_at: Us) {
+        if self.nodes[node].terminated_at == Some(terminated_at) && self.nodes[node].running {
             self.kill(node);
-            self.at(self.now + 1, Ev::StartNode(node));
+            self.schedule_event(self.now + 1, Event::StartNode(node));
         }
     }
 
@@ -56,10 +59,10 @@
         if n.running {
             return;
         }
-        (n.running, n.restart, n.terminated) = (true, false, None);
-        n.away.push((self.now, self.now));
-        self.referee.node_started(self.now, node, self.nodes[node].version, &self.list);
-        self.out.push_back(Effect::StartNode(node));
+        (n.running, n.restart_after_exit, n.terminated_at) = (true, false, None);
+        n.outages.push((self.now, self.now));
+        self.referee.node_started(self.now, node, self.nodes[node].agent_version, &self.list);
+        self.effects.push_back(Effect::StartNode(node));
     }
 
     pub(super) fn restart_node(&mut self, node: usize) {
@@ -68,95 +71,104 @@
         if !n.running {
             return;
         }
-        (n.terminated, n.restart) = (Some(now), true);
-        self.out.push_back(Effect::SignalNode(node, Signal::Terminate));
-        let longest = self.draw.classes.iter().map(|c| c.deadline).max().unwrap_or(0).min(LONGEST_MOST);
-        self.at(now + FRONT_LINGERS, Ev::FrontLeaves(node));
-        self.at(now + longest + KILL_AFTER, Ev::KillNode(node, now));
+        (n.terminated_at, n.restart_after_exit) = (Some(now), true);
+        self.effects.push_back(Effect::SignalNode(node, Signal::Terminate));
+        let max_deadline =
+            self.draw.classes.iter().map(|c| c.deadline).max().unwrap_or(0).min(MAX_TERMINATION_DEADLINE_US);
+        self.schedule_event(now + FRONT_DRAIN_DELAY_US, Event::FrontDrainsNode(node));
+        self.schedule_event(now + max_deadline + KILL_GRACE_US, Event::KillNode(node, now));
     }
 
-    pub(super) fn reaches(&mut self, server: usize) {
+    pub(super) fn update_reachability(&mut self, server: usize) {
         for zone in 0..self.draw.zones.len() {
             let reachability = self.reachability(server, zone);
-            self.out.push_back(Effect::SetReachability { server, zone, reachability });
+            self.effects.push_back(Effect::SetReachability { server, zone, reachability });
         }
     }
 
-    /// How new connections from a zone to a server fare.
+    /// How new connections from a zone to a server fare now.
     pub fn reachability(&self, server: usize, zone: usize) -> Reachability {
-        let place = &self.servers[server];
-        let both = self.passes(zone, place.spec.zone) && self.passes(place.spec.zone, zone);
-        match place.power {
-            Power::Dark => Reachability::Unreachable,
-            _ if !both => Reachability::Unreachable,
+        let instance = &self.servers[server];
+        let open_both_ways =
+            self.is_link_open(zone, instance.spec.zone) && self.is_link_open(instance.spec.zone, zone);
+        match instance.power {
+            Power::Silent => Reachability::Unreachable,
+            _ if !open_both_ways => Reachability::Unreachable,
             Power::Off => Reachability::Refused,
             Power::Up => Reachability::Open,
         }
     }
 
-    /// A server ends without a word; the list finds out in time.
-    pub(super) fn power_off(&mut self, server: usize) {
-        self.end_process(server);
-        let life = self.servers[server].life;
-        self.at(self.now + self.draw.discovery.vanish_delay, Ev::ListGone(server, life));
+    /// A server crashes; the list notices only after its detection delay.
+    pub(super) fn crash_server(&mut self, server: usize) {
+        self.end_server_process(server);
+        let incarnation = self.servers[server].incarnation;
+        self.schedule_event(
+            self.now + self.draw.discovery.vanish_delay,
+            Event::ListRemovesServer(server, incarnation),
+        );
     }
 
-    /// A server's process ends, and its connections with it.
-    fn end_process(&mut self, server: usize) {
-        self.settle(server);
-        let place = &mut self.servers[server];
-        (place.power, place.due) = (Power::Off, None);
-        self.out.push_back(Effect::CloseConnections { server, zone: None });
-        self.reaches(server);
-        self.look_over();
+    /// Ends a server's process, and its connections with it.
+    fn end_server_process(&mut self, server: usize) {
+        self.advance_server(server);
+        let instance = &mut self.servers[server];
+        (instance.power, instance.next_step) = (Power::Off, None);
+        self.effects.push_back(Effect::CloseConnections { server, zone: None });
+        self.update_reachability(server);
+        self.update_faulty_servers();
     }
 
-    /// A server starts, cold; the list has it a little later.
+    /// Starts a server cold; the list adds it after the join delay.
     pub(super) fn start_server(&mut self, server: usize) {
         let (now, born_ms) = (self.now, self.unix_ms(self.now));
-        let place = &mut self.servers[server];
-        if place.power == Power::Up {
+        let instance = &mut self.servers[server];
+        if instance.power == Power::Up {
             return;
         }
-        place.done_before += place.model.work_done();
-        self.cold_before.push(place.model.cold_load(now));
-        place.model = Server::new(place.spec.parameters.clone(), Some(now));
-        place.model.set_slowdown(place.slower, place.taken);
-        (place.power, place.born_ms, place.life, place.due) = (Power::Up, born_ms, place.life + 1, None);
-        place.build = place.next_build;
-        let life = place.life;
-        self.out.push_back(Effect::CloseConnections { server, zone: None });
-        self.reaches(server);
-        self.look_over();
-        self.at(now + self.draw.discovery.join_delay, Ev::ListBack(server, life));
+        instance.earlier_work_done += instance.model.work_done();
+        self.earlier_cold_loads.push(instance.model.cold_load(now));
+        instance.model = Server::new(instance.spec.parameters.clone(), Some(now));
+        instance.model.set_slowdown(instance.slowdown, instance.stolen_share);
+        (instance.power, instance.born_ms, instance.incarnation, instance.next_step) =
+            (Power::Up, born_ms, instance.incarnation + 1, None);
+        instance.release_error_rate = instance.next_release_error_rate;
+        let incarnation = instance.incarnation;
+        self.effects.push_back(Effect::CloseConnections { server, zone: None });
+        self.update_reachability(server);
+        self.update_faulty_servers();
+        self.schedule_event(now + self.draw.discovery.join_delay, Event::ListAddsServer(server, incarnation));
     }
 
-    pub(super) fn drain(&mut self, server: usize, replace: bool) {
+    pub(super) fn drain_server(&mut self, server: usize, replace: bool) {
         if self.servers[server].power != Power::Up {
             return;
         }
-        let life = self.servers[server].life;
-        self.list(server, Health::Leaving);
-        let ends = self.now + self.draw.discovery.node_spread + DRAINS;
-        self.at(ends, Ev::EndServer(server, life, replace));
+        let incarnation = self.servers[server].incarnation;
+        self.change_list_entry(server, Health::Leaving);
+        let end_time = self.now + self.draw.discovery.node_spread + SERVER_DRAIN_US;
+        self.schedule_event(end_time, Event::EndServer(server, incarnation, replace));
     }
 
-    /// A server that has drained ends, and starts anew, or another does in its place.
-    pub(super) fn end_server(&mut self, server: usize, life: u32, replace: bool) {
-        if self.servers[server].life != life || self.servers[server].power != Power::Up {
+    /// Ends a drained server, and schedules its restart, or the start of a new server that replaces it.
+    pub(super) fn end_server(&mut self, server: usize, incarnation: u32, replace: bool) {
+        if self.servers[server].incarnation != incarnation || self.servers[server].power != Power::Up {
             return;
         }
-        self.end_process(server);
+        self.end_server_process(server);
         let next = if replace {
-            let mut heir = Place::new(self.servers[server].spec.clone(), None, 0.0);
-            heir.power = Power::Off;
-            heir.next_build = self.servers[server].next_build;
-            self.servers.push(heir);
-            self.at(self.now + self.draw.discovery.leave_delay, Ev::ListGone(server, life));
+            let mut replacement = ServerInstance::new(self.servers[server].spec.clone(), None, 0.0);
+            replacement.power = Power::Off;
+            replacement.next_release_error_rate = self.servers[server].next_release_error_rate;
+            self.servers.push(replacement);
+            self.schedule_event(
+                self.now + self.draw.discovery.leave_delay,
+                Event::ListRemovesServer(server, incarnation),
+            );
             self.servers.len() - 1
         } else {
             server
         };
-        self.at(self.now + STARTS, Ev::StartServer(next));
+        self.schedule_event(self.now + SERVER_RESTART_DELAY_US, Event::StartServer(next));
     }
 }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -1,24 +1,26 @@
-//! Everything round the nodes, as one pure state machine over a virtual clock: clients, fronts, app servers, the
-//! list, links between zones, and the timeline of faults.
+//! The emulated surroundings of the nodes, as one pure state machine over a virtual clock: clients, the load balancers
+//! in front of the nodes (one front per zone), app servers, service discovery, links between zones, and the timeline
+//! of faults.
 //!
-//! Whoever drives it says what the nodes did ([`World::ask_ended`], [`World::attempt`] and so on), lets time pass
-//! with [`World::advance`], and carries out what [`World::take`] gives. On sockets that is [`crate::live`]; in the
-//! virtual clock [`crate::baseline`] plays the nodes, and a minute takes a fraction of a second. Messages carry
-//! the links' delays here, so a socket only has to bring them when they are due.
+//! The driver reports what the nodes did ([`World::try_ended`], [`World::start_attempt`] and so on), advances the
+//! clock with [`World::advance`], and carries out each [`Effect`] that [`World::next_effect`] returns. [`crate::live`]
+//! drives it on sockets in real time; [`crate::baseline`] and [`crate::modules`] drive it in virtual time, where a
+//! minute takes a fraction of a second. Link delays are simulated here, so a socket only has to deliver messages when
+//! they are due.
 //!
-//! Rejected: a relay process for each pair of parties. It would cost two more sockets for each message, and the
-//! kernel would accept connections that a cut should swallow; here the lab plays both ends of each link.
+//! Rejected: a relay process for each pair of parties. It would cost two more sockets for each message, and the kernel
+//! would accept connections that a partition should swallow; here the lab plays both ends of each link.
 
 mod attempts;
 mod clients;
 mod control;
 mod faults;
-mod figures;
 mod fleet;
 mod list;
+mod metrics;
 mod votes;
 
-pub use self::figures::FleetState;
+pub use self::metrics::FleetState;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -39,114 +41,115 @@
 use crate::server_list::{ServerEntry, ServerList};
 use crate::tally::{RequestOutcome, Tally};
 
-/// An answer that comes later than this after its time, or never, is lost.
-const LOST_AFTER: Us = 500_000;
-/// A new connection may be closed with no answer for one request in so many; further ones are lost.
-const CLOSED_ONE_IN: u64 = 200;
-/// A client with less time than this left does not try again.
-const TRY_LEAST: Us = 20_000;
-/// After SIGTERM the front goes on connecting for this long.
-const FRONT_LINGERS: Us = 300_000;
-/// SIGKILL follows SIGTERM after the longest deadline, at most this, ...
-const LONGEST_MOST: Us = 3_000_000;
-/// ... and this.
-const KILL_AFTER: Us = 700_000;
-/// A server that drains ends this long after its drain reached the list.
-const DRAINS: Us = 2_500_000;
-/// A server that ended in order starts again after this.
-const STARTS: Us = 500_000;
-/// The work of a repeat that is dropped; one that comes while the first still runs costs its work again.
-const REPEAT: f64 = 1000.0;
-/// An answer's bytes, for the links that limit them.
+/// An answer that is later than this after the client's timeout, or never comes, counts as lost.
+const ANSWER_GRACE_US: Us = 500_000;
+/// A connection may close without an answer for one request in this many; more is a breach.
+const REQUESTS_PER_ALLOWED_CLOSE: u64 = 200;
+/// A client with less time left than this does not try again.
+const MIN_TRY_TIME_US: Us = 20_000;
+/// The front keeps sending to a node for this long after its SIGTERM.
+const FRONT_DRAIN_DELAY_US: Us = 300_000;
+/// SIGKILL follows SIGTERM after the longest client deadline, at most this, ...
+const MAX_TERMINATION_DEADLINE_US: Us = 3_000_000;
+/// ... plus this.
+const KILL_GRACE_US: Us = 700_000;
+/// A draining server ends this long after all nodes can have its drain from the list.
+const SERVER_DRAIN_US: Us = 2_500_000;
+/// A server that drained and ended starts again after this.
+const SERVER_RESTART_DELAY_US: Us = 500_000;
+/// Work (µs) of a duplicate that a server drops; one that arrives while the first still runs costs its full work
+/// again.
+const DUPLICATE_WORK_US: f64 = 1000.0;
+/// Size of an answer in bytes, for links with limited bandwidth.
 const ANSWER_BYTES: f64 = 400.0;
-/// A request's.
+/// Size of a request in bytes.
 const REQUEST_BYTES: f64 = 400.0;
-/// A neighbour is on, or off, for between this and five times as long.
-const NEIGHBOUR: Us = 1_000_000;
+/// A noisy neighbour is active, or inactive, for between this and five times as long.
+const MIN_NEIGHBOUR_SPAN_US: Us = 1_000_000;
 
-/// What whoever drives the world has to carry out.
+/// Something that the driver has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// A client's request reaches its node.
+    /// Deliver a client's request (the number of the client's try) to its node.
     DeliverRequest(usize),
-    /// Its client closes the connection.
+    /// The client of this try closes its connection.
     ClientDisconnect(usize),
-    /// What an attempt gets reaches its node.
+    /// Deliver a server's reply to the node that made the attempt.
     DeliverReply {
         /// The attempt.
         attempt: usize,
-        /// What it gets.
+        /// The reply.
         reply: ServerReply,
     },
-    /// How new connections from a zone to a server fare from now on.
+    /// Set how new connections from a zone to a server fare from now on.
     SetReachability {
         /// The server.
         server: usize,
         /// The zone of the nodes.
         zone: usize,
-        /// How they fare.
+        /// The new state.
         reachability: Reachability,
     },
-    /// All connections to a server end; those from the nodes of one zone where it is named.
+    /// Close all connections to a server, or only those from the nodes of `zone`.
     CloseConnections {
         /// The server.
         server: usize,
         /// The zone.
         zone: Option<usize>,
     },
-    /// A node's agent has a line for its watches.
+    /// Send a list update to a node's watches.
     SendListUpdate {
         /// The node.
         node: usize,
-        /// What it had before.
+        /// Version that the node had before.
         from: u64,
-        /// The version.
+        /// Version that the update brings.
         to: u64,
     },
-    /// The watches at a node's agent end.
+    /// Close the watches at a node's discovery agent.
     CloseWatches(usize),
-    /// So many strangers connect to a node and say nothing, until that time.
+    /// Open idle connections to a node that send nothing, until the given time.
     OpenIdleConnections {
         /// The node.
         node: usize,
-        /// How many.
+        /// Number of connections.
         count: usize,
-        /// Until when they stay.
+        /// Time at which they close.
         until: Us,
     },
-    /// A signal to a node.
+    /// Send a signal to a node's process.
     SignalNode(usize, Signal),
-    /// A node is started anew.
+    /// Start a node's process again.
     StartNode(usize),
-    /// The control group's part in a fault begins.
+    /// Begin a fault of the control group (its number in the draw).
     BeginGroupFault(usize),
-    /// It ends.
+    /// End a fault of the control group.
     EndGroupFault(usize),
 }
 
-/// What an attempt gets.
+/// A server's reply to an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServerReply {
     /// 200 and a body.
     Served,
-    /// 200 and a body that breaks off.
+    /// 200 and a truncated body.
     Truncated,
     /// 500.
     Error,
-    /// 503, turned away.
+    /// 503: the server's queue was full.
     TurnedAway,
     /// The connection breaks.
     Reset,
 }
 
-/// How new connections fare.
+/// How new connections to a server fare.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reachability {
     /// They are accepted.
     Open,
     /// They are refused: no process listens.
     Refused,
-    /// They never come up.
+    /// They time out.
     Unreachable,
 }
 
@@ -163,83 +166,83 @@
     Continue,
 }
 
-/// What a node's client got in the end.
+/// Outcome of a client's try.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TryOutcome {
-    /// A whole answer.
+    /// A complete answer.
     Answer {
         /// Its status.
         status: u16,
-        /// When to come back, where it says so.
+        /// Its Retry-After.
         retry_after: Option<Us>,
-        /// The attempt that its body names, where it does.
+        /// The attempt that its body names, if any.
         attempt: Option<usize>,
     },
-    /// No connection: the node never had it.
+    /// No connection: the node never received the request.
     NoConnection,
-    /// The connection ended with no whole answer; `begun` where a part of one came.
+    /// The connection ended before a complete answer.
     ConnectionLost {
         /// Part of an answer was received.
         partial_answer: bool,
     },
 }
 
-/// What a node is asked, for whoever writes it or plays the node.
+/// A client's try of a request, as sent to a node.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTry {
     /// The node.
     pub node: usize,
     /// The class.
     pub class: usize,
-    /// The request, the same for each try of it.
+    /// The request; the same for each of its tries.
     pub request: usize,
-    /// How long the client waits, from when it sent it.
+    /// How long the client waits, from `sent_at` on.
     pub timeout: Us,
-    /// When it sent it.
+    /// When the client sent it.
     pub sent_at: Us,
-    /// Its work.
+    /// Its work in microseconds at speed 1.
     pub work: f64,
-    /// What its client guesses that to be.
+    /// The client's estimate of the work.
     pub work_estimate: f64,
-    /// It is a client's retry.
+    /// Whether it is a retry by the client.
     pub is_retry: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Ev {
-    Arrive(usize),
-    Retry(usize),
-    ToNode(usize),
-    Leaves(usize),
-    GivesUp(usize),
-    Overdue(usize),
-    Hear(usize),
-    AtServer(usize),
+enum Event {
+    ClientArrives(usize),
+    ClientRetries(usize),
+    RequestAtNode(usize),
+    ClientLeaves(usize),
+    TryTimesOut(usize),
+    AnswerOverdue(usize),
+    AnswerAtClient(usize),
+    RequestAtServer(usize),
     CancelAtServer(usize),
-    Step(usize),
+    ServerStep(usize),
     ReplyAtNode(usize, ServerReply),
-    Tell(usize, u64),
-    Begin(usize),
-    Finish(usize),
-    Toggle(usize, bool),
-    Drain(usize, bool),
+    ListVersionAtAgent(usize, u64),
+    FaultBegins(usize),
+    FaultEnds(usize),
+    NeighbourToggles(usize, bool),
+    ServerDrains(usize, bool),
     EndServer(usize, u32, bool),
     StartServer(usize),
-    ListGone(usize, u32),
-    ListBack(usize, u32),
-    FrontNotices(usize),
-    FrontLeaves(usize),
+    ListRemovesServer(usize, u32),
+    ListAddsServer(usize, u32),
+    FrontDetectsNodeDown(usize),
+    FrontDrainsNode(usize),
     RestartNode(usize),
     KillNode(usize, Us),
     StartNode(usize),
 }
 
-/// Something that is due; ties go by the order in which they were planned.
+/// A scheduled event; events due at the same time run in the order in which they were scheduled.
 #[derive(Clone, Copy, Debug)]
 struct Due {
     at: Us,
     order: u64,
-    event: Ev,
+    event: Event,
 }
 
 impl Ord for Due {
@@ -265,62 +268,63 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Power {
     Up,
-    /// Vanished: silent, its connections stay up.
-    Dark,
+    /// Silent without closing its connections.
+    Silent,
     /// No process.
     Off,
 }
 
 #[derive(Debug)]
-struct Place {
+struct ServerInstance {
     spec: ServerSpec,
     model: Server,
     power: Power,
-    /// Counts its starts.
-    life: u32,
+    /// Number of restarts so far; identifies the process.
+    incarnation: u32,
     born_ms: f64,
-    /// Work that it did in its former lives.
-    done_before: f64,
-    due: Option<Us>,
-    slower: f64,
-    taken: f64,
-    errors: f64,
-    /// The share of requests that its release fails, and that the next one will.
-    build: f64,
-    next_build: f64,
-    resets: f64,
-    /// The share of late answers, how late, and the share that breaks off.
-    gray: (f64, Us, f64),
+    /// Work done by its earlier processes.
+    earlier_work_done: f64,
+    next_step: Option<Us>,
+    slowdown: f64,
+    stolen_share: f64,
+    error_rate: f64,
+    /// Share of requests that fail because of the running release, and because of the next one.
+    release_error_rate: f64,
+    next_release_error_rate: f64,
+    reset_rate: f64,
+    /// Gray failure: share of late answers, their delay, and the share of truncated answers.
+    gray_failure: (f64, Us, f64),
 }
 
 #[derive(Debug)]
 struct Node {
     zone: usize,
-    /// The front of its zone sends to it.
-    believed: bool,
+    /// Whether the fronts send requests to it.
+    in_rotation: bool,
     running: bool,
-    /// Told to end at that time.
-    terminated: Option<Us>,
-    /// Started again once it has ended.
-    restart: bool,
-    /// Spans in which it was killed or stood still.
-    away: Vec<(Us, Us)>,
-    /// The version that its agent has.
-    version: u64,
-    /// The share of what it sends to servers that is lost.
-    uplink: f64,
-    /// The newest line waits to be overtaken; it brings the node on from this version.
-    overtaken: Option<u64>,
+    /// When it was sent SIGTERM.
+    terminated_at: Option<Us>,
+    /// Whether it is started again once it has ended.
+    restart_after_exit: bool,
+    /// Times at which it was killed or started, and spans in which it was stopped.
+    outages: Vec<(Us, Us)>,
+    /// Version of the list that its discovery agent has.
+    agent_version: u64,
+    /// Share of the requests it sends to servers that are lost.
+    uplink_loss: f64,
+    /// Set while the newest update is delayed so that the next one overtakes it: the version from which the delayed
+    /// update continues.
+    delayed_from: Option<u64>,
 }
 
 #[derive(Debug)]
 struct Request {
-    tries: usize,
-    ended: Option<RequestOutcome>,
-    /// It has run, and until then its repeats are dropped.
-    kept: Option<Us>,
-    /// What its last try came to.
-    last: RequestOutcome,
+    try_count: usize,
+    outcome: Option<RequestOutcome>,
+    /// Set once it has run: duplicates are dropped until this time.
+    dedup_until: Option<Us>,
+    /// Outcome of its last try.
+    last_outcome: RequestOutcome,
     rng: Pcg64,
 }
 
@@ -328,105 +332,109 @@
 struct Try {
     request: usize,
     node: usize,
-    at: Us,
-    wait: Us,
-    again: bool,
-    got: Option<TryOutcome>,
-    /// The client no longer waits for it.
-    over: bool,
-    /// It was written to its node.
-    sent: bool,
+    sent_at: Us,
+    timeout: Us,
+    is_retry: bool,
+    outcome: Option<TryOutcome>,
+    /// The client no longer waits.
+    client_done: bool,
+    /// It was delivered to its node.
+    delivered: bool,
     /// Its client has closed the connection.
-    left: bool,
-    /// A server has served it.
+    disconnected: bool,
+    /// A server's answer has reached the node.
     served: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    OnWay,
-    Held,
+    InTransit,
+    AtServer,
     Answered(ServerReply),
     Closed,
 }
 
 #[derive(Debug)]
 struct Attempt {
-    of: usize,
-    place: usize,
+    try_id: usize,
+    attempt_in_try: usize,
     server: usize,
-    life: u32,
+    incarnation: u32,
     zone: usize,
     stage: Stage,
-    told: bool,
-    /// Something was wrong with the server when it was sent.
-    ails: bool,
-    /// What it got has reached its node.
-    heard: bool,
+    informed: bool,
+    /// The server was faulty when the attempt was sent.
+    server_faulty: bool,
+    /// Its reply has reached the node.
+    reply_received: bool,
 }
 
-/// One way from a zone to another.
+/// One direction of the link between two zones.
 #[derive(Clone, Copy, Debug, Default)]
 struct Link {
-    /// How many faults cut it.
+    /// Number of faults that cut it.
     cuts: u32,
-    /// What a byte takes where it is narrow; 0: nothing.
+    /// Transmission time per byte if bandwidth is limited; 0 if it is not.
     us_per_byte: f64,
-    /// When what was sent before is through.
-    free: Us,
+    /// When the previous message has left the link.
+    free_at: Us,
 }
 
-/// Where a server listens for the nodes of a zone.
+/// Address at which the nodes of a zone reach a server, from the numbers of the server and the zone.
 pub type Dial = Rc<dyn Fn(usize, usize) -> SocketAddr>;
 
-/// The world.
+/// State of the emulated surroundings; see the module's documentation.
 pub struct World {
     draw: Rc<Draw>,
     now: Us,
-    /// How late, at most, something due was looked at, for each event.
+    /// How late each event was handled, in microseconds.
     lateness: Vec<u32>,
     queue: BinaryHeap<Reverse<Due>>,
     order: u64,
-    out: VecDeque<Effect>,
-    chance: Pcg64,
+    effects: VecDeque<Effect>,
+    rng: Pcg64,
     unix_start_ms: f64,
     dial: Dial,
-    servers: Vec<Place>,
+    servers: Vec<ServerInstance>,
     nodes: Vec<Node>,
-    turns: Vec<usize>,
+    front_turns: Vec<usize>,
     requests: Vec<Request>,
     tries: Vec<Try>,
     attempts: Vec<Attempt>,
     list: ServerList,
-    silent: bool,
-    /// By how many versions the list tells less than it knew.
-    behind: u64,
-    reordered: bool,
+    list_outage: bool,
+    /// Number of versions by which a stale list is behind.
+    list_lag: u64,
+    list_reordered: bool,
     links: Vec<Vec<Link>>,
     referee: Referee,
     tally: Tally,
-    /// What servers' former lives were sent while cold.
-    cold_before: Vec<ColdLoad>,
+    /// Cold load of servers' earlier processes.
+    earlier_cold_loads: Vec<ColdLoad>,
     epochs: Option<EpochTracker>,
     removals: RemovalReferee,
 }
 
 impl World {
-    /// The world at the start; the clock starts with the first client.
+    /// Creates the world at time 0. `unix_start_ms` is the wall-clock time of the start.
     pub fn new(draw: Rc<Draw>, rules: Rules, unix_start_ms: f64, dial: Dial) -> Self {
-        let servers: Vec<Place> =
-            draw.servers.iter().map(|spec| Place::new(spec.clone(), None, 0.0)).collect();
-        let entries = servers.iter().enumerate().map(|(n, p)| entry(&draw, n, p, Health::Active)).collect();
+        let servers: Vec<ServerInstance> =
+            draw.servers.iter().map(|spec| ServerInstance::new(spec.clone(), None, 0.0)).collect();
+        let entries = servers
+            .iter()
+            .enumerate()
+            .map(|(n, instance)| entry(&draw, n, instance, Health::Active))
+            .collect();
         let nodes = draw.nodes.iter().map(|zone| Node {
             zone: *zone,
-            believed: true,
+            in_rotation: true,
             running: true,
-            terminated: None,
-            restart: false,
-            away: Vec::new(),
-            version: 1,
-            uplink: 0.0,
-            overtaken: None,
+            terminated_at: None,
+            restart_after_exit: false,
+            outages: Vec::new(),
+            agent_version: 1,
+            uplink_loss: 0.0,
+            delayed_from: None,
         });
         let zones = draw.zones.len();
         let mut world = Self {
@@ -434,25 +442,25 @@
             lateness: Vec::new(),
             queue: BinaryHeap::new(),
             order: 0,
-            out: VecDeque::new(),
-            chance: draw.network_rng(),
+            effects: VecDeque::new(),
+            rng: draw.network_rng(),
             unix_start_ms,
             dial,
             nodes: nodes.collect(),
-            turns: vec![0; zones],
+            front_turns: vec![0; zones],
             requests: Vec::with_capacity(draw.arrivals.len()),
             tries: Vec::new(),
             attempts: Vec::new(),
             list: ServerList::new(entries),
-            silent: false,
-            behind: 0,
-            reordered: false,
+            list_outage: false,
+            list_lag: 0,
+            list_reordered: false,
             links: vec![vec![Link::default(); zones]; zones],
             referee: Referee::new(rules, draw.nodes.len()),
             tally: Tally::new(draw.classes.len()),
-            cold_before: Vec::new(),
+            earlier_cold_loads: Vec::new(),
             epochs: None,
-            removals: RemovalReferee::new(votes::grace(&draw), &draw.zones),
+            removals: RemovalReferee::new(votes::evidence_lifetime(&draw), &draw.zones),
             servers,
             draw,
         };
@@ -460,37 +468,37 @@
             world.referee.node_started(0, node, 1, &world.list);
         }
         if !world.draw.arrivals.is_empty() {
-            world.at(world.draw.arrivals[0].at, Ev::Arrive(0));
+            world.schedule_event(world.draw.arrivals[0].at, Event::ClientArrives(0));
         }
         for fault in 0..world.draw.faults.len() {
             let FaultSpec { at, until, .. } = world.draw.faults[fault];
-            world.at(at, Ev::Begin(fault));
-            world.at(until, Ev::Finish(fault));
+            world.schedule_event(at, Event::FaultBegins(fault));
+            world.schedule_event(until, Event::FaultEnds(fault));
         }
         world
     }
 
-    fn at(&mut self, due: Us, event: Ev) {
+    fn schedule_event(&mut self, due: Us, event: Event) {
         self.order += 1;
         self.queue.push(Reverse(Due { at: due.max(self.now), order: self.order, event }));
     }
 
-    /// When something happens next.
+    /// Time of the next event, if any.
     pub fn next_due(&self) -> Option<Us> {
         self.queue.peek().map(|Reverse(due)| due.at)
     }
 
-    /// Lets time pass up to now.
+    /// Handles all events up to `now`.
     pub fn advance(&mut self, now: Us) {
-        while let Some(Reverse(due)) = self.pop(now) {
+        while let Some(Reverse(due)) = self.pop_due(now) {
             self.now = due.at;
             self.lateness.push((now - due.at).min(u64::from(u32::MAX)) as u32);
-            self.happen(due.event);
+            self.handle_event(due.event);
         }
         self.now = self.now.max(now);
     }
 
-    fn pop(&mut self, now: Us) -> Option<Reverse<Due>> {
+    fn pop_due(&mut self, now: Us) -> Option<Reverse<Due>> {
         let due = self.next_due().is_some_and(|due| due <= now);
         if due {
             self.queue.pop()
@@ -499,103 +507,109 @@
         }
     }
 
-    /// What is to be carried out next.
+    /// Takes the next effect to carry out.
     pub fn next_effect(&mut self) -> Option<Effect> {
-        self.out.pop_front()
+        self.effects.pop_front()
     }
 
-    /// Is the play over: no client waits for anything, and no fault goes on?
+    /// Whether the run is over: no client waits for anything, and no fault goes on.
     pub fn is_over(&self) -> bool {
         let faults = self.draw.faults.iter().map(|f| f.until).max().unwrap_or(0);
         let longest = self.draw.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let end = self.draw.length.max(faults) + longest + LOST_AFTER + 500_000;
+        let end = self.draw.length.max(faults) + longest + ANSWER_GRACE_US + 500_000;
         self.now >= end
     }
 
-    /// The time.
+    /// Current time.
     pub fn now(&self) -> Us {
         self.now
     }
 
     fn jittered(&mut self, delay: Us) -> Us {
-        let jitter: f64 = Exp1.sample(&mut self.chance);
+        let jitter: f64 = Exp1.sample(&mut self.rng);
         (delay as f64 * (1.0 + self.draw.jitter * jitter)) as Us
     }
 
-    fn happen(&mut self, event: Ev) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Ev::Arrive(n) => self.arrive(n),
-            Ev::Retry(request) => self.start_try(request),
-            Ev::ToNode(ask) => self.reaches_node(ask),
-            Ev::Leaves(ask) => self.leaves(ask),
-            Ev::GivesUp(ask) => self.gives_up(ask),
-            Ev::Overdue(ask) => self.overdue(ask),
-            Ev::Hear(ask) => self.hear(ask),
-            Ev::AtServer(attempt) => self.at_server(attempt),
-            Ev::CancelAtServer(attempt) => self.cancel_at_server(attempt),
-            Ev::Step(server) => self.step(server),
-            Ev::ReplyAtNode(attempt, reply) => self.reply_at_node(attempt, reply),
-            Ev::Tell(node, version) => self.tell(node, version),
-            Ev::Begin(fault) => self.begin(fault),
-            Ev::Finish(fault) => self.finish(fault),
-            Ev::Toggle(fault, on) => self.toggle(fault, on),
-            Ev::Drain(server, replace) => self.drain(server, replace),
-            Ev::EndServer(server, life, replace) => self.end_server(server, life, replace),
-            Ev::StartServer(server) => self.start_server(server),
-            Ev::ListGone(server, life) => self.list_if(server, life, Health::Left),
-            Ev::ListBack(server, life) => self.list_if(server, life, Health::Active),
-            Ev::FrontNotices(node) => self.nodes[node].believed &= self.nodes[node].running,
-            Ev::FrontLeaves(node) => self.nodes[node].believed &= self.nodes[node].terminated.is_none(),
-            Ev::RestartNode(node) => self.restart_node(node),
-            Ev::KillNode(node, told) => self.kill_if_running(node, told),
-            Ev::StartNode(node) => self.start_node(node),
+            Event::ClientArrives(n) => self.client_arrives(n),
+            Event::ClientRetries(request) => self.start_try(request),
+            Event::RequestAtNode(try_id) => self.request_at_node(try_id),
+            Event::ClientLeaves(try_id) => self.client_leaves(try_id),
+            Event::TryTimesOut(try_id) => self.try_times_out(try_id),
+            Event::AnswerOverdue(try_id) => self.answer_overdue(try_id),
+            Event::AnswerAtClient(try_id) => self.answer_at_client(try_id),
+            Event::RequestAtServer(attempt) => self.request_at_server(attempt),
+            Event::CancelAtServer(attempt) => self.cancel_at_server(attempt),
+            Event::ServerStep(server) => self.server_step(server),
+            Event::ReplyAtNode(attempt, reply) => self.reply_at_node(attempt, reply),
+            Event::ListVersionAtAgent(node, version) => self.list_version_at_agent(node, version),
+            Event::FaultBegins(fault) => self.begin_fault(fault),
+            Event::FaultEnds(fault) => self.end_fault(fault),
+            Event::NeighbourToggles(fault, on) => self.toggle_neighbour(fault, on),
+            Event::ServerDrains(server, replace) => self.drain_server(server, replace),
+            Event::EndServer(server, incarnation, replace) => self.end_server(server, incarnation, replace),
+            Event::StartServer(server) => self.start_server(server),
+            Event::ListRemovesServer(server, incarnation) => {
+                self.change_list_entry_if_current(server, incarnation, Health::Left)
+            }
+            Event::ListAddsServer(server, incarnation) => {
+                self.change_list_entry_if_current(server, incarnation, Health::Active)
+            }
+            Event::FrontDetectsNodeDown(node) => self.nodes[node].in_rotation &= self.nodes[node].running,
+            Event::FrontDrainsNode(node) => {
+                self.nodes[node].in_rotation &= self.nodes[node].terminated_at.is_none()
+            }
+            Event::RestartNode(node) => self.restart_node(node),
+            Event::KillNode(node, terminated_at) => self.kill_if_running(node, terminated_at),
+            Event::StartNode(node) => self.start_node(node),
         }
     }
 }
 
-impl Place {
+impl ServerInstance {
     fn new(spec: ServerSpec, born: Option<Us>, born_ms: f64) -> Self {
         Self {
             model: Server::new(spec.parameters.clone(), born),
             spec,
             power: Power::Up,
-            life: 0,
+            incarnation: 0,
             born_ms,
-            done_before: 0.0,
-            due: None,
-            slower: 1.0,
-            taken: 0.0,
-            errors: 0.0,
-            build: 0.0,
-            next_build: 0.0,
-            resets: 0.0,
-            gray: (0.0, 0, 0.0),
+            earlier_work_done: 0.0,
+            next_step: None,
+            slowdown: 1.0,
+            stolen_share: 0.0,
+            error_rate: 0.0,
+            release_error_rate: 0.0,
+            next_release_error_rate: 0.0,
+            reset_rate: 0.0,
+            gray_failure: (0.0, 0, 0.0),
         }
     }
 }
 
 impl Node {
-    /// Need it not answer what came in a span? It was killed, started or stopped then or shortly before, or had been
-    /// told to end for long.
+    /// Whether the node may leave a request of this span unanswered: it was killed, started or stopped within the span
+    /// or shortly before, or its SIGTERM was long before the request.
     fn excused(&self, from: Us, to: Us) -> bool {
-        let away = |(a, b): &(Us, Us)| *a <= to && *b + LOST_AFTER >= from;
-        let told = self.terminated.is_some_and(|at| from > at + KILL_AFTER);
-        !self.running || told || self.away.iter().any(away)
+        let overlaps = |(a, b): &(Us, Us)| *a <= to && *b + ANSWER_GRACE_US >= from;
+        let terminated_long_ago = self.terminated_at.is_some_and(|at| from > at + KILL_GRACE_US);
+        !self.running || terminated_long_ago || self.outages.iter().any(overlaps)
     }
 }
 
-/// The name of a server: the same at every node, and no hint of its place.
+/// Name of a server: the same at every node, and unrelated to its position.
 fn name_of(draw: &Draw, server: usize) -> String {
     let mut rng = Pcg64::new(u128::from(draw.seed), 0x1000 + server as u128);
     format!("s-{:08x}", rng.random::<u32>())
 }
 
-fn entry(draw: &Draw, server: usize, place: &Place, health: Health) -> ServerEntry {
+fn entry(draw: &Draw, server: usize, instance: &ServerInstance, health: Health) -> ServerEntry {
     ServerEntry {
         name: name_of(draw, server),
-        zone: draw.zones[place.spec.zone].clone(),
-        cell: place.spec.cell,
+        zone: draw.zones[instance.spec.zone].clone(),
+        cell: instance.spec.cell,
         health,
-        born_ms: place.born_ms,
+        born_ms: instance.born_ms,
     }
 }
--- a/crates/lab/src/world/votes.rs
+++ b/crates/lab/src/world/votes.rs
@@ -1,4 +1,4 @@
-//! Votes on servers: what is wrong with each, what the group says of it, and what a liar would say.
+//! Votes on servers: which servers are faulty, the group's verdicts, and the report of a faulty voter.
 
 use std::collections::BTreeMap;
 
@@ -7,97 +7,108 @@
 use super::*;
 use crate::removals::{GroupVerdicts, ReportedRemoval, VoteMetrics};
 
-/// What a liar claims to have seen of each server.
-const CLAIMED: u32 = 1000;
+/// Number of attempts and errors that a faulty voter reports for each server.
+const CLAIMED_ATTEMPTS: u32 = 1000;
 
-/// How long evidence on a server counts by the policies of a plan, ballots' own time with it.
-pub(super) fn grace(draw: &Draw) -> Us {
-    let figures = draw.faults.iter().filter_map(|f| f.policy.get("Votes"));
-    let figures = figures.filter_map(|told| serde_json::from_value::<VoteSettings>(told.clone()).ok());
-    let spans = figures.map(|f| crate::draw::us_from_ms(f.evidence_window + f.ballot_ttl));
-    spans.max().unwrap_or(0)
+/// How long evidence on a server counts under the policies of a plan, plus the lifetime of a ballot.
+pub(super) fn evidence_lifetime(draw: &Draw) -> Us {
+    let settings = draw.faults.iter().filter_map(|f| f.policy.get("Votes"));
+    let settings = settings.filter_map(|value| serde_json::from_value::<VoteSettings>(value.clone()).ok());
+    let lifetimes = settings.map(|s| crate::draw::us_from_ms(s.evidence_window + s.ballot_ttl));
+    lifetimes.max().unwrap_or(0)
 }
 
 impl World {
-    /// Does a policy of the plan let nodes vote on servers?
+    /// Whether a policy of the plan enables votes on servers.
     pub fn voting_enabled(&self) -> bool {
         self.draw.faults.iter().any(|f| f.policy.contains_key("Votes"))
     }
 
-    /// Looks at what is wrong with each server, after anything that may have changed it.
-    pub(super) fn look_over(&mut self) {
+    /// Updates which servers are faulty for which zones, after anything that may have changed it.
+    pub(super) fn update_faulty_servers(&mut self) {
         for server in 0..self.servers.len() {
             for zone in 0..self.draw.zones.len() {
-                let wrong = self.ails(server, zone);
-                self.removals.set_faulty(self.now, server, zone, wrong);
+                let faulty = self.is_faulty(server, zone);
+                self.removals.set_faulty(self.now, server, zone, faulty);
             }
         }
     }
 
-    fn ails(&self, server: usize, zone: usize) -> bool {
-        let place = &self.servers[server];
-        let (late, _, garbled) = place.gray;
-        let (to, from) = (self.links[zone][place.spec.zone], self.links[place.spec.zone][zone]);
-        place.power != Power::Up
-            || place.slower > 1.0
-            || [place.taken, place.errors, place.build, place.resets, late, garbled].iter().any(|s| *s > 0.0)
+    fn is_faulty(&self, server: usize, zone: usize) -> bool {
+        let instance = &self.servers[server];
+        let (late_share, _, truncated_share) = instance.gray_failure;
+        let (to, from) = (self.links[zone][instance.spec.zone], self.links[instance.spec.zone][zone]);
+        instance.power != Power::Up
+            || instance.slowdown > 1.0
+            || [
+                instance.stolen_share,
+                instance.error_rate,
+                instance.release_error_rate,
+                instance.reset_rate,
+                late_share,
+                truncated_share,
+            ]
+            .iter()
+            .any(|s| *s > 0.0)
             || [to, from].iter().any(|link| link.cuts > 0 || link.us_per_byte > 0.0)
     }
 
-    /// What the group says of servers by now.
-    pub fn record_verdicts(&mut self, now: Us, word: GroupVerdicts) {
+    /// Records the group's current verdicts on servers.
+    pub fn record_verdicts(&mut self, now: Us, group: GroupVerdicts) {
         self.advance(now);
         let numbers: BTreeMap<String, usize> =
             (0..self.servers.len()).map(|server| (name_of(&self.draw, server), server)).collect();
-        // Nodes heed no verdict about another process than the one that is listed.
-        let anew = |name: &str, born_ms| self.born_ms(name).is_some_and(|listed| listed != born_ms);
-        let told = word.verdicts.into_iter().filter(|(name, born_ms, ..)| !anew(name, *born_ms)).map(
-            |(name, born_ms, zones, probed)| ReportedRemoval {
-                server: numbers.get(&name).copied(),
-                name,
-                born_ms,
-                zones: (!zones.is_empty()).then(|| {
-                    (0..self.draw.zones.len()).filter(|z| zones.contains(&self.draw.zones[*z])).collect()
-                }),
-                probed,
-            },
-        );
-        self.removals.record_verdicts(now, told.collect());
+        // Nodes ignore a verdict about a process other than the listed one.
+        let restarted = |name: &str, born_ms| self.born_ms(name).is_some_and(|listed| listed != born_ms);
+        let removals =
+            group.verdicts.into_iter().filter(|(name, born_ms, ..)| !restarted(name, *born_ms)).map(
+                |(name, born_ms, zones, probed)| ReportedRemoval {
+                    server: numbers.get(&name).copied(),
+                    name,
+                    born_ms,
+                    zones: (!zones.is_empty()).then(|| {
+                        (0..self.draw.zones.len()).filter(|z| zones.contains(&self.draw.zones[*z])).collect()
+                    }),
+                    probed,
+                },
+            );
+        self.removals.record_verdicts(now, removals.collect());
     }
 
-    /// What came of votes on servers; `None` where the group was never heard of them.
+    /// Metrics of the votes on servers; `None` if the group never had verdicts.
     pub fn vote_metrics(&self) -> Option<VoteMetrics> {
         self.removals.metrics()
     }
 
-    /// How many servers of each zone are listed as in service.
+    /// Number of servers listed as in service, by zone.
     pub fn active_by_zone(&self) -> Vec<(String, u32)> {
-        let mut up = BTreeMap::new();
-        for entry in (0..self.servers.len()).filter_map(|server| self.active(server)) {
-            *up.entry(entry.zone.clone()).or_default() += 1;
+        let mut active = BTreeMap::new();
+        for entry in (0..self.servers.len()).filter_map(|server| self.active_entry(server)) {
+            *active.entry(entry.zone.clone()).or_default() += 1;
         }
-        up.into_iter().collect()
+        active.into_iter().collect()
     }
 
-    fn active(&self, server: usize) -> Option<&ServerEntry> {
+    fn active_entry(&self, server: usize) -> Option<&ServerEntry> {
         self.list.newest_entry(server).filter(|entry| entry.health == Health::Active)
     }
 
-    /// A ballot on a server as it is listed, where it is in service.
+    /// Creates a ballot on a server as it is listed; `None` if it is not in service.
     pub fn ballot(&self, server: usize, vote: Vote, evidence: Evidence) -> Option<Ballot> {
-        let ServerEntry { name, zone, born_ms, .. } = self.active(server)?.clone();
+        let ServerEntry { name, zone, born_ms, .. } = self.active_entry(server)?.clone();
         Some(Ballot { server: name, born_ms, zone, vote, evidence })
     }
 
-    /// When the process started that is listed by a name.
+    /// Start time of the process that is listed under a name.
     pub fn born_ms(&self, name: &str) -> Option<f64> {
         let listed = (0..self.servers.len()).filter_map(|server| self.list.newest_entry(server));
         listed.filter(|entry| entry.name == name).map(|entry| entry.born_ms).next()
     }
 
-    /// What a liar says: servers up, and ballots for the removal of those of `targets`.
+    /// Report of a faulty voter: the number of servers in service, and ballots for the removal of all `targets`.
     pub fn false_vote_report(&self, targets: &[usize]) -> (Vec<(String, u32)>, Vec<Ballot>) {
-        let evidence = Evidence { attempts: CLAIMED, errors: CLAIMED, ..Evidence::default() };
+        let evidence =
+            Evidence { attempts: CLAIMED_ATTEMPTS, errors: CLAIMED_ATTEMPTS, ..Evidence::default() };
         let ballots = targets.iter().filter_map(|server| self.ballot(*server, Vote::For, evidence));
         (self.active_by_zone(), ballots.take(MAX_BALLOTS).collect())
     }
