--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -1,12 +1,12 @@
-//! The decision modules of all nodes, played in the virtual clock against the same world as the real ones.
+//! Runs the decision modules of all nodes in virtual time against the same emulated world as real nodes.
 //!
-//! Need: causes that lie in what many nodes do together have to be told apart, with every server's true state at hand,
-//! in seconds and alike each time; and a mend needs a test without sockets. Shape: `node` is what is round the
-//! module in a process, as far as decisions depend on it (open requests, attempts, kept connections); [`Fleet`] hands
-//! the world's messages to the nodes and back. Nothing here takes processor time, and no descriptor is ever short.
+//! Purpose: reproduces effects of many nodes acting together, deterministically, in seconds and with every server's
+//! true state at hand, and tests a fix without sockets. `node` emulates what surrounds the module in a process as far
+//! as decisions depend on it (open requests, attempts, kept connections); [`FleetModel`] passes messages between the
+//! world and the nodes. Nothing here takes CPU time, and no descriptor is ever short.
 //!
-//! Rejected: real processes under a clock of the lab's own, as that takes a library loaded into them; and a second,
-//! simpler model of a fleet, as it would have to be held against this one.
+//! Rejected: real processes under a simulated clock, which takes a library loaded into them; and a second, simpler
+//! model of a fleet, which would have to be validated against this one.
 
 mod node;
 mod votes;
@@ -21,120 +21,125 @@
 use serde_json::Value;
 use tulipmount::{Outcome, RequestId, Status};
 
-use self::node::{Node, Want};
-use self::votes::{Group, BEAT};
+use self::node::{Node, NodeEffect};
+use self::votes::{ControlGroup, HEARTBEAT_INTERVAL_US};
 use crate::draw::Draw;
-use crate::epochs::Outcome as Agreed;
+use crate::epochs::Outcome as PolicyOutcome;
 use crate::error::ModelError;
 use crate::plan::{FaultKind, Plan};
 use crate::server::Us;
 use crate::settings::{fleet_settings, node_seed, node_settings};
 use crate::world::{Effect, Reachability, ServerReply, Signal, TryOutcome, World};
 
-/// From a node's start until it can serve.
-const STARTS: Us = 20_000;
-/// A watch that has ended is begun anew after this.
-const WATCH_AGAIN: Us = 100_000;
-/// After SIGTERM a node serves what comes for this long at the least.
-const LINGERS: Us = 350_000;
-/// How often kept connections are looked at, and whether a node that is to end has done its work.
-const LOOK: Us = 500_000;
-
-/// What is due, in the order in which it is looked at where it is due at once.
+/// Time from a node's start until it is ready.
+const NODE_START_US: Us = 20_000;
+/// Delay before a closed watch is reopened; also how long work for a stopped node is deferred.
+const WATCH_RETRY_DELAY_US: Us = 100_000;
+/// After SIGTERM a node serves arriving requests for at least this long.
+const NODE_MIN_DRAIN_US: Us = 350_000;
+/// Interval of the check for expired kept connections; a node that is to exit checks for open requests ten times as
+/// often.
+const CHECK_INTERVAL_US: Us = 500_000;
+
+/// Scheduled work of a node. Variants that are due at the same time run in this order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Wake {
     /// The module's timer.
     Timer,
-    /// A connect has failed.
-    NoConnection(RequestId, usize),
-    /// An attempt's time is over.
-    TimeOut(RequestId, usize),
-    /// Kept connections are looked at.
-    Look,
-    /// It speaks to the control group.
-    Beat,
-    /// The watch is begun anew.
-    Watch,
-    /// An older list has stayed for long.
-    Confirm,
-    /// It can serve.
+    /// A connect attempt fails.
+    ConnectFailed(RequestId, usize),
+    /// An attempt times out.
+    AttemptTimeout(RequestId, usize),
+    /// Expired kept connections are closed.
+    CheckConnections,
+    /// The node sends a heartbeat to the control group.
+    Heartbeat,
+    /// The watch of the list is reopened.
+    ReopenWatch,
+    /// The list has been rolled back for long enough to be confirmed with a full list.
+    ConfirmRollback,
+    /// The node is ready.
     Ready,
-    /// It ends once nothing is open.
-    End,
+    /// The node exits once no request is open.
+    Exit,
 }
 
-/// All nodes and the world round them.
-pub struct Fleet {
+/// All nodes, and the world around them.
+pub struct FleetModel {
     world: World,
     now: Us,
     settings: Value,
     nodes: Vec<Option<Node>>,
-    /// Counts each node's starts; what is due belongs to one.
-    lives: Vec<u32>,
-    /// Nodes that stand still, with what reaches them meanwhile.
+    /// Number of starts and ends of each node; scheduled work belongs to one of them.
+    incarnations: Vec<u32>,
+    /// Stopped nodes (SIGSTOP), with the effects that reach them meanwhile.
     stopped: BTreeMap<usize, Vec<Effect>>,
     due: BinaryHeap<Reverse<(Us, usize, u32, Wake)>>,
-    /// Where each attempt at a server comes from: node, its life, request, attempt.
+    /// Origin of each attempt at a server: node, its incarnation, request, number of the attempt.
     origins: Vec<(usize, u32, RequestId, usize)>,
-    /// The control group, where a policy lets nodes vote.
-    group: Option<Group>,
-    liars: Vec<Liar>,
+    /// The control group, if a policy enables votes.
+    group: Option<ControlGroup>,
+    faulty_voters: Vec<FaultyVoter>,
 }
 
-/// A member that lies of servers.
-struct Liar {
+/// A member that reports false ballots on servers.
+struct FaultyVoter {
     fault: usize,
     process: Process,
     zone: String,
-    spoke: Us,
+    last_heartbeat: Us,
     stamp: Option<Stamp>,
 }
 
-/// What a look at the fleet shows; see [`play`].
+/// State of the fleet at one moment; see [`play`].
 pub struct Snapshot<'a> {
-    /// The time.
+    /// Current time.
     pub now: Us,
     /// The world.
     pub world: &'a World,
-    /// What the modules of the nodes that run have seen.
+    /// Status of the modules of all running nodes.
     pub nodes: Vec<Status>,
 }
 
-/// Who looks at a play, and how often.
+/// Interval in microseconds between snapshots, and the callback that receives them.
 pub type SnapshotObserver<'a> = (Us, &'a mut dyn FnMut(&Snapshot<'_>));
 
-/// Plays a draw to its end, and has someone look at it every so often.
+/// Plays a draw to its end, and passes a snapshot to the observer at its interval.
 ///
 /// # Errors
 /// Where the modules refuse the plan's settings.
-pub fn play(plan: &Plan, draw: &Rc<Draw>, look: Option<SnapshotObserver<'_>>) -> Result<World, ModelError> {
-    run(plan, fleet_settings(plan, draw), draw, look)
+pub fn play(
+    plan: &Plan,
+    draw: &Rc<Draw>,
+    observer: Option<SnapshotObserver<'_>>,
+) -> Result<World, ModelError> {
+    run(plan, fleet_settings(plan, draw), draw, observer)
 }
 
-/// The same with the settings that the modules are told.
+/// Like [`play`], with explicit settings for the modules.
 fn run(
     plan: &Plan,
     settings: Value,
     draw: &Rc<Draw>,
-    look: Option<SnapshotObserver<'_>>,
+    observer: Option<SnapshotObserver<'_>>,
 ) -> Result<World, ModelError> {
     let dial = Rc::new(|server: usize, _: usize| SocketAddr::from(([127, 0, 0, 1], 1 + server as u16)));
     let nodes = draw.nodes.len();
-    let mut fleet = Fleet {
+    let mut fleet = FleetModel {
         world: World::new(draw.clone(), plan.rules.clone(), 0.0, dial),
         now: 0,
         settings,
         nodes: (0..nodes).map(|_| None).collect(),
-        lives: vec![0; nodes],
+        incarnations: vec![0; nodes],
         stopped: BTreeMap::new(),
         due: BinaryHeap::new(),
         origins: Vec::new(),
         group: None,
-        liars: Vec::new(),
+        faulty_voters: Vec::new(),
     };
     if fleet.world.voting_enabled() {
-        let mut group = Group::default();
-        group.come(0);
+        let mut group = ControlGroup::default();
+        group.start(0);
         fleet.group = Some(group);
         fleet.world.expect_epochs(0);
     }
@@ -142,60 +147,60 @@
         fleet.start(node)?;
         fleet.ready(node);
     }
-    fleet.run(look)?;
+    fleet.run(observer)?;
     Ok(fleet.world)
 }
 
-/// A node's process, in one of its lives.
-fn process(node: usize, life: u32) -> Process {
-    Process { name: format!("n{node}"), boot: life.into() }
+/// Identity of a node's process in one of its incarnations.
+fn process(node: usize, incarnation: u32) -> Process {
+    Process { name: format!("n{node}"), boot: incarnation.into() }
 }
 
-impl Fleet {
-    fn run(&mut self, mut look: Option<SnapshotObserver<'_>>) -> Result<(), ModelError> {
-        let mut shown = 0;
+impl FleetModel {
+    fn run(&mut self, mut observer: Option<SnapshotObserver<'_>>) -> Result<(), ModelError> {
+        let mut last_snapshot = 0;
         while !self.world.is_over() {
-            let own = self.due.peek().map(|Reverse((at, ..))| *at);
-            let Some(due) = [self.world.next_due(), own].into_iter().flatten().min() else { break };
-            if let Some((every, look)) = &mut look {
-                while shown + *every <= due {
-                    shown += *every;
+            let own_due = self.due.peek().map(|Reverse((at, ..))| *at);
+            let Some(due) = [self.world.next_due(), own_due].into_iter().flatten().min() else { break };
+            if let Some((every, observer)) = &mut observer {
+                while last_snapshot + *every <= due {
+                    last_snapshot += *every;
                     let nodes = self.nodes.iter().flatten().map(Node::status).collect();
-                    look(&Snapshot { now: shown, world: &self.world, nodes });
+                    observer(&Snapshot { now: last_snapshot, world: &self.world, nodes });
                 }
             }
             self.now = due;
             self.world.advance(due);
-            self.carry_out()?;
-            while let Some(Reverse((at, node, life, wake))) =
+            self.carry_out_effects()?;
+            while let Some(Reverse((at, node, incarnation, wake))) =
                 self.due.peek().copied().filter(|Reverse(d)| d.0 <= due)
             {
                 self.due.pop();
-                if self.lives[node] == life && !self.stands_still(node, at, wake) {
-                    self.wake(node, wake);
-                    self.carry_out()?;
+                if self.incarnations[node] == incarnation && !self.defer_if_stopped(node, at, wake) {
+                    self.handle_wake(node, wake);
+                    self.carry_out_effects()?;
                 }
             }
         }
         Ok(())
     }
 
-    /// What is due at a node that stands still waits until it goes on.
-    fn stands_still(&mut self, node: usize, at: Us, wake: Wake) -> bool {
-        let still = self.stopped.contains_key(&node);
-        if still {
-            self.due.push(Reverse((at + WATCH_AGAIN, node, self.lives[node], wake)));
+    /// Defers scheduled work of a stopped node until it continues; returns true if it did.
+    fn defer_if_stopped(&mut self, node: usize, at: Us, wake: Wake) -> bool {
+        let stopped = self.stopped.contains_key(&node);
+        if stopped {
+            self.due.push(Reverse((at + WATCH_RETRY_DELAY_US, node, self.incarnations[node], wake)));
         }
-        still
+        stopped
     }
 
-    fn at(&mut self, node: usize, at: Us, wake: Wake) {
-        self.due.push(Reverse((at.max(self.now), node, self.lives[node], wake)));
+    fn schedule(&mut self, node: usize, at: Us, wake: Wake) {
+        self.due.push(Reverse((at.max(self.now), node, self.incarnations[node], wake)));
     }
 
-    fn carry_out(&mut self) -> Result<(), ModelError> {
-        while let Some(out) = self.world.next_effect() {
-            let to = match &out {
+    fn carry_out_effects(&mut self) -> Result<(), ModelError> {
+        while let Some(effect) = self.world.next_effect() {
+            let to = match &effect {
                 Effect::DeliverRequest(try_id) | Effect::ClientDisconnect(try_id) => {
                     Some(self.world.client_try(*try_id).node)
                 }
@@ -204,30 +209,31 @@
                 _ => None,
             };
             match to.and_then(|node| self.stopped.get_mut(&node)) {
-                Some(kept) => kept.push(out),
-                None => self.reach(out)?,
+                Some(deferred) => deferred.push(effect),
+                None => self.handle_effect(effect)?,
             }
         }
         Ok(())
     }
 
-    /// A message of the world's is there.
-    fn reach(&mut self, out: Effect) -> Result<(), ModelError> {
-        match out {
+    /// Handles an effect of the world.
+    fn handle_effect(&mut self, effect: Effect) -> Result<(), ModelError> {
+        match effect {
             Effect::DeliverRequest(try_id) => {
-                let asked = self.world.client_try(try_id);
-                match &mut self.nodes[asked.node] {
-                    Some(node) if node.serves() => {
-                        let wants = node.asked(self.now, try_id, &asked);
-                        self.want(asked.node, wants);
+                let client_try = self.world.client_try(try_id);
+                match &mut self.nodes[client_try.node] {
+                    Some(node) if node.is_ready() => {
+                        let effects = node.client_request(self.now, try_id, &client_try);
+                        self.apply_effects(client_try.node, effects);
                     }
                     _ => self.world.try_ended(self.now, try_id, TryOutcome::NoConnection),
                 }
             }
             Effect::ClientDisconnect(try_id) => {
                 let node = self.world.client_try(try_id).node;
-                let wants = self.nodes[node].as_mut().map(|n| n.left(self.now, RequestId(try_id as u64)));
-                self.want(node, wants.unwrap_or_default());
+                let effects =
+                    self.nodes[node].as_mut().map(|n| n.client_left(self.now, RequestId(try_id as u64)));
+                self.apply_effects(node, effects.unwrap_or_default());
             }
             Effect::DeliverReply { attempt, reply } => {
                 let outcome = match reply {
@@ -236,20 +242,20 @@
                     ServerReply::Error => Outcome::Error,
                     ServerReply::Truncated | ServerReply::Reset => Outcome::Reset,
                 };
-                let (node, life, id, n) = self.origins[attempt];
-                if self.lives[node] == life {
+                let (node, incarnation, id, n) = self.origins[attempt];
+                if self.incarnations[node] == incarnation {
                     self.ended(node, id, n, outcome);
                 }
             }
             Effect::SendListUpdate { node, from, to } => {
-                if self.nodes[node].as_ref().is_some_and(Node::watches) {
-                    self.tell(node, from, to);
+                if self.nodes[node].as_ref().is_some_and(Node::is_watching) {
+                    self.send_list_update(node, from, to);
                 }
             }
             Effect::CloseWatches(node) => {
                 if let Some(n) = &mut self.nodes[node] {
-                    n.watch(false);
-                    self.at(node, self.now + WATCH_AGAIN, Wake::Watch);
+                    n.set_watching(false);
+                    self.schedule(node, self.now + WATCH_RETRY_DELAY_US, Wake::ReopenWatch);
                 }
             }
             Effect::CloseConnections { server, zone } => {
@@ -262,74 +268,76 @@
             Effect::SignalNode(node, Signal::Kill) => self.end(node),
             Effect::SignalNode(node, Signal::Terminate) => {
                 if self.nodes[node].is_some() {
-                    self.at(node, self.now + LINGERS, Wake::End);
+                    self.schedule(node, self.now + NODE_MIN_DRAIN_US, Wake::Exit);
                 }
             }
             Effect::SignalNode(node, Signal::Stop) => {
                 self.stopped.entry(node).or_default();
             }
             Effect::SignalNode(node, Signal::Continue) => {
-                for out in self.stopped.remove(&node).unwrap_or_default() {
-                    self.reach(out)?;
+                for effect in self.stopped.remove(&node).unwrap_or_default() {
+                    self.handle_effect(effect)?;
                 }
             }
             Effect::StartNode(node) => {
                 self.start(node)?;
-                self.at(node, self.now + STARTS, Wake::Ready);
+                self.schedule(node, self.now + NODE_START_US, Wake::Ready);
             }
-            Effect::BeginGroupFault(fault) => self.strike(fault)?,
-            Effect::EndGroupFault(fault) => self.heal(fault),
+            Effect::BeginGroupFault(fault) => self.begin_group_fault(fault)?,
+            Effect::EndGroupFault(fault) => self.end_group_fault(fault),
             Effect::SetReachability { .. } | Effect::OpenIdleConnections { .. } => {}
         }
         Ok(())
     }
 
-    fn wake(&mut self, node: usize, wake: Wake) {
+    fn handle_wake(&mut self, node: usize, wake: Wake) {
         match wake {
             Wake::Timer => {
-                let wants = self.nodes[node].as_mut().map(|n| n.timer(self.now));
-                self.want(node, wants.unwrap_or_default());
+                let effects = self.nodes[node].as_mut().map(|n| n.timer(self.now));
+                self.apply_effects(node, effects.unwrap_or_default());
             }
-            Wake::NoConnection(id, n) => self.ended(node, id, n, Outcome::ConnectFailed),
-            Wake::TimeOut(id, n) => {
-                let connecting = self.nodes[node].as_ref().is_some_and(|node| node.connecting(id, n));
+            Wake::ConnectFailed(id, n) => self.ended(node, id, n, Outcome::ConnectFailed),
+            Wake::AttemptTimeout(id, n) => {
+                let connecting = self.nodes[node].as_ref().is_some_and(|node| node.is_connecting(id, n));
                 self.ended(node, id, n, if connecting { Outcome::NotSent } else { Outcome::TimedOut });
             }
-            Wake::Look => {
+            Wake::CheckConnections => {
                 if let Some(n) = &mut self.nodes[node] {
-                    for (server, life) in n.stale(self.now) {
-                        self.world.disconnect(self.now, server, life);
+                    for (server, incarnation) in n.remove_expired_connections(self.now) {
+                        self.world.disconnect(self.now, server, incarnation);
                     }
-                    self.at(node, self.now + LOOK, Wake::Look);
+                    self.schedule(node, self.now + CHECK_INTERVAL_US, Wake::CheckConnections);
                 }
             }
-            Wake::Beat => {
-                self.beat(node);
-                self.at(node, self.now + BEAT, Wake::Beat);
+            Wake::Heartbeat => {
+                self.exchange_heartbeat(node);
+                self.schedule(node, self.now + HEARTBEAT_INTERVAL_US, Wake::Heartbeat);
             }
-            Wake::Watch => {
+            Wake::ReopenWatch => {
                 let version = self.world.agent_version(node);
                 if let Some(n) = &mut self.nodes[node] {
-                    n.watch(true);
-                    let from = n.version();
+                    n.set_watching(true);
+                    let from = n.list_version();
                     if from != version {
-                        // One from the future gets the whole list.
-                        self.tell(node, if from < version { from } else { 0 }, version);
+                        // A node with a version that the list does not know yet gets the full list.
+                        self.send_list_update(node, if from < version { from } else { 0 }, version);
                     }
                 }
             }
-            Wake::Confirm => {
-                let due = self.nodes[node].as_ref().and_then(Node::confirm_at);
+            Wake::ConfirmRollback => {
+                let due = self.nodes[node].as_ref().and_then(Node::confirm_rollback_at);
                 if due.is_some_and(|at| at <= self.now) {
-                    self.whole(node);
+                    self.send_full_list(node);
                 }
             }
             Wake::Ready => {
                 self.ready(node);
                 self.world.node_ready(self.now, node);
             }
-            Wake::End => match &self.nodes[node] {
-                Some(n) if n.busy() => self.at(node, self.now + LOOK / 10, Wake::End),
+            Wake::Exit => match &self.nodes[node] {
+                Some(n) if n.has_open_requests() => {
+                    self.schedule(node, self.now + CHECK_INTERVAL_US / 10, Wake::Exit)
+                }
                 Some(_) => {
                     self.world.node_ended(self.now, node);
                     self.end(node);
@@ -342,83 +350,89 @@
     // ---- Starts and ends ----
 
     fn start(&mut self, node: usize) -> Result<(), ModelError> {
-        self.lives[node] += 1;
+        self.incarnations[node] += 1;
         let draw = self.world.draw().clone();
-        let life = self.lives[node] - 1;
+        let incarnation = self.incarnations[node] - 1;
         self.nodes[node] = Some(Node::new(
             &node_settings(&self.settings, &draw, node),
-            node_seed(&draw, node, life),
+            node_seed(&draw, node, incarnation),
             &draw.zones,
         )?);
         Ok(())
     }
 
-    /// It has its list, and the watch stands.
+    /// The node has its list, and the watch is open.
     fn ready(&mut self, node: usize) {
         let version = self.world.agent_version(node);
         let saved = self.world.list_update(node, 0, version);
         if let Some(n) = &mut self.nodes[node] {
-            n.watch(true);
-            let mut wants = n.begin(self.now, saved);
-            wants.extend(n.alive(self.now));
-            self.want(node, wants);
+            n.set_watching(true);
+            let mut effects = n.start_with_list(self.now, saved);
+            effects.extend(n.list_unchanged(self.now));
+            self.apply_effects(node, effects);
         }
         self.world.list_delivered(self.now, node, version);
-        self.at(node, self.now + LOOK, Wake::Look);
+        self.schedule(node, self.now + CHECK_INTERVAL_US, Wake::CheckConnections);
         if let Some(group) = &mut self.group {
-            group.join(process(node, self.lives[node]));
-            // Nodes speak in turn.
-            let own = BEAT * (node as Us + 1) / self.nodes.len() as Us;
-            self.at(node, self.now + own, Wake::Beat);
+            group.join(process(node, self.incarnations[node]));
+            // Heartbeats of the nodes are spread over the interval.
+            let first_heartbeat = HEARTBEAT_INTERVAL_US * (node as Us + 1) / self.nodes.len() as Us;
+            self.schedule(node, self.now + first_heartbeat, Wake::Heartbeat);
         }
     }
 
     fn end(&mut self, node: usize) {
         self.stopped.remove(&node);
-        self.lives[node] += 1;
+        self.incarnations[node] += 1;
         let Some(ended) = self.nodes[node].take() else { return };
-        let (asks, attempts, links) = ended.ends();
-        for try_id in asks {
+        let (tries, attempts, connections) = ended.into_open_work();
+        for try_id in tries {
             self.world.try_ended(self.now, try_id, TryOutcome::ConnectionLost { partial_answer: false });
         }
         for attempt in attempts {
             self.world.attempt_closed(self.now, attempt);
         }
-        for (server, life) in links {
-            self.world.disconnect(self.now, server, life);
+        for (server, incarnation) in connections {
+            self.world.disconnect(self.now, server, incarnation);
         }
     }
 
     // ---- The control group ----
 
-    /// The group's part in a fault begins. Where no policy lets nodes vote, there is no group, and the modules keep the
-    /// settings that they were started with.
-    fn strike(&mut self, n: usize) -> Result<(), ModelError> {
+    /// Begins a fault of the control group. Without a policy that enables votes there is no group, and the modules
+    /// keep the settings that they were started with.
+    fn begin_group_fault(&mut self, n: usize) -> Result<(), ModelError> {
         let draw = self.world.draw().clone();
         let (fault, now) = (&draw.faults[n], self.now);
         let Some(group) = &mut self.group else { return Ok(()) };
         match fault.kind {
             FaultKind::Policy => {
-                let wish = self.world.policy_proposed(now);
-                let Some(epoch) = group.agree(Policy(fault.policy.clone())) else { return Ok(()) };
-                self.world.policy_ended(now, wish, Agreed::Committed(epoch));
+                let proposal = self.world.policy_proposed(now);
+                let Some(epoch) = group.commit_policy(Policy(fault.policy.clone())) else { return Ok(()) };
+                self.world.policy_ended(now, proposal, PolicyOutcome::Committed(epoch));
                 for (field, value) in &fault.policy {
                     self.settings[field] = value.clone();
                 }
                 for node in 0..self.nodes.len() {
                     let settings = node_settings(&self.settings, &draw, node);
                     let Some(n) = &mut self.nodes[node] else { continue };
-                    let wants = n.agreed(now, &settings)?;
-                    self.want(node, wants);
+                    let effects = n.apply_policy(now, &settings)?;
+                    self.apply_effects(node, effects);
                 }
             }
-            FaultKind::GroupOutage => group.go(),
+            FaultKind::GroupOutage => group.stop(),
             FaultKind::FaultyVoters => {
-                for liar in 0..fault.factor as usize {
-                    let process = Process { name: format!("liar-{n}-{liar}"), boot: 1 };
+                for index in 0..fault.factor as usize {
+                    let process = Process { name: format!("liar-{n}-{index}"), boot: 1 };
                     group.join(process.clone());
-                    let zone = draw.zones[liar % draw.zones.len()].clone();
-                    self.liars.push(Liar { fault: n, process, zone, spoke: now, stamp: None });
+                    let zone = draw.zones[index % draw.zones.len()].clone();
+                    self.faulty_voters.push(FaultyVoter {
+                        fault: n,
+                        process,
+                        zone,
+                        last_heartbeat: now,
+                        stamp: None,
+                    });
                 }
             }
             _ => {}
@@ -426,34 +440,37 @@
         Ok(())
     }
 
-    /// It ends.
-    fn heal(&mut self, n: usize) {
+    /// Ends a fault of the control group.
+    fn end_group_fault(&mut self, n: usize) {
         let Some(group) = &mut self.group else { return };
         if self.world.draw().faults[n].kind == FaultKind::GroupOutage {
-            group.come(self.now);
+            group.start(self.now);
         }
-        for liar in self.liars.extract_if(.., |liar| liar.fault == n) {
-            group.leave(liar.process.name);
+        for voter in self.faulty_voters.extract_if(.., |voter| voter.fault == n) {
+            group.leave(voter.process.name);
         }
     }
 
-    /// A node says what it holds of servers, and hears the group's word; so do liars whose time it is.
-    fn beat(&mut self, node: usize) {
+    /// A node sends its ballots in a heartbeat, and receives the group's verdicts; so do faulty voters that are due.
+    fn exchange_heartbeat(&mut self, node: usize) {
         let draw = self.world.draw().clone();
         let (Some(group), Some(n)) = (&mut self.group, &mut self.nodes[node]) else { return };
-        let before = group.told();
-        for liar in self.liars.iter_mut().filter(|liar| liar.spoke + BEAT <= self.now) {
-            let (up, ballots) = self.world.false_vote_report(&draw.faults[liar.fault].targets);
-            let votes =
-                VoteReport { zone: Some(liar.zone.clone()), up_servers: up, abstains: false, ballots };
-            let answer = group.beat(self.now, liar.process.clone(), liar.stamp, votes);
-            (liar.spoke, liar.stamp) = (self.now, answer.map(|(stamp, _)| stamp));
+        let before = group.verdicts();
+        for voter in self
+            .faulty_voters
+            .iter_mut()
+            .filter(|voter| voter.last_heartbeat + HEARTBEAT_INTERVAL_US <= self.now)
+        {
+            let (up_servers, ballots) = self.world.false_vote_report(&draw.faults[voter.fault].targets);
+            let votes = VoteReport { zone: Some(voter.zone.clone()), up_servers, abstains: false, ballots };
+            let answer = group.heartbeat(self.now, voter.process.clone(), voter.stamp, votes);
+            (voter.last_heartbeat, voter.stamp) = (self.now, answer.map(|(stamp, _)| stamp));
         }
         let (own, servers) = n.ballots();
-        let asked = n.answer.as_ref().map_or(&[][..], |(_, asked)| asked);
+        let requested_ballots = n.group_answer.as_ref().map_or(&[][..], |(_, requested)| requested);
         let ballots = own.ballots.into_iter().filter_map(|own| {
             let ballot = self.world.ballot(*servers.get(&own.server)?, own.stand, own.evidence)?;
-            (ballot.vote == Vote::For || asked.contains(&ballot.server)).then_some(ballot)
+            (ballot.vote == Vote::For || requested_ballots.contains(&ballot.server)).then_some(ballot)
         });
         let mut ballots: Vec<_> = ballots.collect();
         ballots.sort_by_key(|ballot| (ballot.vote, std::cmp::Reverse(ballot.evidence.failures())));
@@ -461,48 +478,55 @@
         let zone = Some(draw.zones[self.world.node_zone(node)].clone());
         let votes =
             VoteReport { zone, up_servers: self.world.active_by_zone(), abstains: own.self_doubt, ballots };
-        let echo = n.answer.as_ref().map(|(stamp, _)| *stamp);
-        let Some(answer) = group.beat(self.now, process(node, self.lives[node]), echo, votes) else { return };
-        n.answer = Some(answer);
-        let Some(told) = group.told() else { return };
-        // The watch tells all nodes what is new, the answer this one that it still is so.
-        let new = before.is_none_or(|before| before.version != told.version);
-        self.world.record_verdicts(self.now, votes::word(told.clone()));
-        for node in (0..self.nodes.len()).filter(|n| *n == node || new) {
-            self.rule(node, &told);
+        let echo = n.group_answer.as_ref().map(|(stamp, _)| *stamp);
+        let Some(answer) = group.heartbeat(self.now, process(node, self.incarnations[node]), echo, votes)
+        else {
+            return;
+        };
+        n.group_answer = Some(answer);
+        let Some(verdicts) = group.verdicts() else { return };
+        // A change of the verdicts goes to all nodes through their watches; unchanged verdicts are confirmed only to
+        // this node.
+        let changed = before.is_none_or(|before| before.version != verdicts.version);
+        self.world.record_verdicts(self.now, votes::group_verdicts(verdicts.clone()));
+        for node in (0..self.nodes.len()).filter(|n| *n == node || changed) {
+            self.apply_verdicts(node, &verdicts);
         }
     }
 
-    fn rule(&mut self, node: usize, told: &Verdicts) {
+    fn apply_verdicts(&mut self, node: usize, verdicts: &Verdicts) {
         let zone = &self.world.draw().zones[self.world.node_zone(node)];
         let Some(n) = self.nodes[node].as_mut().filter(|_| !self.stopped.contains_key(&node)) else { return };
         let name = format!("n{node}");
-        let here = told.verdicts.iter().filter(|v| v.zones.is_empty() || v.zones.contains(zone));
-        let here = here.filter(|v| self.world.born_ms(&v.server) == Some(v.born_ms));
-        let wants = n.ruled(self.now, here.map(|v| (v.server.as_str(), v.probers.contains(&name))));
-        self.want(node, wants);
+        let verdicts_here = verdicts.verdicts.iter().filter(|v| v.zones.is_empty() || v.zones.contains(zone));
+        let verdicts_here = verdicts_here.filter(|v| self.world.born_ms(&v.server) == Some(v.born_ms));
+        let effects =
+            n.apply_verdicts(self.now, verdicts_here.map(|v| (v.server.as_str(), v.probers.contains(&name))));
+        self.apply_effects(node, effects);
     }
 
     // ---- What nodes do ----
 
-    fn want(&mut self, node: usize, wants: Vec<Want>) {
-        for want in wants {
-            match want {
-                Want::Timer(at) => self.at(node, at, Wake::Timer),
-                Want::Answer { try_id, status, retry_after, attempt } => {
+    fn apply_effects(&mut self, node: usize, effects: Vec<NodeEffect>) {
+        for effect in effects {
+            match effect {
+                NodeEffect::Timer(at) => self.schedule(node, at, Wake::Timer),
+                NodeEffect::Answer { try_id, status, retry_after, attempt } => {
                     self.world.try_ended(
                         self.now,
                         try_id,
                         TryOutcome::Answer { status, retry_after, attempt },
                     );
                 }
-                Want::Send { id, attempt, server, until } => self.send(node, id, attempt, server, until),
-                Want::Close { attempt, link } => {
+                NodeEffect::Send { id, attempt, server, until } => {
+                    self.send(node, id, attempt, server, until)
+                }
+                NodeEffect::Close { attempt, connection } => {
                     if let Some(attempt) = attempt {
                         self.world.attempt_closed(self.now, attempt);
                     }
-                    if let Some((server, life)) = link {
-                        self.world.disconnect(self.now, server, life);
+                    if let Some((server, incarnation)) = connection {
+                        self.world.disconnect(self.now, server, incarnation);
                     }
                 }
             }
@@ -511,66 +535,66 @@
 
     fn send(&mut self, node: usize, id: RequestId, n: usize, server: usize, until: Us) {
         let (now, zone) = (self.now, self.world.node_zone(node));
-        self.at(node, until, Wake::TimeOut(id, n));
-        let kept = self.nodes[node].as_mut().and_then(|node| node.take_link(now, server));
+        self.schedule(node, until, Wake::AttemptTimeout(id, n));
+        let kept = self.nodes[node].as_mut().and_then(|node| node.take_connection(now, server));
         let fresh = kept.is_none();
-        let life = kept.or_else(|| match self.world.reachability(server, zone) {
+        let incarnation = kept.or_else(|| match self.world.reachability(server, zone) {
             Reachability::Open => self.world.connect(now, server),
             Reachability::Refused | Reachability::Unreachable => None,
         });
-        let Some(life) = life else {
-            let heard = match self.world.reachability(server, zone) {
+        let Some(incarnation) = incarnation else {
+            let failed_at = match self.world.reachability(server, zone) {
                 Reachability::Unreachable => now + self.nodes[node].as_ref().map_or(0, Node::connect_time),
                 Reachability::Refused | Reachability::Open => now + 2 * self.world.link_delay(node, server),
             };
-            return self.at(node, heard, Wake::NoConnection(id, n));
+            return self.schedule(node, failed_at, Wake::ConnectFailed(id, n));
         };
         let txn = self.world.txn(id.0 as usize);
         let Some(at) = self.world.start_attempt(now, server, zone, &txn, fresh) else { return };
-        // The world numbers attempts in this order.
+        // The world numbers attempts in the same order.
         debug_assert_eq!(at, self.origins.len());
-        self.origins.push((node, self.lives[node], id, n));
+        self.origins.push((node, self.incarnations[node], id, n));
         if let Some(node) = &mut self.nodes[node] {
-            node.sent(id, n, at, (server, life));
+            node.attempt_sent(id, n, at, (server, incarnation));
         }
     }
 
     fn ended(&mut self, node: usize, id: RequestId, n: usize, outcome: Outcome) {
-        let wants = self.nodes[node].as_mut().map(|node| node.ended(self.now, id, n, outcome));
-        self.want(node, wants.unwrap_or_default());
+        let effects = self.nodes[node].as_mut().map(|node| node.attempt_ended(self.now, id, n, outcome));
+        self.apply_effects(node, effects.unwrap_or_default());
     }
 
     fn drop_connections(&mut self, node: usize, server: usize) {
         let Some(n) = &mut self.nodes[node] else { return };
-        let (idle, out) = n.broken(server);
-        for life in idle {
-            self.world.disconnect(self.now, server, life);
+        let (idle, open_attempts) = n.connections_lost(server);
+        for incarnation in idle {
+            self.world.disconnect(self.now, server, incarnation);
         }
-        for (id, attempt) in out {
+        for (id, attempt) in open_attempts {
             self.ended(node, id, attempt, Outcome::Reset);
         }
     }
 
-    fn tell(&mut self, node: usize, from: u64, to: u64) {
+    fn send_list_update(&mut self, node: usize, from: u64, to: u64) {
         let line = self.world.list_update(node, from, to);
         let Some(n) = &mut self.nodes[node] else { return };
-        let (wants, whole) = n.told(self.now, line);
-        if let Some(at) = n.confirm_at() {
-            self.at(node, at, Wake::Confirm);
+        let (effects, needs_full_list) = n.apply_list_update(self.now, line);
+        if let Some(at) = n.confirm_rollback_at() {
+            self.schedule(node, at, Wake::ConfirmRollback);
         }
         self.world.list_delivered(self.now, node, to);
-        self.want(node, wants);
-        if whole {
-            self.whole(node);
+        self.apply_effects(node, effects);
+        if needs_full_list {
+            self.send_full_list(node);
         }
     }
 
-    /// It asks for the whole list, on a watch of its own.
-    fn whole(&mut self, node: usize) {
+    /// The node requests the full list on a new watch.
+    fn send_full_list(&mut self, node: usize) {
         if let Some(n) = &mut self.nodes[node] {
-            n.watch(true);
+            n.set_watching(true);
             let version = self.world.agent_version(node);
-            self.tell(node, 0, version);
+            self.send_list_update(node, 0, version);
         }
     }
 }
@@ -581,40 +605,41 @@
     use crate::plan::Rules;
     use crate::referee::Rule;
 
-    /// A release; meanwhile the list tells less than it told.
-    const DRAINS: &str = "[[fault]]\nkind = \"release\"\nat_s = 3\nfor_s = 12\nshare = 0.6\nsteps = 3\n\
+    /// A release, during which the list is stale.
+    const RELEASE_AND_STALE_LIST: &str =
+        "[[fault]]\nkind = \"release\"\nat_s = 3\nfor_s = 12\nshare = 0.6\nsteps = 3\n\
         [[fault]]\nkind = \"stale-list\"\nat_s = 12\nfor_s = 8\nfactor = 12\n";
 
-    fn played(more: &str) -> World {
-        judged(more, |_| {})
+    fn play_plan(more: &str) -> World {
+        play_with_rules(more, |_| {})
     }
 
-    /// Plays by the plan's rules, judged by others.
-    fn judged(more: &str, rules: impl FnOnce(&mut Rules)) -> World {
+    /// Plays a plan, with the referee's rules changed by `rules`.
+    fn play_with_rules(more: &str, rules: impl FnOnce(&mut Rules)) -> World {
         let text =
             format!("schema = 1\nname = \"x\"\nlength_s = 25\n[fleet]\nnodes = 9\nservers = 12\n{more}");
-        let mut plan = Plan::read("x.toml", &text).expect("it can be played");
+        let mut plan = Plan::read("x.toml", &text).expect("a valid plan");
         let draw = Rc::new(Draw::new(&plan, 5));
-        let told = fleet_settings(&plan, &draw);
+        let settings = fleet_settings(&plan, &draw);
         rules(&mut plan.rules);
-        let world = run(&plan, told, &draw, None).expect("good settings");
+        let world = run(&plan, settings, &draw, None).expect("good settings");
         let ended: u64 = world.tally().windows.iter().flatten().flat_map(|w| w.outcomes).sum();
         assert_eq!(ended as usize, world.draw().arrivals.len(), "each request ends once");
         world
     }
 
     #[test]
-    fn a_calm_fleet_of_modules_is_served_and_plays_alike_each_time() {
+    fn a_calm_fleet_is_served_and_two_runs_are_identical() {
         let calm = "[load]\nof_capacity = 0.5\n";
-        let world = played(calm);
+        let world = play_plan(calm);
         assert_eq!(world.breaches().0, 0, "{:?}", world.breaches().1);
         let served = world.tally().served_share(0..2, 0..25);
         assert!(served > 0.9, "{served}");
-        assert_eq!(format!("{:?}", world.tally()), format!("{:?}", played(calm).tally()));
+        assert_eq!(format!("{:?}", world.tally()), format!("{:?}", play_plan(calm).tally()));
     }
 
     #[test]
-    fn rules_hold_through_every_kind_of_fault() {
+    fn no_rule_is_broken_under_any_kind_of_fault() {
         let fault = |kind: &str, rest: &str| format!("[[fault]]\nkind = \"{kind}\"\nfor_s = 2\n{rest}\n");
         let faults = [
             fault("kill", "at_s = 2\nids = [0]"),
@@ -627,45 +652,45 @@
             fault("break-links", "at_s = 16\nzone = \"maipu\""),
             fault("reset", "at_s = 17\nshare = 0.2\nfactor = 0.2"),
         ];
-        let world = played(&format!("[load]\nof_capacity = 0.3\n{}", faults.concat()));
+        let world = play_plan(&format!("[load]\nof_capacity = 0.3\n{}", faults.concat()));
         assert_eq!(world.breaches().0, 0, "{:?}", world.breaches().1);
         let served = world.tally().served_share(0..2, 0..25);
         assert!(served > 0.8, "{served}");
     }
 
-    /// A server fails for a while, and a member lies of all of them, where nodes vote.
+    /// With votes enabled, a server fails for a while, and one faulty voter reports false ballots on all servers.
     const VOTES: &str = "[control]\n[load]\nof_capacity = 0.4\n\
         [[fault]]\nkind = \"policy\"\nat_s = 1\nfor_s = 1\npolicy = { Votes = {} }\n\
         [[fault]]\nkind = \"errors\"\nat_s = 4\nfor_s = 5\nids = [3]\nfactor = 0.8\n\
         [[fault]]\nkind = \"liar\"\nat_s = 2\nfor_s = 20\nfactor = 1\n";
 
     #[test]
-    fn a_server_that_fails_is_removed_by_votes_and_back_once_it_is_mended() {
-        let votes = played(VOTES).vote_metrics().expect("a group");
+    fn a_failing_server_is_removed_by_votes_and_returns_once_it_has_recovered() {
+        let votes = play_plan(VOTES).vote_metrics().expect("a group");
         assert_eq!(
             (votes.removed, votes.wrong_removals, votes.attempts_after_removal),
             (1, 0, 0),
             "{votes:?}"
         );
-        // For one zone first, perhaps; what it ends as is what is mended.
+        // It may be removed for one zone first; the last removal must be of a server that has recovered.
         let first = votes.removals.first().expect("a server was removed");
         let last = votes.removals.last().expect("a server was removed");
         assert!(first.remove_ms < Some(4_000.0) && last.mended && last.return_ms.is_some(), "{votes:?}");
-        assert!(played("").vote_metrics().is_none());
+        assert!(play_plan("").vote_metrics().is_none());
     }
 
-    /// What an older list tells to be up again stays drained.
+    /// A server that an older list shows as in service again must stay drained.
     #[test]
-    fn a_list_that_falls_behind_brings_no_server_back() {
-        let world = played(DRAINS);
+    fn a_stale_list_does_not_return_a_drained_server_to_service() {
+        let world = play_plan(RELEASE_AND_STALE_LIST);
         assert_eq!(world.breaches().0, 0, "{:?}", world.breaches().1);
     }
 
     #[test]
-    fn what_breaks_a_rule_is_seen_here_too() {
-        // The referee allows fewer attempts than the modules are told that they have.
+    fn the_referee_reports_a_broken_rule() {
+        // The referee allows fewer attempts than the modules are configured for.
         let fault = "[[fault]]\nkind = \"reset\"\nat_s = 5\nfor_s = 2\nshare = 0.2\nfactor = 0.2\n";
-        let world = judged(fault, |rules| rules.attempts = 1);
+        let world = play_with_rules(fault, |rules| rules.attempts = 1);
         assert!(world.breaches().1.iter().any(|b| b.rule == Rule::Repeat));
     }
 }
--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -1,4 +1,5 @@
-//! One node round its module, as far as decisions depend on it: open requests, attempts, kept connections, the list.
+//! One node around its decision module, as far as decisions depend on it: open requests, attempts, kept connections,
+//! the list.
 
 use std::collections::BTreeMap;
 
@@ -16,193 +17,202 @@
 use crate::server::Us;
 use crate::world::ClientTry;
 
-/// How long before a client's deadline the module's ends, at most, and as a part of the time.
-const MARGIN: (Us, Us) = (20_000, 8);
-/// The part of the servers' keep-alive for which a connection is kept.
-const KEPT: f64 = 0.5;
+/// The module's deadline ends before the client's by this much: at most the first value (µs), and at most one part in
+/// the second value of the client's timeout.
+const DEADLINE_MARGIN: (Us, Us) = (20_000, 8);
+/// Share of the servers' keep-alive time for which the node keeps an idle connection.
+const KEEP_ALIVE_SHARE: f64 = 0.5;
 
-/// A connection: its server, and the life of the server that it came in.
-type Link = (usize, u32);
+/// A connection: its server, and the server's incarnation.
+type ConnectionId = (usize, u32);
 
-/// What a node wants done.
-pub enum Want {
-    /// To be woken.
+/// Something that a node asks its driver to do.
+pub enum NodeEffect {
+    /// Wake the node at this time.
     Timer(Us),
-    /// A final answer.
+    /// Send the final answer to a client.
     Answer {
         /// The client's try.
         try_id: usize,
         /// The status.
         status: u16,
-        /// When the client should come back.
+        /// Retry-After, in microseconds.
         retry_after: Option<Us>,
-        /// The attempt that served it.
+        /// The attempt that was served.
         attempt: Option<usize>,
     },
-    /// An attempt.
+    /// Send an attempt to a server.
     Send {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: usize,
-        /// Where to.
+        /// The server.
         server: usize,
-        /// Until when.
+        /// Time at which the attempt times out.
         until: Us,
     },
-    /// An attempt is no longer waited for, and its connection ends.
+    /// Give up an attempt, and close its connection.
     Close {
-        /// The world's number of it.
+        /// Number of the attempt in the world.
         attempt: Option<usize>,
         /// The connection.
-        link: Option<Link>,
+        connection: Option<ConnectionId>,
     },
 }
 
-struct Try {
-    id: ServerId,
+struct Attempt {
+    server_id: ServerId,
     server: usize,
     sent: Us,
-    over: bool,
-    /// The world's number of it and its connection, once it is written.
-    written: Option<(usize, Link)>,
+    ended: bool,
+    /// Number of the attempt in the world, and its connection, once the request is sent.
+    sent_as: Option<(usize, ConnectionId)>,
 }
 
-struct Open {
+struct OpenRequest {
     try_id: usize,
-    owed: bool,
-    tries: Vec<Try>,
+    answer_due: bool,
+    attempts: Vec<Attempt>,
 }
 
-/// A node.
+/// Model of a node's process.
 pub struct Node {
-    told: NodeSettings,
+    node_settings: NodeSettings,
     balancer: Balancer,
-    requests: BTreeMap<RequestId, Open>,
-    /// Kept connections by server, each with its life and since when it has been idle.
+    requests: BTreeMap<RequestId, OpenRequest>,
+    /// Kept connections by server, each with the server's incarnation and the time since when it is idle.
     idle: BTreeMap<usize, Vec<(u32, Us)>>,
     servers: BTreeMap<ServerId, usize>,
-    /// The newest answer of the control group: its stamp, and the servers that it asks about.
-    pub answer: Option<(Stamp, Vec<String>)>,
+    /// Newest answer of the control group: its stamp, and the servers for which it requests ballots.
+    pub group_answer: Option<(Stamp, Vec<String>)>,
     zones: Vec<String>,
     list: ListState,
-    /// The calls for the list that were begun.
-    calls: u64,
+    /// Number of watches that were opened.
+    list_calls: u64,
     watching: bool,
     ready: bool,
 }
 
-/// Milliseconds, the module's unit.
-fn millis(at: Us) -> f64 {
+/// Converts microseconds to milliseconds, the module's unit.
+fn ms_from_us(at: Us) -> f64 {
     at as f64 / 1e3
 }
 
-/// A name's number: servers' names are random hex digits.
-fn number(name: &str) -> ServerId {
+/// Id of a server from its name, `s-` and random hex digits.
+fn server_id(name: &str) -> ServerId {
     ServerId(name.get(2..).and_then(|digits| u64::from_str_radix(digits, 16).ok()).unwrap_or(0))
 }
 
 impl Node {
-    /// A node that has just started and knows no list.
+    /// Creates a node that has just started and has no list.
     ///
     /// # Errors
     /// Where the settings are refused.
     pub fn new(settings: &Value, seed: u64, zones: &[String]) -> Result<Self, ModelError> {
-        let told = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
-        let balancer =
-            Balancer::new(told.settings.clone(), seed).map_err(|e| ModelError::Settings(e.to_string()))?;
+        let node_settings = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
+        let balancer = Balancer::new(node_settings.settings.clone(), seed)
+            .map_err(|e| ModelError::Settings(e.to_string()))?;
         Ok(Self {
-            told,
+            node_settings,
             balancer,
             requests: BTreeMap::new(),
             idle: BTreeMap::new(),
             servers: BTreeMap::new(),
-            answer: None,
+            group_answer: None,
             zones: zones.to_vec(),
             list: ListState::new(None),
-            calls: 0,
+            list_calls: 0,
             watching: false,
             ready: false,
         })
     }
 
-    /// What its module has seen.
+    /// Status of its decision module.
     pub fn status(&self) -> Status {
         self.balancer.status()
     }
 
-    /// Does it take requests?
-    pub fn serves(&self) -> bool {
+    /// Whether it takes requests.
+    pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Does its watch stand?
-    pub fn watches(&self) -> bool {
+    /// Whether its watch of the list is open.
+    pub fn is_watching(&self) -> bool {
         self.watching
     }
 
-    /// Its watch begins or ends.
-    pub fn watch(&mut self, stands: bool) {
-        self.watching = stands;
-        self.calls += u64::from(stands);
+    /// Opens or closes its watch.
+    pub fn set_watching(&mut self, watching: bool) {
+        self.watching = watching;
+        self.list_calls += u64::from(watching);
     }
 
-    /// The newest version of its list that counts.
-    pub fn version(&self) -> u64 {
+    /// Newest version of its list.
+    pub fn list_version(&self) -> u64 {
         self.list.version()
     }
 
-    /// When an older list that stays is to be asked for again.
-    pub fn confirm_at(&self) -> Option<Us> {
+    /// When a rolled-back list is to be confirmed by requesting the full list.
+    pub fn confirm_rollback_at(&self) -> Option<Us> {
         self.list.rollback_confirm_at().map(|at| at * 1000)
     }
 
-    /// Is anything open?
-    pub fn busy(&self) -> bool {
-        self.requests.values().any(|r| r.owed)
+    /// Whether a client still waits for an answer.
+    pub fn has_open_requests(&self) -> bool {
+        self.requests.values().any(|r| r.answer_due)
     }
 
-    /// How long a connect may take.
+    /// Connect timeout.
     pub fn connect_time(&self) -> Us {
-        us_from_ms(self.told.settings.limits.connect_timeout)
+        us_from_ms(self.node_settings.settings.limits.connect_timeout)
     }
 
-    fn feed(&mut self, now: Us, event: Event) -> Vec<Want> {
-        let mut wants = Vec::new();
+    fn handle_event(&mut self, now: Us, event: Event) -> Vec<NodeEffect> {
+        let mut effects = Vec::new();
         let mut events = std::collections::VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
-            self.balancer.handle(millis(now), event, &mut actions);
+            self.balancer.handle(ms_from_us(now), event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Send { id, server: to, timeout } => {
-                        let Some(server) = self.servers.get(&to).copied() else { continue };
+                    Action::Send { id, server: server_id, timeout } => {
+                        let Some(server) = self.servers.get(&server_id).copied() else { continue };
                         let Some(open) = self.requests.get_mut(&id) else { continue };
-                        let attempt = open.tries.len();
-                        open.tries.push(Try { id: to, server, sent: now, over: false, written: None });
+                        let attempt = open.attempts.len();
+                        open.attempts.push(Attempt {
+                            server_id,
+                            server,
+                            sent: now,
+                            ended: false,
+                            sent_as: None,
+                        });
                         let until = now + us_from_ms(timeout.unwrap_or(1e6));
-                        wants.push(Want::Send { id, attempt, server, until });
+                        effects.push(NodeEffect::Send { id, attempt, server, until });
                     }
                     Action::Cancel { id, attempt } => {
                         if let Some((closed, ended)) = self.close(now, id, attempt, Outcome::Cancelled) {
-                            wants.push(closed);
+                            effects.push(closed);
                             events.push_back(ended);
                         }
                     }
                     Action::Refuse { id, retry_after } => {
-                        let after = (retry_after > 0.0).then(|| us_from_ms(retry_after));
-                        wants.extend(self.answer(id, 503, after, None));
+                        let retry_after = (retry_after > 0.0).then(|| us_from_ms(retry_after));
+                        effects.extend(self.answer(id, 503, retry_after, None));
                     }
-                    Action::Fail(id) => wants.extend(self.answer(id, 502, None, None)),
-                    Action::SetTimer(after) => wants.push(Want::Timer(now + us_from_ms(after).max(1))),
-                    // The site's discovery is pushed, and nobody may probe.
+                    Action::Fail(id) => effects.extend(self.answer(id, 502, None, None)),
+                    Action::SetTimer(after) => {
+                        effects.push(NodeEffect::Timer(now + us_from_ms(after).max(1)))
+                    }
+                    // The site's discovery pushes changes, and servers may not be probed.
                     Action::Subscribe | Action::Probe(_) => {}
                 }
             }
         }
-        let over = |r: &Open| !r.owed && r.tries.iter().all(|t| t.over);
-        self.requests.retain(|_, r| !over(r));
-        wants
+        let is_finished = |r: &OpenRequest| !r.answer_due && r.attempts.iter().all(|t| t.ended);
+        self.requests.retain(|_, r| !is_finished(r));
+        effects
     }
 
     fn answer(
@@ -211,222 +221,261 @@
         status: u16,
         retry_after: Option<Us>,
         attempt: Option<usize>,
-    ) -> Option<Want> {
+    ) -> Option<NodeEffect> {
         let open = self.requests.get_mut(&id)?;
-        let owed = std::mem::replace(&mut open.owed, false);
-        owed.then_some(Want::Answer { try_id: open.try_id, status, retry_after, attempt })
+        let answer_due = std::mem::replace(&mut open.answer_due, false);
+        answer_due.then_some(NodeEffect::Answer { try_id: open.try_id, status, retry_after, attempt })
     }
 
-    /// An attempt that is still out ends here: its connection closes.
-    fn close(&mut self, now: Us, id: RequestId, attempt: usize, outcome: Outcome) -> Option<(Want, Event)> {
+    /// Ends an attempt that is still open, and closes its connection.
+    fn close(
+        &mut self,
+        now: Us,
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+    ) -> Option<(NodeEffect, Event)> {
         let open = self.requests.get_mut(&id)?;
-        let finished = !open.owed;
-        let out = open.tries.get_mut(attempt).filter(|t| !t.over)?;
-        out.over = true;
-        let closed = Want::Close { attempt: out.written.map(|w| w.0), link: out.written.map(|w| w.1) };
-        Some((closed, self.end_of(now, id, attempt, outcome, finished)?))
+        let answered = !open.answer_due;
+        let open_attempt = open.attempts.get_mut(attempt).filter(|t| !t.ended)?;
+        open_attempt.ended = true;
+        let closed = NodeEffect::Close {
+            attempt: open_attempt.sent_as.map(|w| w.0),
+            connection: open_attempt.sent_as.map(|w| w.1),
+        };
+        Some((closed, self.attempt_end_event(now, id, attempt, outcome, answered)?))
     }
 
-    fn end_of(
+    fn attempt_end_event(
         &self,
         now: Us,
         id: RequestId,
         attempt: usize,
         outcome: Outcome,
-        finished: bool,
+        answered: bool,
     ) -> Option<Event> {
-        let out = self.requests.get(&id)?.tries.get(attempt)?;
+        let open_attempt = self.requests.get(&id)?.attempts.get(attempt)?;
         Some(Event::AttemptEnded {
             id,
             attempt,
-            server: out.id,
+            server: open_attempt.server_id,
             outcome,
-            elapsed: millis(now - out.sent),
-            answered: finished,
+            elapsed: ms_from_us(now - open_attempt.sent),
+            answered,
         })
     }
 
-    /// A client's request.
-    pub fn asked(&mut self, now: Us, try_id: usize, asked: &ClientTry) -> Vec<Want> {
+    /// Handles a client's request.
+    pub fn client_request(&mut self, now: Us, try_id: usize, client_try: &ClientTry) -> Vec<NodeEffect> {
         let id = RequestId(try_id as u64);
-        self.requests.insert(id, Open { try_id, owed: true, tries: Vec::new() });
-        let margin = MARGIN.0.min(asked.timeout / MARGIN.1);
-        // Its time is counted from when it was sent.
-        let deadline = millis((asked.sent_at + asked.timeout).saturating_sub(margin).max(now));
-        self.feed(
+        self.requests.insert(id, OpenRequest { try_id, answer_due: true, attempts: Vec::new() });
+        let margin = DEADLINE_MARGIN.0.min(client_try.timeout / DEADLINE_MARGIN.1);
+        // The timeout counts from when the client sent the request.
+        let deadline = ms_from_us((client_try.sent_at + client_try.timeout).saturating_sub(margin).max(now));
+        self.handle_event(
             now,
             Event::Request {
                 id,
-                class: asked.class,
+                class: client_try.class,
                 tenant: None,
                 deadline,
                 streaming_body: false,
-                is_retry: asked.is_retry,
-                estimated_work: Some(asked.work_estimate / 1e3),
+                is_retry: client_try.is_retry,
+                estimated_work: Some(client_try.work_estimate / 1e3),
             },
         )
     }
 
-    /// Its client left.
-    pub fn left(&mut self, now: Us, id: RequestId) -> Vec<Want> {
+    /// The client has closed its connection.
+    pub fn client_left(&mut self, now: Us, id: RequestId) -> Vec<NodeEffect> {
         match self.requests.get_mut(&id) {
-            Some(open) => open.owed = false,
+            Some(open) => open.answer_due = false,
             None => return Vec::new(),
         }
-        self.feed(now, Event::ClientGone(id))
+        self.handle_event(now, Event::ClientGone(id))
     }
 
     /// The module's timer.
-    pub fn timer(&mut self, now: Us) -> Vec<Want> {
-        self.feed(now, Event::Timer)
+    pub fn timer(&mut self, now: Us) -> Vec<NodeEffect> {
+        self.handle_event(now, Event::Timer)
     }
 
-    /// Has this attempt no connection yet?
-    pub fn connecting(&self, id: RequestId, attempt: usize) -> bool {
-        self.requests.get(&id).and_then(|r| r.tries.get(attempt)).is_some_and(|t| t.written.is_none())
+    /// Whether an attempt has no connection yet.
+    pub fn is_connecting(&self, id: RequestId, attempt: usize) -> bool {
+        self.requests.get(&id).and_then(|r| r.attempts.get(attempt)).is_some_and(|t| t.sent_as.is_none())
     }
 
-    /// An attempt was written.
-    pub fn sent(&mut self, id: RequestId, attempt: usize, number: usize, link: Link) {
-        if let Some(out) = self.requests.get_mut(&id).and_then(|r| r.tries.get_mut(attempt)) {
-            out.written = Some((number, link));
+    /// An attempt was sent to its server.
+    pub fn attempt_sent(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        attempt_id: usize,
+        connection: ConnectionId,
+    ) {
+        if let Some(open_attempt) = self.requests.get_mut(&id).and_then(|r| r.attempts.get_mut(attempt)) {
+            open_attempt.sent_as = Some((attempt_id, connection));
         }
     }
 
-    /// An attempt ended, if it was still out.
-    pub fn ended(&mut self, now: Us, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Want> {
+    /// An attempt ended; ignored unless it was still open.
+    pub fn attempt_ended(
+        &mut self,
+        now: Us,
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+    ) -> Vec<NodeEffect> {
         if matches!(outcome, Outcome::Success | Outcome::Rejected | Outcome::Error) {
-            return self.heard(now, id, attempt, outcome);
+            return self.answer_received(now, id, attempt, outcome);
         }
         let Some((closed, ended)) = self.close(now, id, attempt, outcome) else { return Vec::new() };
-        let mut wants = vec![closed];
-        wants.extend(self.feed(now, ended));
-        wants
+        let mut effects = vec![closed];
+        effects.extend(self.handle_event(now, ended));
+        effects
     }
 
-    /// A server's answer is there; its connection is kept.
-    fn heard(&mut self, now: Us, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Want> {
+    /// A server's answer has arrived; its connection is kept.
+    fn answer_received(
+        &mut self,
+        now: Us,
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+    ) -> Vec<NodeEffect> {
         let Some(open) = self.requests.get_mut(&id) else { return Vec::new() };
-        let Some(out) = open.tries.get_mut(attempt).filter(|t| !t.over) else { return Vec::new() };
-        out.over = true;
-        let written = out.written;
-        let mut wants = Vec::new();
-        if let Some((number, (server, life))) = written {
-            self.idle.entry(server).or_default().push((life, now));
+        let Some(open_attempt) = open.attempts.get_mut(attempt).filter(|t| !t.ended) else {
+            return Vec::new();
+        };
+        open_attempt.ended = true;
+        let sent_as = open_attempt.sent_as;
+        let mut effects = Vec::new();
+        if let Some((attempt_id, (server, incarnation))) = sent_as {
+            self.idle.entry(server).or_default().push((incarnation, now));
             if outcome == Outcome::Success {
-                wants.extend(self.answer(id, 200, None, Some(number)));
+                effects.extend(self.answer(id, 200, None, Some(attempt_id)));
             }
         }
-        let finished = self.requests.get(&id).is_some_and(|r| !r.owed);
-        if let Some(ended) = self.end_of(now, id, attempt, outcome, finished) {
-            wants.extend(self.feed(now, ended));
+        let answered = self.requests.get(&id).is_some_and(|r| !r.answer_due);
+        if let Some(ended) = self.attempt_end_event(now, id, attempt, outcome, answered) {
+            effects.extend(self.handle_event(now, ended));
         }
-        wants
+        effects
     }
 
     // ---- The control group ----
 
-    /// What it holds of its servers, by their numbers.
+    /// Ballots on its servers, and the number of each server in the world.
     pub fn ballots(&self) -> (BallotReport, &BTreeMap<ServerId, usize>) {
         (self.balancer.ballots(), &self.servers)
     }
 
-    /// An agreed policy takes hold.
+    /// Applies an agreed policy.
     ///
     /// # Errors
     /// Where the settings are refused.
-    pub fn agreed(&mut self, now: Us, settings: &Value) -> Result<Vec<Want>, ModelError> {
-        self.told = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
-        let settings = self.told.settings.clone();
-        Ok(self.feed(now, Event::Policy(Box::new(settings))))
+    pub fn apply_policy(&mut self, now: Us, settings: &Value) -> Result<Vec<NodeEffect>, ModelError> {
+        self.node_settings = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
+        let settings = self.node_settings.settings.clone();
+        Ok(self.handle_event(now, Event::Policy(Box::new(settings))))
     }
 
-    /// The group's word: servers that are removed for this node, and whether it probes them.
-    pub fn ruled<'a>(&mut self, now: Us, of: impl Iterator<Item = (&'a str, bool)>) -> Vec<Want> {
-        let rulings = of.map(|(name, probe)| ServerVerdict { server: number(name), probe }).collect();
-        self.feed(now, Event::Verdicts(rulings))
+    /// Applies the group's verdicts: the servers that are removed for this node, and whether this node probes them.
+    pub fn apply_verdicts<'a>(
+        &mut self,
+        now: Us,
+        removed: impl Iterator<Item = (&'a str, bool)>,
+    ) -> Vec<NodeEffect> {
+        let verdicts =
+            removed.map(|(name, probe)| ServerVerdict { server: server_id(name), probe }).collect();
+        self.handle_event(now, Event::Verdicts(verdicts))
     }
 
     // ---- Connections ----
 
-    fn keeps(&self) -> Us {
-        us_from_ms(self.told.keepalive * KEPT)
+    fn keep_alive(&self) -> Us {
+        us_from_ms(self.node_settings.keepalive * KEEP_ALIVE_SHARE)
     }
 
-    /// The kept connection that was used last.
-    pub fn take_link(&mut self, now: Us, server: usize) -> Option<u32> {
-        let keeps = self.keeps();
-        let links = self.idle.get_mut(&server)?;
-        // The others are idle for longer still; they are closed at the next look.
-        let (_, since) = links.last()?;
-        if now - since < keeps {
-            links.pop().map(|(life, _)| life)
+    /// Takes the most recently used kept connection to a server.
+    pub fn take_connection(&mut self, now: Us, server: usize) -> Option<u32> {
+        let keep_alive = self.keep_alive();
+        let connections = self.idle.get_mut(&server)?;
+        // The others have been idle for longer still; they are closed at the next check.
+        let (_, since) = connections.last()?;
+        if now - since < keep_alive {
+            connections.pop().map(|(incarnation, _)| incarnation)
         } else {
             None
         }
     }
 
-    /// Takes out the connections that have been idle for too long.
-    pub fn stale(&mut self, now: Us) -> Vec<Link> {
-        let keeps = self.keeps();
+    /// Removes the connections that have been idle for too long.
+    pub fn remove_expired_connections(&mut self, now: Us) -> Vec<ConnectionId> {
+        let keep_alive = self.keep_alive();
         let mut stale = Vec::new();
-        for (server, links) in &mut self.idle {
+        for (server, connections) in &mut self.idle {
             stale.extend(
-                links.extract_if(.., |(_, since)| now - *since >= keeps).map(|(life, _)| (*server, life)),
+                connections
+                    .extract_if(.., |(_, since)| now - *since >= keep_alive)
+                    .map(|(incarnation, _)| (*server, incarnation)),
             );
         }
         stale
     }
 
-    /// Its connections to a server are broken: the lives of the kept ones, and the attempts that were out.
-    pub fn broken(&mut self, server: usize) -> (Vec<u32>, Vec<(RequestId, usize)>) {
+    /// Removes the connections to a server, which were closed. Returns the incarnations of the kept ones, and the
+    /// attempts that were open.
+    pub fn connections_lost(&mut self, server: usize) -> (Vec<u32>, Vec<(RequestId, usize)>) {
         let idle = self.idle.remove(&server).unwrap_or_default();
-        let out = |t: &Try| !t.over && t.server == server && t.written.is_some();
-        let tries =
-            self.requests.iter().flat_map(|(id, r)| r.tries.iter().enumerate().map(|(n, t)| (*id, n, t)));
-        let broken = tries.filter(|(.., t)| out(t)).map(|(id, n, _)| (id, n)).collect();
-        (idle.into_iter().map(|(life, _)| life).collect(), broken)
-    }
-
-    /// It ends: the tries that it owes an answer, the attempts that are out, and all connections.
-    pub fn ends(self) -> (Vec<usize>, Vec<usize>, Vec<Link>) {
-        let asks = self.requests.values().filter(|r| r.owed).map(|r| r.try_id).collect();
-        let out = self.requests.values().flat_map(|r| &r.tries).filter(|t| !t.over);
-        let (attempts, busy): (Vec<usize>, Vec<Link>) = out.filter_map(|t| t.written).unzip();
-        let idle =
-            self.idle.iter().flat_map(|(server, links)| links.iter().map(|(life, _)| (*server, *life)));
-        let links = busy.into_iter().chain(idle).collect();
-        (asks, attempts, links)
+        let is_open = |t: &Attempt| !t.ended && t.server == server && t.sent_as.is_some();
+        let attempts =
+            self.requests.iter().flat_map(|(id, r)| r.attempts.iter().enumerate().map(|(n, t)| (*id, n, t)));
+        let broken = attempts.filter(|(.., t)| is_open(t)).map(|(id, n, _)| (id, n)).collect();
+        (idle.into_iter().map(|(incarnation, _)| incarnation).collect(), broken)
+    }
+
+    /// Ends the node. Returns the tries that wait for an answer, the open attempts, and all connections.
+    pub fn into_open_work(self) -> (Vec<usize>, Vec<usize>, Vec<ConnectionId>) {
+        let tries = self.requests.values().filter(|r| r.answer_due).map(|r| r.try_id).collect();
+        let open_attempts = self.requests.values().flat_map(|r| &r.attempts).filter(|t| !t.ended);
+        let (attempts, busy): (Vec<usize>, Vec<ConnectionId>) =
+            open_attempts.filter_map(|t| t.sent_as).unzip();
+        let idle = self.idle.iter().flat_map(|(server, connections)| {
+            connections.iter().map(|(incarnation, _)| (*server, *incarnation))
+        });
+        let connections = busy.into_iter().chain(idle).collect();
+        (tries, attempts, connections)
     }
 
     // ---- The list ----
 
-    /// The watch stands with no news.
-    pub fn alive(&mut self, now: Us) -> Vec<Want> {
-        self.feed(now, Event::ListChange(Vec::new()))
+    /// Reports to the module that the list is current without changes.
+    pub fn list_unchanged(&mut self, now: Us) -> Vec<NodeEffect> {
+        self.handle_event(now, Event::ListChange(Vec::new()))
     }
 
-    /// The whole list at its start.
-    pub fn begin(&mut self, now: Us, saved: Update) -> Vec<Want> {
+    /// Starts with the saved full list.
+    pub fn start_with_list(&mut self, now: Us, saved: Update) -> Vec<NodeEffect> {
         self.list = ListState::new(Some(&saved));
         self.ready = true;
-        self.news(now, saved, true)
+        self.apply_list(now, saved, true)
     }
 
-    /// A list or its changes come; true where only the whole list shows what was left out of them.
-    pub fn told(&mut self, now: Us, update: Update) -> (Vec<Want>, bool) {
-        let outcome = self.list.apply(update, self.calls, now / 1000);
-        let wants = match outcome.accepted {
-            Some(news) => self.news(now, news, false),
-            None => self.alive(now),
+    /// Applies a list or its changes. Returns true if a full list is needed to learn what was left out.
+    pub fn apply_list_update(&mut self, now: Us, update: Update) -> (Vec<NodeEffect>, bool) {
+        let outcome = self.list.apply(update, self.list_calls, now / 1000);
+        let effects = match outcome.accepted {
+            Some(update) => self.apply_list(now, update, false),
+            None => self.list_unchanged(now),
         };
-        (wants, outcome.needs_full_list)
+        (effects, outcome.needs_full_list)
     }
 
-    /// What is to be believed of the list. Connections of a process that is gone have ended with it.
-    fn news(&mut self, now: Us, update: Update, saved: bool) -> Vec<Want> {
+    /// Passes accepted list entries to the module. Connections to a process that is gone have ended with it.
+    fn apply_list(&mut self, now: Us, update: Update, saved: bool) -> Vec<NodeEffect> {
         let entries = update.hosts.iter().map(|host| {
-            let server = number(&host.host);
+            let server = server_id(&host.host);
             let state = match host.health {
                 Health::Active => ServerState::Up,
                 Health::Leaving => ServerState::Draining,
@@ -440,6 +489,9 @@
             Entry { server, zone, cell: host.cell, kind: 0, state, weight: host.weight, started_at: started }
         });
         let entries = entries.collect();
-        self.feed(now, if update.whole { Event::List { entries, saved } } else { Event::ListChange(entries) })
+        self.handle_event(
+            now,
+            if update.whole { Event::List { entries, saved } } else { Event::ListChange(entries) },
+        )
     }
 }
--- a/crates/lab/src/modules/votes.rs
+++ b/crates/lab/src/modules/votes.rs
@@ -1,5 +1,6 @@
-//! The control group's part in votes on servers, in the virtual clock: its machine and its tally themselves, as one
-//! replica whose log takes no time. Nothing is lost between it and the nodes, and it is there unless a fault takes it.
+//! Model of the control group's vote handling in virtual time: the real agreement state machine and tally, as one
+//! replica whose log takes no time. No message between it and the nodes is lost, and it is available unless a fault
+//! stops it.
 
 use std::net::SocketAddr;
 
@@ -13,58 +14,59 @@
 use crate::removals::GroupVerdicts;
 use crate::server::Us;
 
-/// Between two beats of a member.
-pub const BEAT: Us = 250_000;
+/// Time between two heartbeats of a member.
+pub const HEARTBEAT_INTERVAL_US: Us = 250_000;
 
-/// The group.
+/// Model of the control group.
 #[derive(Default)]
-pub struct Group {
+pub struct ControlGroup {
     agreement: Agreement,
     term: u64,
-    /// While it is there.
+    /// Present while the group runs.
     tally: Option<Tally>,
 }
 
-impl Group {
-    /// It comes, and leads in a new term.
-    pub fn come(&mut self, now: Us) {
+impl ControlGroup {
+    /// Starts the group as the leader of a new term.
+    pub fn start(&mut self, now: Us) {
         self.term += 1;
         self.tally = Some(Tally::new(self.term, now as f64 / 1e3));
     }
 
-    /// It is lost.
-    pub fn go(&mut self) {
+    /// Stops the group.
+    pub fn stop(&mut self) {
         self.tally = None;
     }
 
-    fn write(&mut self, command: &Command) -> Outcome {
+    fn commit(&mut self, command: &Command) -> Outcome {
         self.agreement.apply(self.agreement.version() + 1, command)
     }
 
-    /// A process joins, in the place of older ones of its name.
+    /// Adds a process, which replaces earlier ones of its name.
     pub fn join(&mut self, process: Process) {
         let life = SocketAddr::from(([127, 0, 0, 1], 1));
         let join = RosterCommand::Join { process, life, beside: false, fenced: false, active: None };
-        self.write(&Command::Roster(join));
+        self.commit(&Command::Roster(join));
     }
 
-    /// A node is gone.
+    /// Removes a member.
     pub fn leave(&mut self, name: String) {
-        self.write(&Command::Roster(RosterCommand::Remove { name }));
+        self.commit(&Command::Roster(RosterCommand::Remove { name }));
     }
 
-    /// All members agree on a policy at once; its epoch, where that is one.
-    pub fn agree(&mut self, policy: Policy) -> Option<Epoch> {
+    /// Commits a policy at once for all members; returns its epoch if the proposal is accepted.
+    pub fn commit_policy(&mut self, policy: Policy) -> Option<Epoch> {
         let base = self.agreement.book().epoch();
-        let proposed = self.write(&Command::Policy(PolicyCommand::Propose { base, policy }));
+        let proposed = self.commit(&Command::Policy(PolicyCommand::Propose { base, policy }));
         let Outcome::Proposed { change, epoch } = proposed else { return None };
         let staged = self.agreement.roster().members().map(|(process, _)| process.clone()).collect();
         let commit = PolicyCommand::Commit { change, staged, fenced: Vec::new() };
-        (self.write(&Command::Policy(commit)) == Outcome::Done).then_some(epoch)
+        (self.commit(&Command::Policy(commit)) == Outcome::Done).then_some(epoch)
     }
 
-    /// A beat; the stamp to echo and the servers asked about, where the group is there.
-    pub fn beat(
+    /// Handles a heartbeat. Returns the stamp to echo and the servers for which ballots are requested, or `None` if
+    /// the group is stopped.
+    pub fn heartbeat(
         &mut self,
         now: Us,
         process: Process,
@@ -80,21 +82,24 @@
             }
             inputs = Vec::new();
             for command in commands {
-                let outcome = Some(self.write(&Command::Verdict(command.clone())));
+                let outcome = Some(self.commit(&Command::Verdict(command.clone())));
                 inputs.push(Input::Written { command, outcome });
             }
         }
         Some((Stamp { term: self.term, time: at }, self.tally.as_ref()?.asked().to_vec()))
     }
 
-    /// What is in force for servers; `None` while the group is lost.
-    pub fn told(&self) -> Option<Verdicts> {
+    /// Current verdicts; `None` while the group is stopped.
+    pub fn verdicts(&self) -> Option<Verdicts> {
         self.tally.as_ref().map(|_| self.agreement.verdicts().told())
     }
 }
 
-/// The group's word, as an operator would read it.
-pub fn word(told: Verdicts) -> GroupVerdicts {
+/// Converts verdicts to the form in which an operator reads them.
+pub fn group_verdicts(verdicts: Verdicts) -> GroupVerdicts {
     let verdict = |Verdict { server, born_ms, zones, probers }| (server, born_ms, zones, !probers.is_empty());
-    GroupVerdicts { version: told.version, verdicts: told.verdicts.into_iter().map(verdict).collect() }
+    GroupVerdicts {
+        version: verdicts.version,
+        verdicts: verdicts.verdicts.into_iter().map(verdict).collect(),
+    }
 }
