--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side of the sockets: a request is written when it is due, and what comes back is told.
+//! Client connections: sends each request when it is due, and reports the outcome to the world.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,147 +14,148 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinHandle;
 
-use super::Stage;
+use super::RunContext;
 use crate::draw::us_from_s;
 use crate::plan::Idempotency;
 use crate::world::TryOutcome;
 
-/// The largest body of an answer.
-const BODY_MOST: usize = 64 * 1024;
-/// A connection that does not come up in this time is not waited for.
-const CONNECT: Duration = Duration::from_secs(3);
+/// Largest accepted response body.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Timeout of a connect to a node.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The connections that clients have to one node.
-pub struct Pool {
+/// Pool of client connections to one node.
+pub struct ConnectionPool {
     node: SocketAddr,
-    idle: RefCell<Vec<Conn>>,
-    /// Connections at a time.
-    most: Semaphore,
+    idle: RefCell<Vec<ClientConnection>>,
+    /// One permit for each concurrent connection.
+    permits: Semaphore,
 }
 
-/// A connection; it ends when this is dropped.
-struct Conn {
+/// A connection; closed on drop.
+struct ClientConnection {
     send: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
-impl Drop for Conn {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-impl Pool {
-    /// No connections yet.
-    pub fn new(node: SocketAddr, most: usize) -> Self {
-        Self { node, idle: RefCell::default(), most: Semaphore::new(most) }
+impl ConnectionPool {
+    /// Creates an empty pool of at most `max_connections` connections.
+    pub fn new(node: SocketAddr, max_connections: usize) -> Self {
+        Self { node, idle: RefCell::default(), permits: Semaphore::new(max_connections) }
     }
 
-    fn idle(&self) -> Option<Conn> {
+    fn take_idle(&self) -> Option<ClientConnection> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(conn) = idle.pop() {
-            if conn.send.is_ready() {
-                return Some(conn);
+        while let Some(connection) = idle.pop() {
+            if connection.send.is_ready() {
+                return Some(connection);
             }
         }
         None
     }
 
-    async fn open(&self) -> Option<Conn> {
-        let stream = tokio::time::timeout(CONNECT, TcpStream::connect(self.node)).await.ok()?.ok()?;
+    async fn open(&self) -> Option<ClientConnection> {
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.node)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
-        let (send, conn) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        // What breaks the connection breaks its request too, and is seen there.
-        let driver = tokio::task::spawn_local(async move { drop(conn.await) });
-        Some(Conn { send, driver })
+        let (send, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
+        // An error of the connection also fails its request and is reported there.
+        let driver = tokio::task::spawn_local(async move { drop(connection.await) });
+        Some(ClientConnection { send, driver })
     }
 }
 
-/// Writes a client's request and tells what came of it.
-pub async fn run_try(stage: Rc<Stage>, try_id: usize) {
-    let got = converse(&stage, try_id).await;
-    stage.with(|world, now| world.try_ended(now, try_id, got));
-    stage.asked_for(try_id);
+/// Sends a client's request and reports its outcome.
+pub async fn run_try(run: Rc<RunContext>, try_id: usize) {
+    let outcome = exchange(&run, try_id).await;
+    run.update(|world, now| world.try_ended(now, try_id, outcome));
+    run.try_finished(try_id);
 }
 
-async fn converse(stage: &Rc<Stage>, try_id: usize) -> TryOutcome {
-    let pool = stage.pool(try_id);
-    let Ok(_place) = pool.most.acquire().await else { return TryOutcome::NoConnection };
-    if let Some(mut conn) = pool.idle() {
-        // A node may close a connection between requests: a request that crosses that goes out once more.
-        if let Ok(answer) = conn.send.send_request(request(stage, try_id)).await {
-            return hear(stage, &pool, try_id, conn, answer).await;
+async fn exchange(run: &Rc<RunContext>, try_id: usize) -> TryOutcome {
+    let pool = run.pool(try_id);
+    let Ok(_permit) = pool.permits.acquire().await else { return TryOutcome::NoConnection };
+    if let Some(mut connection) = pool.take_idle() {
+        // A node may close an idle connection just when a request is sent on it: the request is sent once more on a
+        // new connection.
+        if let Ok(answer) = connection.send.send_request(request(run, try_id)).await {
+            return read_answer(run, &pool, try_id, connection, answer).await;
         }
     }
-    let Some(mut conn) = pool.open().await else { return TryOutcome::NoConnection };
-    match conn.send.send_request(request(stage, try_id)).await {
-        Ok(answer) => hear(stage, &pool, try_id, conn, answer).await,
+    let Some(mut connection) = pool.open().await else { return TryOutcome::NoConnection };
+    match connection.send.send_request(request(run, try_id)).await {
+        Ok(answer) => read_answer(run, &pool, try_id, connection, answer).await,
         Err(_) => TryOutcome::ConnectionLost { partial_answer: false },
     }
 }
 
-async fn hear(
-    stage: &Rc<Stage>,
-    pool: &Pool,
+async fn read_answer(
+    run: &Rc<RunContext>,
+    pool: &ConnectionPool,
     try_id: usize,
-    conn: Conn,
+    connection: ClientConnection,
     answer: Response<hyper::body::Incoming>,
 ) -> TryOutcome {
     let (head, body) = answer.into_parts();
-    let Ok(body) = Limited::new(body, BODY_MOST).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         return TryOutcome::ConnectionLost { partial_answer: true };
     };
-    stage.admitted(try_id, &head);
-    let after = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
+    run.record_admission(try_id, &head);
+    let retry_after = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
     let body = body.to_bytes();
-    pool.idle.borrow_mut().push(conn);
-    let attempt = stage.world().attempt_of_body(&body);
-    TryOutcome::Answer { status: head.status.as_u16(), retry_after: after.map(us_from_s), attempt }
+    pool.idle.borrow_mut().push(connection);
+    let attempt = run.world().attempt_of_body(&body);
+    TryOutcome::Answer { status: head.status.as_u16(), retry_after: retry_after.map(us_from_s), attempt }
 }
 
-fn request(stage: &Stage, try_id: usize) -> Request<Full<Bytes>> {
-    let world = stage.world();
-    let asked = world.client_try(try_id);
-    let class = &world.draw().classes[asked.class];
+fn request(run: &RunContext, try_id: usize) -> Request<Full<Bytes>> {
+    let world = run.world();
+    let client_try = world.client_try(try_id);
+    let class = &world.draw().classes[client_try.class];
     let (method, body) = match class.idempotency {
         Idempotency::Safe => (Method::GET, Bytes::new()),
         Idempotency::Keyed | Idempotency::Unsafe => {
-            (Method::POST, Bytes::from(format!("{:.<100}", asked.request)))
+            (Method::POST, Bytes::from(format!("{:.<100}", client_try.request)))
         }
     };
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
-    let path = format!("/{}/{}", class.name, asked.request);
+    let path = format!("/{}/{}", class.name, client_try.request);
     if let Ok(uri) = path.parse() {
         *request.uri_mut() = uri;
     }
-    let mut header = |name: &'static str, value: String| {
+    let mut set_header = |name: &'static str, value: String| {
         if let Ok(value) = value.parse() {
             request.headers_mut().insert(name, value);
         }
     };
-    header("host", "service.internal".into());
-    header("x-txn", world.txn(try_id));
-    header("x-remaining-ms", (asked.timeout / 1000).to_string());
-    header("x-estimate", format!("{:.0}", asked.work_estimate));
-    if asked.is_retry {
-        header("x-resent", "1".into());
+    set_header("host", "service.internal".into());
+    set_header("x-txn", world.txn(try_id));
+    set_header("x-remaining-ms", (client_try.timeout / 1000).to_string());
+    set_header("x-estimate", format!("{:.0}", client_try.work_estimate));
+    if client_try.is_retry {
+        set_header("x-resent", "1".into());
     }
     if class.idempotency == Idempotency::Keyed {
-        header("idempotency-key", format!("{:016x}{:016x}", world.draw().seed, asked.request));
+        set_header("idempotency-key", format!("{:016x}{:016x}", world.draw().seed, client_try.request));
     }
     request
 }
 
-/// Strangers that connect and say nothing; those that the node closes do not come again.
-pub async fn crowd(node: SocketAddr, count: usize, stay: Duration) {
-    let mut held = Vec::new();
+/// Opens connections that send nothing and keeps them for `stay`; those that the node closes are not reopened.
+pub async fn hold_idle_connections(node: SocketAddr, count: usize, stay: Duration) {
+    let mut streams = Vec::new();
     for _ in 0..count {
-        // A node that takes no more is a node that looks after itself.
-        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT, TcpStream::connect(node)).await {
-            held.push(stream);
+        // A node may refuse further connections to protect itself.
+        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(node)).await {
+            streams.push(stream);
         }
     }
     tokio::time::sleep(stay).await;
-    drop(held);
+    drop(streams);
 }
--- a/crates/lab/src/live/group.rs
+++ b/crates/lab/src/live/group.rs
@@ -1,6 +1,7 @@
-//! The control group: real replicas, what faults do to them, and the operator who asks for policies.
+//! The control group: real replica processes, the faults applied to them, and the operator who proposes policies.
 //!
-//! The operator's own calls go straight to the replicas, past all cuts: what he is told is what the referee judges by.
+//! The operator's own calls go directly to the replicas and bypass all partitions, since the referee judges by their
+//! results.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,10 +23,10 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-use super::address::Addresses;
+use super::addresses::Addresses;
 use super::links::{Links, Party};
 use super::process::{self, spawn};
-use super::{liar, LabError, Stage, GONE};
+use super::{faulty_voter, LabError, RunContext, EXIT_TIMEOUT};
 use crate::draw::FaultSpec;
 use crate::epochs::Outcome;
 use crate::plan::{ControlGroup, FaultKind, StartMode};
@@ -33,23 +34,23 @@
 use crate::server::Us;
 use crate::world::Signal;
 
-/// How long a replica may take to answer a question.
-pub(super) const PATIENCE: Duration = Duration::from_millis(500);
-/// How long an operator waits for the end of a change in one call.
-const PROPOSAL: Duration = Duration::from_secs(10);
-/// Between an operator's calls.
-pub(super) const AGAIN: Duration = Duration::from_millis(50);
-/// Between two tries at a write while the leader is struck.
-const PROBE: Duration = Duration::from_millis(20);
-/// Between two looks at what the group says of servers.
-const LOOK: Duration = Duration::from_millis(250);
-/// How long the group may take at the run's end until a majority tells what it has acknowledged.
-const CATCH_UP: Duration = Duration::from_secs(10);
-/// The largest answer that is read.
-const BODY_MOST: usize = 4 << 20;
+/// Timeout of one call to a replica.
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a call that proposes a change and waits for its end.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay between an operator's calls.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Delay between two writes that measure for how long no write succeeds after a fault hit the leader.
+const WRITE_PROBE_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the group's verdicts are read.
+const VERDICT_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// How long the group may take at the end of the run until a majority knows the acknowledged epoch.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Largest accepted response body.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The replicas of a run.
-pub(crate) struct Group {
+/// The control group's replicas in a run.
+pub(crate) struct ReplicaGroup {
     program: PathBuf,
     folder: PathBuf,
     logs: PathBuf,
@@ -57,23 +58,23 @@
     control: ControlGroup,
     replicas: Vec<Replica>,
     links: Links,
-    /// Whom the faults struck that are not over.
-    struck: RefCell<BTreeMap<usize, Vec<usize>>>,
+    /// Targets of each fault that has not ended.
+    fault_targets: RefCell<BTreeMap<usize, Vec<usize>>>,
 }
 
 #[derive(Default)]
 struct Replica {
-    id: Cell<Option<Pid>>,
-    /// It is to be there: whoever ends it first says that it is not.
-    wanted: Cell<bool>,
-    gone: Notify,
+    pid: Cell<Option<Pid>>,
+    /// Whether the process should be running; cleared before it is ended on purpose.
+    expected: Cell<bool>,
+    exited: Notify,
 }
 
-impl Group {
-    /// Nobody has started yet, but for the links; state folders go under `folder`.
+impl ReplicaGroup {
+    /// Creates a group with its links; no replica is started yet. State folders go under `folder`.
     ///
     /// # Errors
-    /// Where a link can't be had.
+    /// Fails if a link cannot be created.
     pub fn new(
         control: &ControlGroup,
         program: &Path,
@@ -90,13 +91,13 @@
             control: control.clone(),
             replicas: (0..control.replicas).map(|_| Replica::default()).collect(),
             links: Links::new(addresses, nodes, control.replicas)?,
-            struck: RefCell::default(),
+            fault_targets: RefCell::default(),
         })
     }
 
-    /// What the configuration of a node in a zone says of the group.
+    /// The control section of the configuration of a node in a zone.
     pub fn node_config(&self, node: usize, zone: &str) -> Value {
-        let replicas = self.numbers().map(|r| self.addresses.replica_for_node(node, r).to_string());
+        let replicas = self.replica_indexes().map(|r| self.addresses.replica_for_node(node, r).to_string());
         let mut config = json!({"replicas": replicas.collect::<Vec<_>>(), "zone": zone});
         match self.control.start {
             StartMode::Wait => config["start"] = json!("wait"),
@@ -108,24 +109,24 @@
         config
     }
 
-    /// The replicas, by place.
-    fn numbers(&self) -> std::ops::Range<usize> {
+    /// Indexes of the replicas.
+    fn replica_indexes(&self) -> std::ops::Range<usize> {
         0..self.replicas.len()
     }
 
-    /// Where replicas listen, past all cuts.
-    pub(super) fn all(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.numbers().map(|replica| self.at(replica))
+    /// Addresses of the replicas that bypass all partitions.
+    pub(super) fn addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+        self.replica_indexes().map(|replica| self.address(replica))
     }
 
-    fn at(&self, replica: usize) -> SocketAddr {
+    fn address(&self, replica: usize) -> SocketAddr {
         self.addresses.replica(replica)
     }
 
-    /// A replica's configuration.
+    /// Configuration of a replica.
     fn config(&self, replica: usize) -> toml::Table {
         let address = |other: usize| {
-            let at = self.addresses.replica_of_group(other);
+            let at = self.addresses.replica_advertised(other);
             ((other + 1).to_string(), toml::Value::from(at.to_string()))
         };
         let mut terms = self.control.terms.clone();
@@ -135,32 +136,32 @@
         let fields = [
             ("cluster", "lab".into()),
             ("id", (replica as i64 + 1).into()),
-            ("listen", self.at(replica).to_string().into()),
+            ("listen", self.address(replica).to_string().into()),
             ("dir", dir.display().to_string().into()),
-            ("peers", toml::Value::Table(self.numbers().map(address).collect())),
+            ("peers", toml::Value::Table(self.replica_indexes().map(address).collect())),
             ("terms", toml::Value::Table(terms)),
         ];
         fields.into_iter().map(|(name, value)| (name.to_string(), value)).collect()
     }
 
-    fn log(&self, replica: usize) -> PathBuf {
+    fn log_path(&self, replica: usize) -> PathBuf {
         self.logs.join(format!("r{}.log", replica + 1))
     }
 
     fn signal(&self, replica: usize, signal: Signal) {
-        if let Some(id) = self.replicas[replica].id.get() {
-            process::signal(id, signal);
+        if let Some(pid) = self.replicas[replica].pid.get() {
+            process::signal(pid, signal);
         }
     }
 
-    /// Ends every replica, and waits for that.
-    pub async fn clear(&self) {
+    /// Kills all replicas and waits until they have exited.
+    pub async fn kill_all(&self) {
         for (n, replica) in self.replicas.iter().enumerate() {
-            replica.wanted.set(false);
-            let gone = replica.gone.notified();
-            if replica.id.get().is_some() {
+            replica.expected.set(false);
+            let exited = replica.exited.notified();
+            if replica.pid.get().is_some() {
                 self.signal(n, Signal::Kill);
-                let _ = tokio::time::timeout(GONE, gone).await;
+                let _ = tokio::time::timeout(EXIT_TIMEOUT, exited).await;
             }
         }
     }
@@ -169,26 +170,26 @@
 /// Starts all replicas and waits until each is ready.
 ///
 /// # Errors
-/// Names the replica that could not be started, or did not get ready.
-pub async fn start(stage: &Rc<Stage>) -> Result<(), LabError> {
-    let Some(group) = &stage.group else { return Ok(()) };
-    for replica in group.numbers() {
-        start_one(stage, group, replica)?;
+/// Names the replica that could not be started or was not ready in time.
+pub async fn start(run: &Rc<RunContext>) -> Result<(), LabError> {
+    let Some(group) = &run.group else { return Ok(()) };
+    for replica in group.replica_indexes() {
+        start_replica(run, group, replica)?;
     }
-    for replica in group.numbers() {
-        let gone = group.replicas[replica].gone.notified();
+    for replica in group.replica_indexes() {
+        let exited = group.replicas[replica].exited.notified();
         let who = || format!("replica r{}", replica + 1);
-        let last = || process::last_line(&group.log(replica));
+        let last = || process::last_line(&group.log_path(replica));
         tokio::select! {
-            () = process::until_ready(group.at(replica)) => {}
-            () = gone => {
+            () = process::wait_until_ready(group.address(replica)) => {}
+            () = exited => {
                 return Err(LabError::Start {
                     process: who(),
                     reason: format!("it ended at once: {}", last()),
                 });
             }
-            () = tokio::time::sleep(stage.ready_within) => {
-                let timeout_s = stage.ready_within.as_secs_f64();
+            () = tokio::time::sleep(run.ready_timeout) => {
+                let timeout_s = run.ready_timeout.as_secs_f64();
                 return Err(LabError::NotReady { process: who(), timeout_s, last_log_line: last() });
             }
         }
@@ -196,64 +197,65 @@
     Ok(())
 }
 
-fn start_one(stage: &Rc<Stage>, group: &Group, replica: usize) -> Result<(), LabError> {
+fn start_replica(run: &Rc<RunContext>, group: &ReplicaGroup, replica: usize) -> Result<(), LabError> {
     let who = format!("replica r{}", replica + 1);
     let file = group.folder.join(format!("r{}.toml", replica + 1));
     std::fs::write(&file, group.config(replica).to_string())
         .map_err(|e| LabError::Start { process: who.clone(), reason: e.to_string() })?;
     let mut command = Command::new(&group.program);
     command.arg("control").arg("--config").arg(&file);
-    let process = spawn(&who, command, &group.log(replica))?;
+    let process = spawn(&who, command, &group.log_path(replica))?;
     let state = &group.replicas[replica];
-    state.id.set(Some(process.id()));
-    state.wanted.set(true);
-    let stage = stage.clone();
+    state.pid.set(Some(process.id()));
+    state.expected.set(true);
+    let run = run.clone();
     spawn_local(async move {
-        let how = process.ended().await;
-        tracing::debug!(replica, how, "replica ended");
-        let Some(group) = &stage.group else { return };
+        let exit_status = process.wait().await;
+        tracing::debug!(replica, exit_status, "replica ended");
+        let Some(group) = &run.group else { return };
         let state = &group.replicas[replica];
-        state.id.set(None);
-        state.gone.notify_waiters();
-        if state.wanted.replace(false) && stage.start.get().is_some() && !stage.closed.get() {
-            let words = format!("the process ended by itself: {}", process::last_line(&group.log(replica)));
-            stage.with(|world, now| world.replica_ended(now, replica + 1, words));
+        state.pid.set(None);
+        state.exited.notify_waiters();
+        if state.expected.replace(false) && run.start.get().is_some() && !run.closed.get() {
+            let reason =
+                format!("the process ended by itself: {}", process::last_line(&group.log_path(replica)));
+            run.update(|world, now| world.replica_ended(now, replica + 1, reason));
         }
     });
     Ok(())
 }
 
-async fn start_again(stage: Rc<Stage>, replica: usize) {
-    let Some(group) = &stage.group else { return };
-    let gone = group.replicas[replica].gone.notified();
-    if group.replicas[replica].id.get().is_some() {
-        // A killed process takes a moment to be gone, and holds its address and state until then.
-        let _ = tokio::time::timeout(GONE, gone).await;
+async fn restart_after_exit(run: Rc<RunContext>, replica: usize) {
+    let Some(group) = &run.group else { return };
+    let exited = group.replicas[replica].exited.notified();
+    if group.replicas[replica].pid.get().is_some() {
+        // A killed process takes a moment to exit, and holds its address and state until then.
+        let _ = tokio::time::timeout(EXIT_TIMEOUT, exited).await;
     }
-    if stage.closed.get() {
+    if run.closed.get() {
         return;
     }
-    if let Err(error) = start_one(&stage, group, replica) {
-        stage.fail(error);
+    if let Err(error) = start_replica(&run, group, replica) {
+        run.fail(error);
     }
 }
 
-/// The group's part in a fault begins.
-pub async fn strike(stage: Rc<Stage>, number: usize) {
-    let Some(group) = &stage.group else { return };
-    let draw = stage.world().draw().clone();
+/// Begins a fault of the control group.
+pub async fn begin_fault(run: Rc<RunContext>, number: usize) {
+    let Some(group) = &run.group else { return };
+    let draw = run.world().draw().clone();
     let fault = &draw.faults[number];
     match fault.kind {
-        FaultKind::Policy => return propose(&stage, group, fault).await,
+        FaultKind::Policy => return propose(&run, group, fault).await,
         FaultKind::PartitionControl => {
             let nodes: Vec<Party> = fault.targets.iter().copied().map(Party::Node).collect();
-            return group.links.cut(number, &nodes, fault.direction);
+            return group.links.partition(number, &nodes, fault.direction);
         }
         FaultKind::FaultyVoters => {
-            for liar in 0..fault.factor as usize {
-                let zone = draw.zones[liar % draw.zones.len()].clone();
-                let name = format!("liar-{number}-{liar}");
-                spawn_local(liar::lie(stage.clone(), fault.clone(), name, zone));
+            for index in 0..fault.factor as usize {
+                let zone = draw.zones[index % draw.zones.len()].clone();
+                let name = format!("liar-{number}-{index}");
+                spawn_local(faulty_voter::run_member(run.clone(), fault.clone(), name, zone));
             }
             return;
         }
@@ -261,46 +263,46 @@
     }
     let leader = leader(group).await;
     let targets: Vec<usize> = match fault.kind {
-        FaultKind::GroupOutage => group.numbers().collect(),
+        FaultKind::GroupOutage => group.replica_indexes().collect(),
         _ if fault.targets_leader => leader.into_iter().collect(),
         _ => fault.targets.clone(),
     };
-    group.struck.borrow_mut().insert(number, targets.clone());
+    group.fault_targets.borrow_mut().insert(number, targets.clone());
     if leader.is_some_and(|leader| targets.contains(&leader)) {
-        probe(&stage, fault.at);
+        probe_writes(&run, fault.at);
     }
     if fault.kind == FaultKind::PartitionReplica {
         let replicas: Vec<Party> = targets.iter().copied().map(Party::Replica).collect();
-        group.links.cut(number, &replicas, fault.direction);
+        group.links.partition(number, &replicas, fault.direction);
     }
-    let pause = (fault.until - fault.at) / fault.steps as u64;
+    let step_length = (fault.until - fault.at) / fault.steps as u64;
     for (k, replica) in targets.iter().copied().enumerate() {
         match fault.kind {
             FaultKind::ReplicaKill | FaultKind::GroupOutage => {
-                group.replicas[replica].wanted.set(false);
+                group.replicas[replica].expected.set(false);
                 group.signal(replica, Signal::Kill);
             }
             FaultKind::ReplicaPause => group.signal(replica, Signal::Stop),
             FaultKind::ReplicaRestart => {
                 let step = (k * fault.steps / targets.len()) as u64;
-                spawn_local(restart(stage.clone(), replica, Duration::from_micros(step * pause)));
+                spawn_local(restart_after(run.clone(), replica, Duration::from_micros(step * step_length)));
             }
             _ => {}
         }
     }
 }
 
-/// It ends.
-pub fn heal(stage: &Rc<Stage>, number: usize) {
-    let Some(group) = &stage.group else { return };
-    let draw = stage.world().draw().clone();
+/// Ends a fault of the control group.
+pub fn end_fault(run: &Rc<RunContext>, number: usize) {
+    let Some(group) = &run.group else { return };
+    let draw = run.world().draw().clone();
     let fault = &draw.faults[number];
-    group.links.mend(number);
-    let targets = group.struck.borrow_mut().remove(&number).unwrap_or_default();
+    group.links.heal(number);
+    let targets = group.fault_targets.borrow_mut().remove(&number).unwrap_or_default();
     for replica in targets {
         match fault.kind {
             FaultKind::ReplicaKill | FaultKind::GroupOutage => {
-                spawn_local(start_again(stage.clone(), replica));
+                spawn_local(restart_after_exit(run.clone(), replica));
             }
             FaultKind::ReplicaPause => group.signal(replica, Signal::Continue),
             _ => {}
@@ -308,22 +310,22 @@
     }
 }
 
-async fn restart(stage: Rc<Stage>, replica: usize, after: Duration) {
+async fn restart_after(run: Rc<RunContext>, replica: usize, after: Duration) {
     tokio::time::sleep(after).await;
-    let Some(group) = &stage.group else { return };
-    if !stage.closed.get() && group.replicas[replica].id.get().is_some() {
-        group.replicas[replica].wanted.set(false);
+    let Some(group) = &run.group else { return };
+    if !run.closed.get() && group.replicas[replica].pid.get().is_some() {
+        group.replicas[replica].expected.set(false);
         group.signal(replica, Signal::Terminate);
-        start_again(stage.clone(), replica).await;
+        restart_after_exit(run.clone(), replica).await;
     }
 }
 
-/// Who leads: of those that say so of themselves, the one of the newest term.
-async fn leader(group: &Group) -> Option<usize> {
+/// Finds the leader: of the replicas that claim to lead, the one with the newest term.
+async fn leader(group: &ReplicaGroup) -> Option<usize> {
     let mut newest = None;
-    for replica in group.numbers() {
-        let told = call(group.at(replica), Method::GET, "/v1/status", None, PATIENCE).await;
-        let Some((_, status)) = told else { continue };
+    for replica in group.replica_indexes() {
+        let response = call(group.address(replica), Method::GET, "/v1/status", None, CALL_TIMEOUT).await;
+        let Some((_, status)) = response else { continue };
         if status["replica"]["role"] == "leader" {
             newest = newest.max(Some((status["replica"]["term"].as_u64(), replica)));
         }
@@ -331,60 +333,64 @@
     Some(newest?.1)
 }
 
-/// Tries a write that changes nothing at each replica until one takes it, and tells how long that took since the leader
-/// was struck.
-fn probe(stage: &Rc<Stage>, struck: Us) {
-    let Some(group) = &stage.group else { return };
+/// Tries a write without effect at each replica until one accepts it, and reports how long that took since the fault
+/// hit the leader.
+fn probe_writes(run: &Rc<RunContext>, leader_failed_at: Us) {
+    let Some(group) = &run.group else { return };
     let done = Rc::new(Cell::new(false));
-    for replica in group.numbers() {
-        let (stage, done, at) = (stage.clone(), done.clone(), group.at(replica));
+    for replica in group.replica_indexes() {
+        let (run, done, at) = (run.clone(), done.clone(), group.address(replica));
         spawn_local(async move {
-            // No policy has such a base: it is refused, by an entry of the log.
+            // No epoch matches this base: the proposal is rejected, but by an entry of the log.
             let body = json!({"base": u64::MAX, "policy": {}});
-            while !done.get() && !stage.closed.get() {
-                let told = call(at, Method::PUT, "/v1/policy", Some(&body), PATIENCE).await;
-                let over = stage.world().is_over();
-                let written = told.is_some_and(|(status, _)| status == 409);
+            while !done.get() && !run.closed.get() {
+                let response = call(at, Method::PUT, "/v1/policy", Some(&body), CALL_TIMEOUT).await;
+                let over = run.world().is_over();
+                let written = response.is_some_and(|(status, _)| status == 409);
                 if (written || over) && !done.replace(true) {
-                    let gap = stage.now().saturating_sub(struck);
-                    stage.with(|world, _| world.record_write_gap(written.then_some(gap)));
+                    let gap = run.now().saturating_sub(leader_failed_at);
+                    run.update(|world, _| world.record_write_gap(written.then_some(gap)));
                 }
-                tokio::time::sleep(PROBE).await;
+                tokio::time::sleep(WRITE_PROBE_INTERVAL).await;
             }
         });
     }
 }
 
-/// Asks for a policy, until somebody says what became of it or the fault's time is over.
-async fn propose(stage: &Rc<Stage>, group: &Group, fault: &FaultSpec) {
-    let wish = stage.with(|world, now| world.policy_proposed(now));
+/// Proposes a policy until its outcome is known or the fault's time is over.
+async fn propose(run: &Rc<RunContext>, group: &ReplicaGroup, fault: &FaultSpec) {
+    let proposal = run.update(|world, now| world.policy_proposed(now));
     let policy = Policy(fault.policy.clone());
-    // What was agreed when the change was first sent: what ended since is this one.
+    // The agreed state when the change was first sent: a change that ended since then is this one.
     let mut sent: Option<AgreedState> = None;
     let mut first = true;
     let outcome = loop {
-        if let Some(outcome) = told(group, &policy, &mut sent).await {
+        if let Some(outcome) = poll_outcome(group, &policy, &mut sent).await {
             break outcome;
         }
-        if !std::mem::take(&mut first) && stage.now() >= fault.until {
+        if !std::mem::take(&mut first) && run.now() >= fault.until {
             break Outcome::Unknown;
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     };
-    if !stage.closed.get() {
-        stage.with(|world, now| world.policy_ended(now, wish, outcome));
+    if !run.closed.get() {
+        run.update(|world, now| world.policy_ended(now, proposal, outcome));
     }
 }
 
-/// One round of an operator's: what became of his change, as far as it can be told.
-async fn told(group: &Group, policy: &Policy, sent: &mut Option<AgreedState>) -> Option<Outcome> {
-    let agreed = newest(group).await?;
+/// One round of the operator's calls; returns the outcome of the change if it is known.
+async fn poll_outcome(
+    group: &ReplicaGroup,
+    policy: &Policy,
+    sent: &mut Option<AgreedState>,
+) -> Option<Outcome> {
+    let agreed = newest_agreed_state(group).await?;
     if let Some(sent) = sent {
         let last = sent.ended_changes.last().map(|e| e.id);
         if let Some(ended) = agreed.ended_changes.iter().find(|e| last.is_none_or(|last| e.id > last)) {
             return Some(match &ended.abort_reason {
                 None => Outcome::Committed(ended.epoch),
-                Some(why) => Outcome::Aborted(serde_json::to_string(why).unwrap_or_default()),
+                Some(reason) => Outcome::Aborted(serde_json::to_string(reason).unwrap_or_default()),
             });
         }
     }
@@ -393,78 +399,79 @@
     }
     let body = json!({"base": agreed.epoch, "policy": policy});
     sent.get_or_insert(agreed);
-    for replica in group.numbers() {
-        match call(group.at(replica), Method::PUT, "/v1/policy", Some(&body), PROPOSAL).await {
-            // What was answered is read from the agreed state, as after a call that broke.
+    for replica in group.replica_indexes() {
+        match call(group.address(replica), Method::PUT, "/v1/policy", Some(&body), PROPOSAL_TIMEOUT).await {
+            // The outcome is read from the agreed state, as it is after a call that failed.
             Some((200 | 409, _)) | None => {}
             Some((503, _)) => continue,
-            Some((status, words)) => return Some(Outcome::Aborted(format!("{status} {words}"))),
+            Some((status, body)) => return Some(Outcome::Aborted(format!("{status} {body}"))),
         }
         break;
     }
     None
 }
 
-/// The newest agreed state that a replica tells.
-async fn newest(group: &Group) -> Option<AgreedState> {
+/// Newest agreed state of all replicas that answer.
+async fn newest_agreed_state(group: &ReplicaGroup) -> Option<AgreedState> {
     let mut newest: Option<AgreedState> = None;
-    for replica in group.numbers() {
-        let told = call(group.at(replica), Method::GET, "/v1/policy", None, PATIENCE).await;
-        let agreed = told.and_then(|(_, told)| serde_json::from_value::<AgreedState>(told).ok());
+    for replica in group.replica_indexes() {
+        let response = call(group.address(replica), Method::GET, "/v1/policy", None, CALL_TIMEOUT).await;
+        let agreed = response.and_then(|(_, body)| serde_json::from_value::<AgreedState>(body).ok());
         newest = newest.into_iter().chain(agreed).max_by_key(|a| a.version);
     }
     newest
 }
 
-/// Looks at what the group says of servers until the play is over; the replica that knows most is believed.
-pub async fn watch_verdicts(stage: Rc<Stage>) {
-    let Some(group) = &stage.group else { return };
-    while !stage.closed.get() {
+/// Reads the group's verdicts until the run is over, and records those with the highest version.
+pub async fn watch_verdicts(run: Rc<RunContext>) {
+    let Some(group) = &run.group else { return };
+    while !run.closed.get() {
         let mut newest: Option<GroupVerdicts> = None;
-        for replica in group.numbers().filter(|r| group.replicas[*r].id.get().is_some()) {
-            let told = call(group.at(replica), Method::GET, "/v1/verdicts", None, PATIENCE).await;
-            let word = told.and_then(|(_, told)| GroupVerdicts::read(&told));
-            newest = newest.into_iter().chain(word).max_by_key(|word| word.version);
+        for replica in group.replica_indexes().filter(|r| group.replicas[*r].pid.get().is_some()) {
+            let response =
+                call(group.address(replica), Method::GET, "/v1/verdicts", None, CALL_TIMEOUT).await;
+            let verdicts = response.and_then(|(_, body)| GroupVerdicts::read(&body));
+            newest = newest.into_iter().chain(verdicts).max_by_key(|verdicts| verdicts.version);
         }
-        if let Some(word) = newest {
-            stage.with(|world, now| world.record_verdicts(now, word));
+        if let Some(verdicts) = newest {
+            run.update(|world, now| world.record_verdicts(now, verdicts));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(VERDICT_POLL_INTERVAL).await;
     }
 }
 
-/// The epoch that a majority of the replicas knows at the run's end, once it is the acknowledged one or the time is
-/// up; `None` where no majority runs.
-pub async fn agreed_at_end(stage: &Rc<Stage>, acknowledged: Epoch) -> Option<Epoch> {
-    let group = stage.group.as_ref()?;
+/// The epoch that a majority of the replicas knows at the end of the run, once it has reached the acknowledged one or
+/// the time is up; `None` if no majority runs.
+pub async fn agreed_at_end(run: &Rc<RunContext>, acknowledged: Epoch) -> Option<Epoch> {
+    let group = run.group.as_ref()?;
     let majority = group.replicas.len() / 2 + 1;
-    if group.replicas.iter().filter(|r| r.id.get().is_some()).count() < majority {
+    if group.replicas.iter().filter(|r| r.pid.get().is_some()).count() < majority {
         return None;
     }
     let begun = tokio::time::Instant::now();
     loop {
         let mut known = Vec::new();
-        for replica in group.numbers() {
-            let told = call(group.at(replica), Method::GET, "/v1/policy", None, PATIENCE).await;
-            known.push(told.and_then(|(_, told)| told["epoch"].as_u64()));
+        for replica in group.replica_indexes() {
+            let response = call(group.address(replica), Method::GET, "/v1/policy", None, CALL_TIMEOUT).await;
+            known.push(response.and_then(|(_, body)| body["epoch"].as_u64()));
         }
-        // The greatest first: of so many the last is known to a majority.
+        // Sorted in descending order: the entry at majority - 1 is known to a majority.
         known.sort_unstable_by(|a, b| b.cmp(a));
         let agreed = known[majority - 1];
-        if agreed.is_some_and(|epoch| epoch >= acknowledged) || begun.elapsed() > CATCH_UP {
+        if agreed.is_some_and(|epoch| epoch >= acknowledged) || begun.elapsed() > CATCH_UP_TIMEOUT {
             return Some(agreed.unwrap_or(0));
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// One call; its status and JSON, `None` where no whole answer came in time.
+/// Makes one call; returns its status and JSON body, or `None` if no complete answer arrived in time.
 pub(super) async fn call(
     at: SocketAddr,
     method: Method,
     path: &str,
     body: Option<&Value>,
-    patience: Duration,
+    timeout: Duration,
 ) -> Option<(u16, Value)> {
     let exchange = async {
         let stream = TcpStream::connect(at).await.ok()?;
@@ -480,14 +487,14 @@
             .body(Full::new(body))
             .ok()?;
         let answer = send.send_request(request).await;
-        let told = async {
+        let response = async {
             let (head, body) = answer.ok()?.into_parts();
-            let body = Limited::new(body, BODY_MOST).collect().await.ok()?.to_bytes();
+            let body = Limited::new(body, MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
             Some((head.status.as_u16(), serde_json::from_slice(&body).unwrap_or(Value::Null)))
         };
-        let told = told.await;
+        let response = response.await;
         driver.abort();
-        told
+        response
     };
-    tokio::time::timeout(patience, exchange).await.ok()?
+    tokio::time::timeout(timeout, exchange).await.ok()?
 }
--- a/crates/lab/src/live/links.rs
+++ b/crates/lab/src/live/links.rs
@@ -1,9 +1,10 @@
-//! The links of the control group: a relay on each one from a node to a replica, and from a replica to another, so that
-//! faults can cut it, both ways or one.
+//! The links of the control group: a relay for each link from a node to a replica and from a replica to another, so
+//! that faults can cut it in both directions or in one.
 //!
-//! A group's replicas all have to be told the same address of each, which they also tell nodes that look for the
-//! leader. So a front listens there, which reads from the first request who has connected, and passes the connection on
-//! to that party's relay. All of it runs on a thread of its own, so that the lab's own lateness tells of the lab alone.
+//! All replicas must be configured with the same address of each replica, which they also give to nodes that look for
+//! the leader. A router listens at that address, reads from the first request who has connected, and passes the
+//! connection on to that party's relay. All of it runs on a thread of its own, so that delays of the lab's main thread
+//! do not affect the links.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,37 +14,37 @@
 use relay::{ConnectionRouter, Forwarding, LinkFault, Relay, RelayError};
 use tokio::sync::oneshot;
 
-use super::address::Addresses;
+use super::addresses::Addresses;
 use super::LabError;
 use crate::plan::Direction;
 
-/// Who is at a link's end.
+/// The party at one end of a link.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Party {
     /// A node.
     Node(usize),
-    /// A replica, by place.
+    /// A replica, by its index.
     Replica(usize),
 }
 
-/// A link, by who connects and to which replica.
-type Link = (Party, usize);
+/// A link: the party that connects, and the replica.
+type LinkId = (Party, usize);
 
-/// All links of a group.
+/// All links of a control group.
 pub struct Links {
-    relays: BTreeMap<Link, Relay>,
-    fronts: Vec<ConnectionRouter>,
-    /// What each fault does to which relay.
-    cuts: RefCell<BTreeMap<usize, Vec<(Link, LinkFault)>>>,
+    relays: BTreeMap<LinkId, Relay>,
+    routers: Vec<ConnectionRouter>,
+    /// Link faults of each active fault.
+    cuts: RefCell<BTreeMap<usize, Vec<(LinkId, LinkFault)>>>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Links {
-    /// The links between so many nodes and replicas.
+    /// Creates the links between the given numbers of nodes and replicas.
     ///
     /// # Errors
-    /// Where an address can't be listened at, or there is no thread.
+    /// Fails if an address cannot be listened at, or no thread can be started.
     pub fn new(addresses: Addresses, nodes: usize, replicas: usize) -> Result<Self, LabError> {
         let io = |source| LabError::Io { what: "links of the control group".into(), source };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io)?;
@@ -51,10 +52,10 @@
         let (stop, stopped) = oneshot::channel();
         let work = move || drop(runtime.block_on(stopped));
         let thread = std::thread::Builder::new().name("links".into()).spawn(work).map_err(io)?;
-        // From here on whatever is dropped ends the thread.
+        // From here on, dropping `links` ends the thread.
         let mut links = Self {
             relays: BTreeMap::new(),
-            fronts: Vec::new(),
+            routers: Vec::new(),
             cuts: RefCell::default(),
             stop: Some(stop),
             thread: Some(thread),
@@ -65,45 +66,50 @@
             if party == Party::Replica(replica) {
                 continue;
             }
-            let relay =
-                Relay::start_on(at(addresses, party, replica), addresses.replica(replica)).map_err(listen)?;
+            let relay = Relay::start_on(relay_address(addresses, party, replica), addresses.replica(replica))
+                .map_err(listen_error)?;
             links.relays.insert((party, replica), relay);
         }
         for replica in 0..replicas {
-            links.fronts.push(front(addresses, replica, nodes, replicas)?);
+            links.routers.push(start_router(addresses, replica, nodes, replicas)?);
         }
         Ok(links)
     }
 
-    /// Nothing passes between these parties and all replicas but themselves, both ways or the one that is named.
-    pub fn cut(&self, fault: usize, parties: &[Party], way: Option<Direction>) {
-        let flow = |cut: bool| if cut { Forwarding::Block } else { Forwarding::Pass };
-        let cut = self.relays.keys().filter_map(|(from, to)| {
-            let asks = parties.contains(from);
-            if !asks && !parties.contains(&Party::Replica(*to)) {
+    /// Cuts the links between these parties and all other replicas, in both directions or only the given one.
+    pub fn partition(&self, fault: usize, parties: &[Party], way: Option<Direction>) {
+        let forwarding = |cut: bool| if cut { Forwarding::Block } else { Forwarding::Pass };
+        let link_faults = self.relays.keys().filter_map(|(from, to)| {
+            let connects = parties.contains(from);
+            if !connects && !parties.contains(&Party::Replica(*to)) {
                 return None;
             }
-            // What goes out of the party is the way there where it asks, and the way back where it is asked.
+            // Traffic out of a party flows to the target if the party connects, and from the target if it is connected
+            // to.
             let (out, into) = (way != Some(Direction::In), way != Some(Direction::Out));
-            let (there, back) = if asks { (out, into) } else { (into, out) };
+            let (to_target, from_target) = if connects { (out, into) } else { (into, out) };
             Some((
                 (*from, *to),
-                LinkFault { to_target: flow(there), from_target: flow(back), refuse_connections: false },
+                LinkFault {
+                    to_target: forwarding(to_target),
+                    from_target: forwarding(from_target),
+                    refuse_connections: false,
+                },
             ))
         });
-        let cut = cut.collect();
-        self.cuts.borrow_mut().insert(fault, cut);
-        self.settle();
+        let link_faults = link_faults.collect();
+        self.cuts.borrow_mut().insert(fault, link_faults);
+        self.apply_faults();
     }
 
-    /// A fault's cuts are over.
-    pub fn mend(&self, fault: usize) {
+    /// Ends a fault's partition.
+    pub fn heal(&self, fault: usize) {
         if self.cuts.borrow_mut().remove(&fault).is_some() {
-            self.settle();
+            self.apply_faults();
         }
     }
 
-    fn settle(&self) {
+    fn apply_faults(&self) {
         let cuts = self.cuts.borrow();
         for (link, relay) in &self.relays {
             let mut state = LinkFault::default();
@@ -124,50 +130,52 @@
 impl Drop for Links {
     fn drop(&mut self) {
         self.relays.clear();
-        self.fronts.clear();
+        self.routers.clear();
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            // It ends by itself; had it panicked, its relays are gone all the same.
+            // The thread ends by itself; if it panicked, its relays are gone all the same.
             let _ = thread.join();
         }
     }
 }
 
-/// Where a party reaches a replica by a relay.
-fn at(addresses: Addresses, party: Party, replica: usize) -> SocketAddr {
+/// Address at which a party reaches a replica's relay.
+fn relay_address(addresses: Addresses, party: Party, replica: usize) -> SocketAddr {
     match party {
         Party::Node(node) => addresses.replica_for_node(node, replica),
         Party::Replica(other) => addresses.replica_for_replica(other, replica),
     }
 }
 
-/// Listens at a replica's address for whoever has it from another replica.
-fn front(
+/// Starts the router at a replica's advertised address.
+fn start_router(
     addresses: Addresses,
     replica: usize,
     nodes: usize,
     replicas: usize,
 ) -> Result<ConnectionRouter, LabError> {
-    let there = move |party: &Party| match party {
+    let is_known = move |party: &Party| match party {
         Party::Node(n) => *n < nodes,
         Party::Replica(r) => *r < replicas && *r != replica,
     };
-    let route = move |request: &str| Some(at(addresses, party(request).filter(there)?, replica));
-    ConnectionRouter::start(addresses.replica_of_group(replica), route).map_err(listen)
+    let route = move |request: &str| {
+        Some(relay_address(addresses, requesting_party(request).filter(is_known)?, replica))
+    };
+    ConnectionRouter::start(addresses.replica_advertised(replica), route).map_err(listen_error)
 }
 
-fn listen(error: RelayError) -> LabError {
+fn listen_error(error: RelayError) -> LabError {
     LabError::Listen { at: error.address, source: error.source }
 }
 
-/// Who a request is from, by the name in its body: a node's process, or the replica that sends a letter.
-fn party(request: &str) -> Option<Party> {
-    // A number that is cut off by the end of what has come may be another one.
+/// Party that sent a request, by the name in its body: a node's process, or the replica that sends a Raft message.
+fn requesting_party(request: &str) -> Option<Party> {
+    // A number that is cut off at the end of the received bytes may be incomplete.
     let number = |after: &str| -> Option<usize> {
         let rest = request.split_once(after)?.1;
         rest.split_once(|c: char| !c.is_ascii_digit())?.0.parse().ok()
     };
-    // A letter first: it may hold entries about nodes' processes, after the sender's name.
+    // Raft messages are checked first: they may hold entries about nodes' processes after the sender's name.
     if let Some(id) = number("\"from\":{\"cluster\":\"lab\",\"id\":") {
         return id.checked_sub(1).map(Party::Replica);
     }
@@ -179,71 +187,82 @@
     use std::time::Duration;
 
     use super::*;
-    use crate::live::address::Block;
+    use crate::live::addresses::AddressBlock;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::{TcpListener, TcpStream};
 
-    /// Between two tries.
-    const LOOK: Duration = Duration::from_millis(1);
+    /// Delay between two connect attempts.
+    const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(1);
 
     #[test]
-    fn a_request_tells_who_it_is_from_once_the_whole_number_is_there() {
+    fn a_request_identifies_its_party_once_its_whole_number_is_received() {
         let head = "POST /v1/session HTTP/1.1\r\nhost: x\r\n\r\n";
-        assert_eq!(party(head), None);
-        assert_eq!(party(&format!("{head}{{\"process\":{{\"name\":\"n1")), None);
+        assert_eq!(requesting_party(head), None);
+        assert_eq!(requesting_party(&format!("{head}{{\"process\":{{\"name\":\"n1")), None);
         assert_eq!(
-            party(&format!("{head}{{\"process\":{{\"name\":\"n12\",\"boot\":3")),
+            requesting_party(&format!("{head}{{\"process\":{{\"name\":\"n12\",\"boot\":3")),
             Some(Party::Node(12))
         );
-        let letter = |rest: &str| party(&format!("{{\"from\":{{\"cluster\":\"lab\",\"id\":{rest}"));
-        assert_eq!((letter("3"), letter("3,")), (None, Some(Party::Replica(2))));
-        let joins = "3,\"disk\":1},\"message\":{\"process\":{\"name\":\"n1\",";
-        assert_eq!(letter(joins), Some(Party::Replica(2)), "a letter about a node is the replica's");
+        let raft_message =
+            |rest: &str| requesting_party(&format!("{{\"from\":{{\"cluster\":\"lab\",\"id\":{rest}"));
+        assert_eq!((raft_message("3"), raft_message("3,")), (None, Some(Party::Replica(2))));
+        let with_entry = "3,\"disk\":1},\"message\":{\"process\":{\"name\":\"n1\",";
+        assert_eq!(
+            raft_message(with_entry),
+            Some(Party::Replica(2)),
+            "a Raft message about a node comes from the replica"
+        );
     }
 
-    /// Does what is written to a replica by a party reach it, and its answer that party?
-    async fn passes(addresses: Addresses, to: SocketAddr, replica: usize, words: &str) -> (bool, bool) {
+    /// Whether a party's request reaches a replica, and whether the answer reaches the party.
+    async fn passes(addresses: Addresses, to: SocketAddr, replica: usize, request: &str) -> (bool, bool) {
         let listener = TcpListener::bind(addresses.replica(replica)).await.expect("free");
-        // A relay may be about to listen.
+        // A relay may not listen yet.
         let mut client = loop {
             match TcpStream::connect(to).await {
                 Ok(client) => break client,
-                Err(_) => tokio::time::sleep(LOOK).await,
+                Err(_) => tokio::time::sleep(CONNECT_RETRY_DELAY).await,
             }
         };
-        client.write_all(words.as_bytes()).await.expect("it is taken");
-        let soon = Duration::from_millis(300);
-        let Ok(Ok((mut server, _))) = tokio::time::timeout(soon, listener.accept()).await else {
+        client.write_all(request.as_bytes()).await.expect("the write succeeds");
+        let timeout = Duration::from_millis(300);
+        let Ok(Ok((mut server, _))) = tokio::time::timeout(timeout, listener.accept()).await else {
             return (false, false);
         };
         let mut byte = [0; 1];
-        let there = matches!(tokio::time::timeout(soon, server.read(&mut byte)).await, Ok(Ok(1)));
-        server.write_all(b"x").await.expect("it is taken");
-        let back = matches!(tokio::time::timeout(soon, client.read(&mut byte)).await, Ok(Ok(1)));
-        (there, back)
+        let delivered = matches!(tokio::time::timeout(timeout, server.read(&mut byte)).await, Ok(Ok(1)));
+        server.write_all(b"x").await.expect("the write succeeds");
+        let answered = matches!(tokio::time::timeout(timeout, client.read(&mut byte)).await, Ok(Ok(1)));
+        (delivered, answered)
     }
 
     #[tokio::test]
-    async fn a_cut_holds_for_the_parties_that_are_named_also_where_they_come_by_the_groups_address() {
-        let block = Block::claim().expect("a block");
+    async fn a_partition_affects_only_its_parties_also_over_the_advertised_address() {
+        let block = AddressBlock::claim().expect("a block");
         let addresses = block.addresses();
         let links = Links::new(addresses, 2, 2).expect("they start");
-        let beat = |node: usize| format!("{{\"process\":{{\"name\":\"n{node}\",\"boot\":1}}}}");
-        let letter = "{\"from\":{\"cluster\":\"lab\",\"id\":2,\"disk\":1}}";
+        let heartbeat = |node: usize| format!("{{\"process\":{{\"name\":\"n{node}\",\"boot\":1}}}}");
+        let raft_message = "{\"from\":{\"cluster\":\"lab\",\"id\":2,\"disk\":1}}";
         let own = |node| addresses.replica_for_node(node, 0);
-        let group = addresses.replica_of_group(0);
-        for (to, words) in [(own(1), &beat(1)), (group, &beat(1)), (group, &letter.to_string())] {
-            assert_eq!(passes(addresses, to, 0, words).await, (true, true), "{words}");
+        let group = addresses.replica_advertised(0);
+        for (to, request) in
+            [(own(1), &heartbeat(1)), (group, &heartbeat(1)), (group, &raft_message.to_string())]
+        {
+            assert_eq!(passes(addresses, to, 0, request).await, (true, true), "{request}");
         }
-        links.cut(7, &[Party::Node(1)], None);
-        assert_eq!(passes(addresses, own(1), 0, &beat(1)).await, (false, false));
-        assert_eq!(passes(addresses, group, 0, &beat(1)).await, (false, false));
-        assert_eq!(passes(addresses, group, 0, &beat(0)).await, (true, true));
-        links.cut(8, &[Party::Replica(0)], Some(Direction::Out));
-        links.mend(7);
-        assert_eq!(passes(addresses, own(1), 0, &beat(1)).await, (true, false), "nothing out of the replica");
-        assert_eq!(passes(addresses, group, 0, letter).await, (true, false));
-        links.mend(8);
-        assert_eq!(passes(addresses, group, 0, letter).await, (true, true));
+        links.partition(7, &[Party::Node(1)], None);
+        assert_eq!(passes(addresses, own(1), 0, &heartbeat(1)).await, (false, false));
+        assert_eq!(passes(addresses, group, 0, &heartbeat(1)).await, (false, false));
+        assert_eq!(passes(addresses, group, 0, &heartbeat(0)).await, (true, true));
+        links.partition(8, &[Party::Replica(0)], Some(Direction::Out));
+        links.heal(7);
+        assert_eq!(
+            passes(addresses, own(1), 0, &heartbeat(1)).await,
+            (true, false),
+            "no traffic out of the replica"
+        );
+        assert_eq!(passes(addresses, group, 0, raft_message).await, (true, false));
+        links.heal(8);
+        assert_eq!(passes(addresses, group, 0, raft_message).await, (true, true));
     }
 }
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -1,11 +1,12 @@
-//! Plays an experiment on sockets and in real time: starts the nodes, carries out what the world gives, and tells it
-//! what the nodes do. One thread does it all; a timer of the kernel's wakes it to the microsecond.
+//! Runs an experiment on sockets and in real time: starts the nodes and replicas, carries out the world's effects, and
+//! reports to the world what the nodes do. Everything but the control group's links runs on one thread, woken by a
+//! kernel timer with microsecond resolution.
 
-mod address;
-mod agent;
+mod addresses;
 mod clients;
+mod discovery;
+mod faulty_voter;
 mod group;
-mod liar;
 mod links;
 mod process;
 mod servers;
@@ -24,36 +25,36 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, AbortHandle, LocalSet};
 
-use self::address::{Addresses, Block};
-use self::agent::Agent;
-use self::clients::Pool;
-use self::group::Group;
-use self::process::Launch;
-use self::servers::Doors;
+use self::addresses::{AddressBlock, Addresses};
+use self::clients::ConnectionPool;
+use self::discovery::DiscoveryAgent;
+use self::group::ReplicaGroup;
+use self::process::NodeLauncher;
+use self::servers::ServerSockets;
 use crate::draw::{us_from_ms, Draw};
 use crate::plan::Plan;
 use crate::server::Us;
 use crate::world::{Effect, Signal, World};
 
-/// Between the last node's being ready and the first client.
-const SETTLE: Duration = Duration::from_millis(300);
-/// How often nodes' memory and descriptors, and the run's progress, are looked at.
-const SAMPLE: Duration = Duration::from_millis(1000);
-/// How long a node that was killed may take to be gone.
-const GONE: Duration = Duration::from_secs(5);
+/// Delay between the last node's readiness and the first client.
+const START_DELAY: Duration = Duration::from_millis(300);
+/// Interval of samples of the nodes' memory and descriptors and of the progress report.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(1000);
+/// How long a killed process may take to exit.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a run could not be played.
+/// Reason why a run failed.
 #[derive(Debug, Error)]
 pub enum LabError {
-    /// No block of addresses is free.
+    /// No block of loopback addresses is free.
     #[error("no block of loopback addresses is free: {0}")]
     Addresses(String),
-    /// An address can't be listened at.
+    /// An address cannot be listened at.
     #[error("{at} can't be listened at: {source}")]
     Listen {
         /// The address.
         at: SocketAddr,
-        /// Why not.
+        /// Cause.
         source: std::io::Error,
     },
     /// A process could not be started, or ended before it was ready.
@@ -64,7 +65,7 @@
         /// What happened.
         reason: String,
     },
-    /// A process did not get ready in its time.
+    /// A process was not ready within its time.
     #[error("{process} was not ready within {timeout_s} s; its last log line: {last_log_line}")]
     NotReady {
         /// The node or replica.
@@ -77,26 +78,26 @@
     /// A file or the runtime failed.
     #[error("{what}: {source}")]
     Io {
-        /// What of the run.
+        /// Which part of the run.
         what: String,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// A task of the run goes on though it is over.
+    /// A task still runs although the run is over.
     #[error("a task outlived the run")]
     TaskLeak,
 }
 
 impl LabError {
-    /// What to do about it.
+    /// Advice for the user.
     pub fn advice(&self) -> &'static str {
         match self {
             Self::Addresses(_) => "wait for other runs on this machine to end",
-            Self::Listen { .. } => "end what listens there, or play it again at other addresses",
-            Self::Start { .. } => "try the program by hand; its log is in the run's logs",
+            Self::Listen { .. } => "end the process that listens there, or run it again with other addresses",
+            Self::Start { .. } => "start the program by hand; its log is in the run's logs",
             Self::NotReady { .. } => "read its log in the run's logs; node.ready_s gives it more time",
-            Self::Io { .. } => "see that the folder can be written and descriptors are left",
-            Self::TaskLeak => "play it again, and report it: this is a fault of the lab's",
+            Self::Io { .. } => "check that the folder is writable and that file descriptors are available",
+            Self::TaskLeak => "run it again, and report this bug of the lab",
         }
     }
 
@@ -105,62 +106,62 @@
     }
 }
 
-/// How a run is to be played.
+/// Options of a run.
 pub struct Options<'a> {
-    /// The node's program.
+    /// Path of the node's program.
     pub program: PathBuf,
-    /// The replicas' program, for plans with a control group.
+    /// Path of the replicas' program, for plans with a control group.
     pub control: PathBuf,
-    /// Where the nodes' logs go.
+    /// Folder for the processes' logs.
     pub logs: &'a Path,
-    /// Hears once a second how far the run is: the share of it, and what is served.
+    /// Called once a second with the share of the run that is done and the share of recent requests served.
     pub progress: &'a dyn Fn(f64, f64),
 }
 
-/// What a run leaves.
+/// Result of a run.
 pub struct CompletedRun {
-    /// The world at its end.
+    /// The world at the end of the run.
     pub world: World,
-    /// It was broken off.
+    /// Whether it was interrupted.
     pub interrupted: bool,
-    /// The most memory that a node held, in MiB, and the most descriptors.
+    /// Highest memory use of a node in MiB, and highest number of descriptors.
     pub node_peak_usage: (f64, u64),
-    /// Processor time of the lab itself, as a share of one core.
+    /// CPU time of the lab itself, as a share of one core.
     pub lab_cpu_share: f64,
 }
 
-/// All that the parties on sockets share.
-pub(crate) struct Stage {
+/// Shared state of a run.
+pub(crate) struct RunContext {
     world: RefCell<World>,
     start: Cell<Option<Instant>>,
-    /// The play is over: nothing is carried out any more.
+    /// Set when the run is over: no more effects are carried out.
     closed: Cell<bool>,
     changed: Notify,
     pub(crate) addresses: Addresses,
-    pub(crate) doors: Doors,
-    pub(crate) agents: Vec<Agent>,
-    pools: Vec<Rc<Pool>>,
-    asking: RefCell<HashMap<usize, AbortHandle>>,
+    pub(crate) sockets: ServerSockets,
+    pub(crate) agents: Vec<DiscoveryAgent>,
+    pools: Vec<Rc<ConnectionPool>>,
+    active_tries: RefCell<HashMap<usize, AbortHandle>>,
     nodes: Vec<NodeState>,
-    launch: Launch,
-    pub(crate) group: Option<Group>,
-    pub(crate) idle: Duration,
-    ready_within: Duration,
-    held: Cell<(f64, u64)>,
-    failed: RefCell<Option<LabError>>,
+    launcher: NodeLauncher,
+    pub(crate) group: Option<ReplicaGroup>,
+    pub(crate) server_idle_timeout: Duration,
+    ready_timeout: Duration,
+    peak_usage: Cell<(f64, u64)>,
+    first_error: RefCell<Option<LabError>>,
 }
 
 #[derive(Default)]
 struct NodeState {
-    id: Cell<Option<Pid>>,
-    life: Cell<u32>,
-    gone: Notify,
+    pid: Cell<Option<Pid>>,
+    incarnation: Cell<u32>,
+    exited: Notify,
 }
 
-/// Plays a draw on sockets.
+/// Runs a draw on sockets.
 ///
 /// # Errors
-/// Where it could not be played; all that was started has ended then.
+/// Fails if the run cannot be started or completed; all child processes have ended by then.
 pub fn play(plan: &Plan, draw: Rc<Draw>, options: &Options) -> Result<CompletedRun, LabError> {
     raise_descriptors();
     let io = |what: &str| {
@@ -170,69 +171,69 @@
     std::fs::create_dir_all(options.logs).map_err(io("logs"))?;
     let folder =
         tempfile::Builder::new().prefix("stoneshift-lab-").tempdir().map_err(io("temporary folder"))?;
-    let block = Block::claim()?;
+    let block = AddressBlock::claim()?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(io("runtime"))?;
     let addresses = block.addresses();
-    let launch = Launch::new(&options.program, folder.path(), options.logs, addresses, plan, &draw);
+    let launcher = NodeLauncher::new(&options.program, folder.path(), options.logs, addresses, plan, &draw);
     let dial = Rc::new(move |server, zone| addresses.server(server, zone));
-    let clients_most = (plan.node.sockets / 3).max(1) as usize;
+    let max_client_connections = (plan.node.sockets / 3).max(1) as usize;
     let nodes = draw.nodes.len();
     let control = plan.control.as_ref().map(toml::Spanned::get_ref);
     let group = control
-        .map(|c| Group::new(c, &options.control, folder.path(), options.logs, addresses, draw.nodes.len()))
+        .map(|c| {
+            ReplicaGroup::new(c, &options.control, folder.path(), options.logs, addresses, draw.nodes.len())
+        })
         .transpose()?;
     let mut world = World::new(draw, plan.rules.clone(), 0.0, dial);
     if let Some(control) = control {
         world.expect_epochs(us_from_ms(control.max_mixed_ms() + plan.rules.slack_ms));
     }
-    let stage = Rc::new(Stage {
+    let run = Rc::new(RunContext {
         world: RefCell::new(world),
         start: Cell::new(None),
         closed: Cell::new(false),
         changed: Notify::new(),
         addresses,
-        doors: Doors::default(),
-        agents: (0..nodes).map(|_| Agent::default()).collect(),
-        pools: (0..nodes).map(|n| Rc::new(Pool::new(addresses.node(n), clients_most))).collect(),
-        asking: RefCell::default(),
+        sockets: ServerSockets::default(),
+        agents: (0..nodes).map(|_| DiscoveryAgent::default()).collect(),
+        pools: (0..nodes)
+            .map(|n| Rc::new(ConnectionPool::new(addresses.node(n), max_client_connections)))
+            .collect(),
+        active_tries: RefCell::default(),
         nodes: (0..nodes).map(|_| NodeState::default()).collect(),
-        launch,
+        launcher,
         group,
-        idle: Duration::from_secs_f64(plan.server.get_ref().idle_s.max(0.1)),
-        ready_within: Duration::from_secs_f64(plan.node.ready_s.max(0.1)),
-        held: Cell::default(),
-        failed: RefCell::default(),
+        server_idle_timeout: Duration::from_secs_f64(plan.server.get_ref().idle_s.max(0.1)),
+        ready_timeout: Duration::from_secs_f64(plan.node.ready_s.max(0.1)),
+        peak_usage: Cell::default(),
+        first_error: RefCell::default(),
     });
     let local = LocalSet::new();
-    let busy = cpu_time();
+    let cpu_before = cpu_time();
     let began = Instant::now();
-    let played = local.block_on(&runtime, stage.clone().play(options));
-    let busy = (cpu_time() - busy).as_secs_f64() / began.elapsed().as_secs_f64();
-    local.block_on(&runtime, stage.clear());
-    // Tasks hold the stage; with them gone it is the only one, and every child has been ended.
+    let played = local.block_on(&runtime, run.clone().play(options));
+    let lab_cpu_share = (cpu_time() - cpu_before).as_secs_f64() / began.elapsed().as_secs_f64();
+    local.block_on(&runtime, run.kill_all());
+    // Tasks hold references to the run; after they are dropped this is the only one, and all child processes have
+    // ended.
     drop(local);
     let interrupted = played?;
-    let held = stage.held.get();
-    let stage = Rc::into_inner(stage).ok_or(LabError::TaskLeak)?;
-    Ok(CompletedRun {
-        world: stage.world.into_inner(),
-        interrupted,
-        node_peak_usage: held,
-        lab_cpu_share: busy,
-    })
+    let node_peak_usage = run.peak_usage.get();
+    let run = Rc::into_inner(run).ok_or(LabError::TaskLeak)?;
+    Ok(CompletedRun { world: run.world.into_inner(), interrupted, node_peak_usage, lab_cpu_share })
 }
 
-/// As many descriptors as the system gives: there are many parties.
+/// Raises the limit of descriptors to the hard limit, since a run has many sockets.
 fn raise_descriptors() {
-    if let Ok((_, most)) = getrlimit(Resource::RLIMIT_NOFILE) {
-        // What is there is used, where it can't be raised.
-        let _ = setrlimit(Resource::RLIMIT_NOFILE, most, most);
+    if let Ok((_, hard_limit)) = getrlimit(Resource::RLIMIT_NOFILE) {
+        // If the limit cannot be raised, the run uses the current one.
+        let _ = setrlimit(Resource::RLIMIT_NOFILE, hard_limit, hard_limit);
     }
 }
 
-/// Ends when someone breaks the run off, with Ctrl-C or SIGTERM.
-async fn broken_off() {
+/// Completes on Ctrl-C or SIGTERM.
+async fn wait_for_interrupt() {
     match signal(SignalKind::terminate()) {
         Ok(mut terminate) => tokio::select! {
             _ = tokio::signal::ctrl_c() => {}
@@ -243,7 +244,7 @@
     }
 }
 
-/// Processor time that this process has used.
+/// CPU time that this process has used.
 fn cpu_time() -> Duration {
     use nix::sys::resource::{getrusage, UsageWho};
     let Ok(usage) = getrusage(UsageWho::RUSAGE_SELF) else { return Duration::ZERO };
@@ -251,189 +252,194 @@
     Duration::from_micros(us(usage.user_time()) + us(usage.system_time()))
 }
 
-impl Stage {
+impl RunContext {
     fn now(&self) -> Us {
         self.start.get().map_or(0, |start| Instant::now().saturating_duration_since(start).as_micros() as Us)
     }
 
-    /// The world, to look at.
+    /// Shared access to the world.
     pub(crate) fn world(&self) -> Ref<'_, World> {
         self.world.borrow()
     }
 
-    /// Tells the world something, and carries out what follows.
-    pub(crate) fn with<T>(self: &Rc<Self>, tell: impl FnOnce(&mut World, Us) -> T) -> T {
-        let (told, sooner) = {
+    /// Updates the world, carries out the resulting effects, and wakes the timer loop if an event is now due earlier.
+    pub(crate) fn update<T>(self: &Rc<Self>, update: impl FnOnce(&mut World, Us) -> T) -> T {
+        let (result, due_sooner) = {
             let mut world = self.world.borrow_mut();
             let due = world.next_due();
-            let told = tell(&mut world, self.now());
-            (told, world.next_due() < due)
+            let result = update(&mut world, self.now());
+            (result, world.next_due() < due)
         };
-        self.carry_out();
-        if sooner {
+        self.carry_out_effects();
+        if due_sooner {
             self.changed.notify_one();
         }
-        told
+        result
     }
 
-    fn carry_out(self: &Rc<Self>) {
+    fn carry_out_effects(self: &Rc<Self>) {
         while !self.closed.get() {
-            let Some(out) = self.world.borrow_mut().next_effect() else { return };
-            match out {
+            let Some(effect) = self.world.borrow_mut().next_effect() else { return };
+            match effect {
                 Effect::DeliverRequest(try_id) => {
                     let task = spawn_local(clients::run_try(self.clone(), try_id));
-                    self.asking.borrow_mut().insert(try_id, task.abort_handle());
+                    self.active_tries.borrow_mut().insert(try_id, task.abort_handle());
                 }
                 Effect::ClientDisconnect(try_id) => {
-                    if let Some(task) = self.asking.borrow_mut().remove(&try_id) {
+                    if let Some(task) = self.active_tries.borrow_mut().remove(&try_id) {
                         task.abort();
                     }
                 }
-                Effect::DeliverReply { attempt, reply } => self.doors.reply(attempt, reply),
+                Effect::DeliverReply { attempt, reply } => self.sockets.reply(attempt, reply),
                 Effect::SetReachability { server, zone, reachability } => {
-                    if let Err(error) = self.doors.set(self, server, zone, reachability) {
+                    if let Err(error) = self.sockets.set_reachability(self, server, zone, reachability) {
                         self.fail(error);
                     }
                 }
-                Effect::CloseConnections { server, zone } => self.doors.drop_connections(server, zone),
-                Effect::SendListUpdate { node, from, to } => agent::tell(self, node, from, to),
-                Effect::CloseWatches(node) => agent::end_watches(self, node),
+                Effect::CloseConnections { server, zone } => self.sockets.drop_connections(server, zone),
+                Effect::SendListUpdate { node, from, to } => discovery::send_update(self, node, from, to),
+                Effect::CloseWatches(node) => discovery::end_watches(self, node),
                 Effect::OpenIdleConnections { node, count, until } => {
                     let stay = Duration::from_micros(until.saturating_sub(self.now()));
-                    drop(spawn_local(clients::crowd(self.addresses.node(node), count, stay)));
+                    drop(spawn_local(clients::hold_idle_connections(self.addresses.node(node), count, stay)));
                 }
                 Effect::SignalNode(node, signal) => {
-                    if let Some(id) = self.nodes[node].id.get() {
-                        process::signal(id, signal);
+                    if let Some(pid) = self.nodes[node].pid.get() {
+                        process::signal(pid, signal);
                     }
                 }
-                Effect::StartNode(node) => drop(spawn_local(self.clone().start_again(node))),
-                Effect::BeginGroupFault(fault) => drop(spawn_local(group::strike(self.clone(), fault))),
-                Effect::EndGroupFault(fault) => group::heal(self, fault),
+                Effect::StartNode(node) => drop(spawn_local(self.clone().restart_node(node))),
+                Effect::BeginGroupFault(fault) => drop(spawn_local(group::begin_fault(self.clone(), fault))),
+                Effect::EndGroupFault(fault) => group::end_fault(self, fault),
             }
         }
     }
 
-    /// Under which epoch a node's answer says that its request was admitted.
-    fn admitted(self: &Rc<Self>, try_id: usize, head: &hyper::http::response::Parts) {
+    /// Records the epoch under which a node's answer says that its request was admitted.
+    fn record_admission(self: &Rc<Self>, try_id: usize, head: &hyper::http::response::Parts) {
         if self.group.is_none() {
             return;
         }
-        let told = head.headers.get("x-policy-epoch").and_then(|v| v.to_str().ok()?.parse().ok());
-        // A node that admits under no epoch refuses; whatever else answers so was not asked to be admitted.
-        if told.is_some() || head.status.as_u16() == 503 {
-            self.with(|world, now| world.record_admission(now, try_id, told));
+        let epoch = head.headers.get("x-policy-epoch").and_then(|v| v.to_str().ok()?.parse().ok());
+        // A node without an epoch refuses with 503; other answers without an epoch did not go through admission.
+        if epoch.is_some() || head.status.as_u16() == 503 {
+            self.update(|world, now| world.record_admission(now, try_id, epoch));
         }
     }
 
-    fn pool(&self, try_id: usize) -> Rc<Pool> {
+    fn pool(&self, try_id: usize) -> Rc<ConnectionPool> {
         self.pools[self.world().client_try(try_id).node].clone()
     }
 
-    fn asked_for(&self, try_id: usize) {
-        self.asking.borrow_mut().remove(&try_id);
+    fn try_finished(&self, try_id: usize) {
+        self.active_tries.borrow_mut().remove(&try_id);
     }
 
     // ---- Nodes ----
 
-    /// Starts a node, and watches it until it ends.
+    /// Starts a node, and waits in the background until it exits.
     fn start_node(self: &Rc<Self>, node: usize) -> Result<(), LabError> {
         let state = &self.nodes[node];
-        let known = {
+        let saved_list = {
             let world = self.world();
             serde_json::to_value(world.list_update(node, 0, world.agent_version(node)))
         };
-        let known = known.map_err(|e| LabError::start(node, e))?;
+        let saved_list = saved_list.map_err(|e| LabError::start(node, e))?;
         let control = self.group.as_ref().map(|group| {
             let world = self.world();
             group.node_config(node, &world.draw().zones[world.node_zone(node)])
         });
-        let process = self.launch.start(node, state.life.replace(state.life.get() + 1), known, control)?;
-        state.id.set(Some(process.id()));
-        let stage = self.clone();
+        let process = self.launcher.start(
+            node,
+            state.incarnation.replace(state.incarnation.get() + 1),
+            saved_list,
+            control,
+        )?;
+        state.pid.set(Some(process.id()));
+        let run = self.clone();
         spawn_local(async move {
-            let how = process.ended().await;
-            tracing::debug!(node, how, "node ended");
-            stage.nodes[node].id.set(None);
-            stage.nodes[node].gone.notify_waiters();
-            if stage.start.get().is_some() && !stage.closed.get() {
-                stage.with(|world, now| world.node_ended(now, node));
+            let exit_status = process.wait().await;
+            tracing::debug!(node, exit_status, "node ended");
+            run.nodes[node].pid.set(None);
+            run.nodes[node].exited.notify_waiters();
+            if run.start.get().is_some() && !run.closed.get() {
+                run.update(|world, now| world.node_ended(now, node));
             }
         });
         Ok(())
     }
 
-    /// Waits until a node is ready, or has failed to get there.
-    async fn until_ready(&self, node: usize) -> Result<(), LabError> {
-        let gone = self.nodes[node].gone.notified();
-        let last = || process::last_line(&self.launch.log(node));
+    /// Waits until a node is ready, or fails if it exits or takes too long.
+    async fn wait_until_ready(&self, node: usize) -> Result<(), LabError> {
+        let exited = self.nodes[node].exited.notified();
+        let last_line = || process::last_line(&self.launcher.log_path(node));
         tokio::select! {
-            () = process::until_ready(self.addresses.node(node)) => Ok(()),
-            () = gone => Err(LabError::start(node, format!("it ended at once: {}", last()))),
-            () = tokio::time::sleep(self.ready_within) => {
+            () = process::wait_until_ready(self.addresses.node(node)) => Ok(()),
+            () = exited => Err(LabError::start(node, format!("it ended at once: {}", last_line()))),
+            () = tokio::time::sleep(self.ready_timeout) => {
                 Err(LabError::NotReady {
                     process: format!("node n{node}"),
-                    timeout_s: self.ready_within.as_secs_f64(),
-                    last_log_line: last(),
+                    timeout_s: self.ready_timeout.as_secs_f64(),
+                    last_log_line: last_line(),
                 })
             }
         }
     }
 
-    async fn start_again(self: Rc<Self>, node: usize) {
-        let gone = self.nodes[node].gone.notified();
-        if self.nodes[node].id.get().is_some() {
-            // A killed process takes a moment to be gone, and holds its address until then.
-            let _ = tokio::time::timeout(GONE, gone).await;
+    async fn restart_node(self: Rc<Self>, node: usize) {
+        let exited = self.nodes[node].exited.notified();
+        if self.nodes[node].pid.get().is_some() {
+            // A killed process takes a moment to exit, and holds its address until then.
+            let _ = tokio::time::timeout(EXIT_TIMEOUT, exited).await;
         }
         let started = match self.start_node(node) {
-            Ok(()) => self.until_ready(node).await,
+            Ok(()) => self.wait_until_ready(node).await,
             Err(error) => Err(error),
         };
         match started {
-            Ok(()) => self.with(|world, now| world.node_ready(now, node)),
+            Ok(()) => self.update(|world, now| world.node_ready(now, node)),
             Err(error) => self.fail(error),
         }
     }
 
-    /// The run can't go on; the first reason counts.
+    /// Makes the run fail; the first error is reported.
     pub(crate) fn fail(&self, error: LabError) {
-        self.failed.borrow_mut().get_or_insert(error);
+        self.first_error.borrow_mut().get_or_insert(error);
     }
 
-    /// Ends every node and replica, and waits for that; the play is over, and their ends mean nothing.
-    async fn clear(&self) {
+    /// Kills all nodes and replicas and waits until they have exited; their exits are not reported to the world.
+    async fn kill_all(&self) {
         self.closed.set(true);
         for node in &self.nodes {
-            let gone = node.gone.notified();
-            if let Some(id) = node.id.get() {
-                process::signal(id, Signal::Kill);
-                let _ = tokio::time::timeout(GONE, gone).await;
+            let exited = node.exited.notified();
+            if let Some(pid) = node.pid.get() {
+                process::signal(pid, Signal::Kill);
+                let _ = tokio::time::timeout(EXIT_TIMEOUT, exited).await;
             }
         }
         if let Some(group) = &self.group {
-            group.clear().await;
+            group.kill_all().await;
         }
     }
 
-    // ---- The play ----
+    // ---- The run ----
 
-    /// From the first listener to the last answer; whether it was broken off.
+    /// Runs from the first listener to the last answer; returns whether it was interrupted.
     #[expect(
         clippy::disallowed_methods,
-        reason = "the list that nodes are told has dates, counted on from one look"
+        reason = "the list sent to nodes has dates, derived from one reading of the clock"
     )]
     async fn play(self: Rc<Self>, options: &Options<'_>) -> Result<bool, LabError> {
         for server in 0..self.world().server_count() {
             for zone in 0..self.world().draw().zones.len() {
                 let reachability = self.world().reachability(server, zone);
-                self.doors.set(&self, server, zone, reachability)?;
+                self.sockets.set_reachability(&self, server, zone, reachability)?;
             }
         }
         for node in 0..self.nodes.len() {
-            agent::serve(self.clone(), node).await?;
+            discovery::serve(self.clone(), node).await?;
         }
-        let interrupt = broken_off();
+        let interrupt = wait_for_interrupt();
         tokio::pin!(interrupt);
         let prepare = async {
             group::start(&self).await?;
@@ -441,7 +447,7 @@
                 self.start_node(node)?;
             }
             for node in 0..self.nodes.len() {
-                self.until_ready(node).await?;
+                self.wait_until_ready(node).await?;
             }
             Ok(())
         };
@@ -449,7 +455,7 @@
             prepared = prepare => prepared?,
             _ = &mut interrupt => return Ok(true),
         }
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(START_DELAY).await;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.world.borrow_mut().set_unix_start(unix.as_secs_f64() * 1e3);
         self.start.set(Some(Instant::now()));
@@ -464,7 +470,7 @@
         if self.group.is_some() {
             let acknowledged = self.world().acknowledged_epoch();
             let agreed = group::agreed_at_end(&self, acknowledged).await;
-            self.with(|world, now| world.record_final_epoch(now, agreed));
+            self.update(|world, now| world.record_final_epoch(now, agreed));
         }
         Ok(false)
     }
@@ -474,14 +480,14 @@
         let start = self.start.get().unwrap_or_else(Instant::now);
         let mut timer = tokio_timerfd::Delay::new(start).map_err(io)?;
         loop {
-            self.with(World::advance);
-            if let Some(error) = self.failed.borrow_mut().take() {
+            self.update(World::advance);
+            if let Some(error) = self.first_error.borrow_mut().take() {
                 return Err(error);
             }
             if self.world().is_over() {
                 return Ok(());
             }
-            let due = self.world().next_due().map_or(SAMPLE, Duration::from_micros);
+            let due = self.world().next_due().map_or(SAMPLE_INTERVAL, Duration::from_micros);
             timer.reset(start + due);
             tokio::select! {
                 woken = &mut timer => woken.map_err(io)?,
@@ -490,18 +496,20 @@
         }
     }
 
-    /// Looks at what nodes hold; never ends.
+    /// Samples the nodes' memory and descriptors; never returns.
     async fn sample(self: &Rc<Self>, options: &Options<'_>) {
-        let limits = self.launch.limits();
+        let limits = self.launcher.limits();
         loop {
-            tokio::time::sleep(SAMPLE).await;
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
             for (node, state) in self.nodes.iter().enumerate() {
-                let Some((memory, descriptors)) = state.id.get().and_then(process::holds) else { continue };
-                let most = self.held.get();
-                self.held.set((most.0.max(memory), most.1.max(descriptors)));
+                let Some((memory, descriptors)) = state.pid.get().and_then(process::resource_usage) else {
+                    continue;
+                };
+                let peak = self.peak_usage.get();
+                self.peak_usage.set((peak.0.max(memory), peak.1.max(descriptors)));
                 if memory > limits.0 || descriptors > limits.1 {
-                    let words = format!("it holds {memory:.1} MiB and {descriptors} descriptors");
-                    self.with(|world, now| world.record_limit_breach(now, node, words));
+                    let reason = format!("the process uses {memory:.1} MiB and {descriptors} descriptors");
+                    self.update(|world, now| world.record_limit_breach(now, node, reason));
                 }
             }
             let (now, world) = (self.now(), self.world());
--- a/crates/lab/src/live/process.rs
+++ b/crates/lab/src/live/process.rs
@@ -1,4 +1,4 @@
-//! Processes: nodes, started from the program's own binary, and others; signalled by id, watched until they end.
+//! Child processes (nodes and replicas): start, signals by process id, exit, and resource usage.
 
 use std::fs::{self, File};
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-use super::address::Addresses;
+use super::addresses::Addresses;
 use super::LabError;
 use crate::draw::Draw;
 use crate::plan::Plan;
 use crate::settings::{fleet_settings, node_seed, node_settings};
 use crate::world::Signal;
 
-/// How often a node that starts is asked whether it is ready.
-const ASK: Duration = Duration::from_millis(25);
-/// How long one such question may take.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Interval at which a starting node's readiness is polled.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Timeout of one readiness request.
+const READY_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How nodes are started.
-pub struct Launch {
+/// Starts nodes with their configuration.
+pub struct NodeLauncher {
     program: PathBuf,
     folder: PathBuf,
     logs: PathBuf,
@@ -37,14 +37,15 @@
     draw: Rc<Draw>,
 }
 
-/// A node's process.
+/// A child process.
 pub struct Process {
     child: Child,
     id: Pid,
 }
 
-impl Launch {
-    /// For the nodes of a draw; configurations and scratch space go under `folder`, logs under `logs`.
+impl NodeLauncher {
+    /// Creates a launcher for the nodes of a draw; configurations and scratch folders go under `folder`, logs under
+    /// `logs`.
     pub fn new(
         program: &Path,
         folder: &Path,
@@ -64,24 +65,24 @@
         }
     }
 
-    /// Starts a node with a last list of servers, and what it is told of a control group.
+    /// Starts a node with a saved list of servers and its control section.
     ///
     /// # Errors
-    /// Names the node and what failed.
+    /// Names the node and the cause.
     pub fn start(
         &self,
         node: usize,
-        life: u32,
+        incarnation: u32,
         known: Value,
         control: Option<Value>,
     ) -> Result<Process, LabError> {
         let fail = |error: std::io::Error| LabError::start(node, error);
-        let scratch = self.folder.join(format!("n{node}-{life}"));
+        let scratch = self.folder.join(format!("n{node}-{incarnation}"));
         fs::create_dir_all(&scratch).map_err(fail)?;
         let settings = node_settings(&self.settings, &self.draw, node);
         let (listen, discovery) =
-            (self.addresses.node(node).to_string(), self.addresses.list(node).to_string());
-        let seed = node_seed(&self.draw, node, life);
+            (self.addresses.node(node).to_string(), self.addresses.discovery(node).to_string());
+        let seed = node_seed(&self.draw, node, incarnation);
         let mut config = json!({
             "name": format!("n{node}"), "listen": listen, "discovery": discovery,
             "seed": format!("{seed:016x}"), "limits": self.limits, "known": known, "settings": settings,
@@ -90,7 +91,7 @@
             config["control"] = control;
             config["state_dir"] = json!(self.folder.join(format!("n{node}-state")));
         }
-        let file = self.folder.join(format!("n{node}-{life}.json"));
+        let file = self.folder.join(format!("n{node}-{incarnation}.json"));
         fs::write(&file, config.to_string()).map_err(fail)?;
         let mut command = std::process::Command::new(&self.program);
         for name in ["ADMIN_ADDR", "INHERITED_FD"] {
@@ -102,33 +103,33 @@
             .env("BALANCER_LISTEN", listen)
             .env("BALANCER_DISCOVERY", discovery)
             .env("TMPDIR", &scratch);
-        spawn(&format!("node n{node}"), command, &self.log(node))
+        spawn(&format!("node n{node}"), command, &self.log_path(node))
     }
 
-    /// The memory in MiB, and the descriptors, that a node may hold.
+    /// Limits of a node: memory in MiB, and descriptors.
     pub fn limits(&self) -> (f64, u64) {
         let limit = |name: &str| self.limits[name].as_f64().unwrap_or(f64::INFINITY);
         (limit("memory_mb"), limit("sockets") as u64)
     }
 
-    /// The file of a node's log lines.
-    pub fn log(&self, node: usize) -> PathBuf {
+    /// Path of a node's log file.
+    pub fn log_path(&self, node: usize) -> PathBuf {
         self.logs.join(format!("n{node}.log"))
     }
 }
 
-/// The last line of a log, for whoever wonders why a process did not come up.
+/// Last line of a log, for the error message of a process that did not start.
 pub fn last_line(log: &Path) -> String {
     let text = fs::read_to_string(log).unwrap_or_default();
-    text.lines().next_back().unwrap_or("it said nothing").to_string()
+    text.lines().next_back().unwrap_or("its log is empty").to_string()
 }
 
-/// Starts a process whose words go to the end of a log. It is killed when what is given back is dropped.
+/// Starts a process with its output appended to a log. It is killed when the returned value is dropped.
 ///
 /// # Errors
-/// Names who could not be started.
-pub fn spawn(who: &str, command: std::process::Command, log: &Path) -> Result<Process, LabError> {
-    let fail = |reason: String| LabError::Start { process: who.into(), reason };
+/// Names the process and the cause.
+pub fn spawn(process: &str, command: std::process::Command, log: &Path) -> Result<Process, LabError> {
+    let fail = |reason: String| LabError::Start { process: process.into(), reason };
     let program = command.get_program().to_string_lossy().into_owned();
     let open = File::options().create(true).append(true).open(log);
     let (out, err) = open.and_then(|log| Ok((log.try_clone()?, log))).map_err(|e| fail(e.to_string()))?;
@@ -138,22 +139,22 @@
         .stdout(out)
         .stderr(err)
         .kill_on_drop(true)
-        // A group of its own: a Ctrl-C at the terminal is the lab's to see, which then ends what it started.
+        // Its own process group: Ctrl-C at the terminal goes only to the lab, which then ends what it started.
         .process_group(0);
     let child = command.spawn().map_err(|e| fail(format!("{program}: {e}")))?;
     let id = child.id().map(|id| Pid::from_raw(id as i32));
-    let id = id.ok_or_else(|| fail("it has no process id".into()))?;
+    let id = id.ok_or_else(|| fail("the process has no id".into()))?;
     Ok(Process { child, id })
 }
 
 impl Process {
-    /// Its id, for signals and for what it holds.
+    /// Process id.
     pub fn id(&self) -> Pid {
         self.id
     }
 
-    /// Waits until it ends; how it did.
-    pub async fn ended(mut self) -> String {
+    /// Waits until the process exits; returns its exit status as text.
+    pub async fn wait(mut self) -> String {
         match self.child.wait().await {
             Ok(status) => status.to_string(),
             Err(error) => error.to_string(),
@@ -161,7 +162,7 @@
     }
 }
 
-/// Sends a signal to a node that this run started and that has not been waited for.
+/// Sends a signal to a child process that has not been waited for.
 pub fn signal(id: Pid, signal: Signal) {
     let signal = match signal {
         Signal::Kill => Sig::SIGKILL,
@@ -169,12 +170,12 @@
         Signal::Stop => Sig::SIGSTOP,
         Signal::Continue => Sig::SIGCONT,
     };
-    // One that has just ended by itself is seen by whoever waits for it.
+    // If the process has just exited, its waiter notices that.
     let _ = kill(id, signal);
 }
 
-/// Resident memory in MiB, and descriptors; `None` where the process is gone.
-pub fn holds(id: Pid) -> Option<(f64, u64)> {
+/// Resident memory in MiB, and open descriptors; `None` if the process is gone.
+pub fn resource_usage(id: Pid) -> Option<(f64, u64)> {
     let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
     let kib: f64 = resident.trim().trim_end_matches(" kB").parse().ok()?;
@@ -182,13 +183,13 @@
     Some((kib / 1024.0, descriptors))
 }
 
-/// Waits until a node says that it can serve.
-pub async fn until_ready(at: SocketAddr) {
+/// Waits until a node's `/ready` answers 200.
+pub async fn wait_until_ready(at: SocketAddr) {
     loop {
-        if let Ok(Ok(true)) = tokio::time::timeout(PATIENCE, ready(at)).await {
+        if let Ok(Ok(true)) = tokio::time::timeout(READY_REQUEST_TIMEOUT, ready(at)).await {
             return;
         }
-        tokio::time::sleep(ASK).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
 }
 
--- a/crates/lab/src/live/servers.rs
+++ b/crates/lab/src/live/servers.rs
@@ -1,5 +1,5 @@
-//! The app servers' side of the sockets. One listener for each server and zone of nodes tells who calls from where;
-//! all that a server decides is the world's.
+//! Sockets of the app servers. Each pair of a server and a zone has its own listener, which identifies the caller's
+//! zone; the world decides what a server does.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,38 +24,38 @@
 use tokio::sync::oneshot;
 use tokio::task::{AbortHandle, JoinSet};
 
-use super::{LabError, Stage};
+use super::{LabError, RunContext};
 use crate::world::{Reachability, ServerReply};
 
-/// Connections that the kernel may hold until they are accepted.
-const BACKLOG: i32 = 1024;
-/// The largest body of a request.
-const BODY_MOST: usize = 64 * 1024;
-/// How often idle connections are looked at.
-const LOOK: Duration = Duration::from_millis(250);
+/// Length of the kernel's queue of connections to accept.
+const LISTEN_BACKLOG: i32 = 1024;
+/// Largest accepted request body.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Poll interval for idle connections, and delay after a failed accept.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// All listeners and connections of the servers.
 #[derive(Default)]
-pub struct Doors {
-    doors: RefCell<HashMap<(usize, usize), Door>>,
-    /// By server, and zone of the nodes.
-    conns: RefCell<HashMap<(usize, usize), JoinSet<()>>>,
+pub struct ServerSockets {
+    sockets: RefCell<HashMap<(usize, usize), ServerListener>>,
+    /// Connections by server and zone of the nodes.
+    connections: RefCell<HashMap<(usize, usize), JoinSet<()>>>,
     waiting: RefCell<HashMap<usize, oneshot::Sender<ServerReply>>>,
 }
 
-/// One listener.
-struct Door {
+/// The listener of one server for one zone.
+struct ServerListener {
     listener: Rc<TcpListener>,
-    /// Accepts, while the door is open.
+    /// The accepting task, while the server is reachable.
     accepting: Option<AbortHandle>,
-    /// Fills the kernel's queue, while nothing may come up.
+    /// The task that fills the kernel's accept queue, while the server is unreachable.
     filler: Option<AbortHandle>,
 }
 
-impl Drop for Door {
+impl Drop for ServerListener {
     fn drop(&mut self) {
-        // The tasks hold the listener until they are run once more; nobody may come in by then, and where the lab is
-        // late the server may have to listen here again.
+        // Aborted tasks hold the listener until they are polled once more. Without the shutdown, connections could
+        // come in until then, and a server that restarts while the lab is late could not listen at its address.
         let _ = SockRef::from(&*self.listener).shutdown(Shutdown::Both);
         for task in [self.accepting.take(), self.filler.take()].into_iter().flatten() {
             task.abort();
@@ -63,207 +63,211 @@
     }
 }
 
-fn listen(at: SocketAddr) -> io::Result<TcpListener> {
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.bind(&address.into())?;
+    socket.listen(LISTEN_BACKLOG)?;
     socket.set_nonblocking(true)?;
     TcpListener::from_std(socket.into())
 }
 
-impl Doors {
-    /// From now on new connections fare so.
+impl ServerSockets {
+    /// Sets how new connections from a zone to a server fare.
     ///
     /// # Errors
-    /// Where an address can't be listened at.
-    pub fn set(
+    /// Fails if an address cannot be listened at.
+    pub fn set_reachability(
         &self,
-        stage: &Rc<Stage>,
+        run: &Rc<RunContext>,
         server: usize,
         zone: usize,
         reach: Reachability,
     ) -> Result<(), LabError> {
-        let mut doors = self.doors.borrow_mut();
+        let mut sockets = self.sockets.borrow_mut();
         if reach == Reachability::Refused {
-            doors.remove(&(server, zone));
+            sockets.remove(&(server, zone));
             return Ok(());
         }
-        let at = stage.addresses.server(server, zone);
-        let fail = |source: io::Error| LabError::Listen { at, source };
-        let door = match doors.entry((server, zone)) {
-            std::collections::hash_map::Entry::Occupied(door) => door.into_mut(),
-            std::collections::hash_map::Entry::Vacant(place) => {
-                let listener = Rc::new(listen(at).map_err(fail)?);
-                place.insert(Door { listener, accepting: None, filler: None })
+        let address = run.addresses.server(server, zone);
+        let fail = |source: io::Error| LabError::Listen { at: address, source };
+        let listener_state = match sockets.entry((server, zone)) {
+            std::collections::hash_map::Entry::Occupied(entry) => entry.into_mut(),
+            std::collections::hash_map::Entry::Vacant(entry) => {
+                let listener = Rc::new(listen(address).map_err(fail)?);
+                entry.insert(ServerListener { listener, accepting: None, filler: None })
             }
         };
         match reach {
-            Reachability::Open if door.accepting.is_none() => {
-                if let Some(filler) = door.filler.take() {
+            Reachability::Open if listener_state.accepting.is_none() => {
+                if let Some(filler) = listener_state.filler.take() {
                     filler.abort();
                 }
-                SockRef::from(&*door.listener).listen(BACKLOG).map_err(fail)?;
-                let accept = accept(stage.clone(), door.listener.clone(), server, zone);
-                door.accepting = Some(tokio::task::spawn_local(accept).abort_handle());
+                SockRef::from(&*listener_state.listener).listen(LISTEN_BACKLOG).map_err(fail)?;
+                let accepting =
+                    accept_connections(run.clone(), listener_state.listener.clone(), server, zone);
+                listener_state.accepting = Some(tokio::task::spawn_local(accepting).abort_handle());
             }
-            Reachability::Unreachable if door.filler.is_none() => {
-                if let Some(accepting) = door.accepting.take() {
+            Reachability::Unreachable if listener_state.filler.is_none() => {
+                if let Some(accepting) = listener_state.accepting.take() {
                     accepting.abort();
                 }
-                // With its queue full, the kernel answers no one who calls: the call never comes up.
-                SockRef::from(&*door.listener).listen(0).map_err(fail)?;
-                door.filler = Some(tokio::task::spawn_local(fill(at)).abort_handle());
+                // While the accept queue is full, the kernel drops connection requests, so that connects time out.
+                SockRef::from(&*listener_state.listener).listen(0).map_err(fail)?;
+                listener_state.filler = Some(tokio::task::spawn_local(fill_backlog(address)).abort_handle());
             }
             _ => {}
         }
         Ok(())
     }
 
-    /// All connections to a server end, or those from one zone.
+    /// Closes all connections to a server, or only those from one zone.
     pub fn drop_connections(&self, server: usize, zone: Option<usize>) {
-        let ends = |(s, z): &(usize, usize)| *s == server && zone.is_none_or(|zone| zone == *z);
-        for (_, mut conns) in self.conns.borrow_mut().extract_if(|place, _| ends(place)) {
-            conns.abort_all();
-            conns.detach_all();
+        let matches = |(s, z): &(usize, usize)| *s == server && zone.is_none_or(|zone| zone == *z);
+        for (_, mut connections) in self.connections.borrow_mut().extract_if(|key, _| matches(key)) {
+            connections.abort_all();
+            connections.detach_all();
         }
     }
 
-    /// What an attempt gets has reached its node.
+    /// Delivers the reply to an attempt.
     pub fn reply(&self, attempt: usize, reply: ServerReply) {
         if let Some(to) = self.waiting.borrow_mut().remove(&attempt) {
-            // A node that no longer waits has closed its connection.
+            // An error means that the node has closed its connection.
             let _ = to.send(reply);
         }
     }
 }
 
-/// Takes up the places of the kernel's queue, and keeps them.
-async fn fill(at: SocketAddr) {
-    let mut held = Vec::new();
+/// Fills the kernel's accept queue with connections and keeps them.
+async fn fill_backlog(address: SocketAddr) {
+    let mut streams = Vec::new();
     loop {
-        match tokio::time::timeout(LOOK, TcpStream::connect(at)).await {
-            Ok(Ok(stream)) => held.push(stream),
-            // The queue is full: that is what is wanted.
+        match tokio::time::timeout(POLL_INTERVAL, TcpStream::connect(address)).await {
+            Ok(Ok(stream)) => streams.push(stream),
+            // The queue is full, as intended.
             Ok(Err(_)) | Err(_) => std::future::pending::<()>().await,
         }
     }
 }
 
-async fn accept(stage: Rc<Stage>, listener: Rc<TcpListener>, server: usize, zone: usize) {
+async fn accept_connections(run: Rc<RunContext>, listener: Rc<TcpListener>, server: usize, zone: usize) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         };
-        // A server's connections end with a reset when it does, and so do idle ones that it closes.
-        let ready = stream.set_nodelay(true).and_then(|()| stream.set_zero_linger());
-        if ready.is_err() {
+        // Connections end with a reset when their server ends, and when an idle one is closed.
+        let configured = stream.set_nodelay(true).and_then(|()| stream.set_zero_linger());
+        if configured.is_err() {
             continue;
         }
-        let Some(life) = stage.with(|world, now| world.connect(now, server)) else { continue };
+        let Some(incarnation) = run.update(|world, now| world.connect(now, server)) else { continue };
         tracing::trace!(server, zone, %from, "connection");
-        let conn = Conn {
-            stage: stage.clone(),
+        let connection = ServerConnection {
+            run: run.clone(),
             server,
             zone,
-            life,
+            incarnation,
             fresh: Cell::new(true),
-            open: Cell::new(0),
-            last: Cell::new(Instant::now()),
+            open_requests: Cell::new(0),
+            last_used: Cell::new(Instant::now()),
         };
-        let mut conns = stage.doors.conns.borrow_mut();
-        let conns = conns.entry((server, zone)).or_default();
-        while conns.try_join_next().is_some() {}
-        conns.spawn_local(conn.serve(stream));
+        let mut connections = run.sockets.connections.borrow_mut();
+        let connections = connections.entry((server, zone)).or_default();
+        while connections.try_join_next().is_some() {}
+        connections.spawn_local(connection.serve(stream));
     }
 }
 
-/// One connection of a node.
-struct Conn {
-    stage: Rc<Stage>,
+/// A connection of a node to a server.
+struct ServerConnection {
+    run: Rc<RunContext>,
     server: usize,
     zone: usize,
-    life: u32,
-    /// No request has come yet.
+    incarnation: u32,
+    /// No request has arrived yet.
     fresh: Cell<bool>,
-    open: Cell<usize>,
-    last: Cell<Instant>,
+    open_requests: Cell<usize>,
+    last_used: Cell<Instant>,
 }
 
-impl Drop for Conn {
+impl Drop for ServerConnection {
     fn drop(&mut self) {
-        self.stage.with(|world, now| world.disconnect(now, self.server, self.life));
+        self.run.update(|world, now| world.disconnect(now, self.server, self.incarnation));
     }
 }
 
-/// An attempt whose node waits; when it is dropped the node no longer does.
-struct Held {
-    stage: Rc<Stage>,
+/// An attempt for whose reply a node waits; dropping it reports that the node no longer waits.
+struct WaitingAttempt {
+    run: Rc<RunContext>,
     attempt: usize,
 }
 
-impl Drop for Held {
+impl Drop for WaitingAttempt {
     fn drop(&mut self) {
-        self.stage.doors.waiting.borrow_mut().remove(&self.attempt);
-        self.stage.with(|world, now| world.attempt_closed(now, self.attempt));
+        self.run.sockets.waiting.borrow_mut().remove(&self.attempt);
+        self.run.update(|world, now| world.attempt_closed(now, self.attempt));
     }
 }
 
-type Answer = Response<UnsyncBoxBody<Bytes, io::Error>>;
+type HttpResponse = Response<UnsyncBoxBody<Bytes, io::Error>>;
 
-impl Conn {
+impl ServerConnection {
     async fn serve(self, stream: TcpStream) {
         let service = service_fn(|request| self.answer(request));
-        let conn = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+        let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::select! {
-            // A node that breaks off is seen by what it had sent.
-            _ = conn => {}
+            // A node that closes the connection is noticed by its dropped attempt.
+            _ = connection => {}
             () = self.idle() => {}
         }
     }
 
-    /// Ends when the connection has been idle for as long as it may.
+    /// Completes when the connection has been idle for the server's idle timeout.
     async fn idle(&self) {
-        while self.open.get() > 0 || self.last.get().elapsed() < self.stage.idle {
-            tokio::time::sleep(LOOK).await;
+        while self.open_requests.get() > 0 || self.last_used.get().elapsed() < self.run.server_idle_timeout {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> io::Result<Answer> {
-        self.open.set(self.open.get() + 1);
+    async fn answer(&self, request: Request<Incoming>) -> io::Result<HttpResponse> {
+        self.open_requests.set(self.open_requests.get() + 1);
         let answer = self.attempt(request).await;
-        self.open.set(self.open.get() - 1);
-        self.last.set(Instant::now());
+        self.open_requests.set(self.open_requests.get() - 1);
+        self.last_used.set(Instant::now());
         answer
     }
 
-    async fn attempt(&self, request: Request<Incoming>) -> io::Result<Answer> {
+    async fn attempt(&self, request: Request<Incoming>) -> io::Result<HttpResponse> {
         let txn = request.headers().get("x-txn").and_then(|v| v.to_str().ok()).map(String::from);
-        let broken = |e| io::Error::new(io::ErrorKind::InvalidData, e);
-        Limited::new(request.into_body(), BODY_MOST).collect().await.map_err(broken)?;
-        let Some(txn) = txn else { return Ok(plain(StatusCode::NOT_FOUND, "")) };
+        let invalid = |e| io::Error::new(io::ErrorKind::InvalidData, e);
+        Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.map_err(invalid)?;
+        let Some(txn) = txn else { return Ok(response(StatusCode::NOT_FOUND, "")) };
         let fresh = self.fresh.replace(false);
         let (server, zone) = (self.server, self.zone);
-        let Some(attempt) = self.stage.with(|world, now| world.start_attempt(now, server, zone, &txn, fresh))
+        let Some(attempt) = self.run.update(|world, now| world.start_attempt(now, server, zone, &txn, fresh))
         else {
-            return Ok(plain(StatusCode::BAD_REQUEST, ""));
+            return Ok(response(StatusCode::BAD_REQUEST, ""));
         };
         let (answer, answered) = oneshot::channel();
-        self.stage.doors.waiting.borrow_mut().insert(attempt, answer);
-        let held = Held { stage: self.stage.clone(), attempt };
+        self.run.sockets.waiting.borrow_mut().insert(attempt, answer);
+        let waiting = WaitingAttempt { run: self.run.clone(), attempt };
         let reply = answered.await;
-        drop(held);
+        drop(waiting);
         match reply {
-            Ok(ServerReply::Served) => Ok(plain(StatusCode::OK, &self.stage.world().answer_body(attempt))),
+            Ok(ServerReply::Served) => Ok(response(StatusCode::OK, &self.run.world().answer_body(attempt))),
             Ok(ServerReply::Truncated) => {
-                let whole = self.stage.world().answer_body(attempt);
-                let half = Bytes::copy_from_slice(&whole.as_bytes()[..whole.len() / 2]);
-                Ok(Response::new(Broken { half: Some(half), whole: whole.len() as u64 }.boxed_unsync()))
+                let full_length = self.run.world().answer_body(attempt);
+                let first_half = Bytes::copy_from_slice(&full_length.as_bytes()[..full_length.len() / 2]);
+                Ok(Response::new(
+                    TruncatedBody { first_half: Some(first_half), full_length: full_length.len() as u64 }
+                        .boxed_unsync(),
+                ))
             }
-            Ok(ServerReply::Error) => Ok(plain(StatusCode::INTERNAL_SERVER_ERROR, "it failed")),
+            Ok(ServerReply::Error) => Ok(response(StatusCode::INTERNAL_SERVER_ERROR, "it failed")),
             Ok(ServerReply::TurnedAway) => {
-                let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "");
+                let mut answer = response(StatusCode::SERVICE_UNAVAILABLE, "");
                 answer.headers_mut().insert("x-turned-away", hyper::header::HeaderValue::from_static("1"));
                 Ok(answer)
             }
@@ -272,31 +276,31 @@
     }
 }
 
-fn plain(status: StatusCode, words: &str) -> Answer {
-    let body = Full::new(Bytes::copy_from_slice(words.as_bytes())).map_err(|e: Infallible| match e {});
+fn response(status: StatusCode, body: &str) -> HttpResponse {
+    let body = Full::new(Bytes::copy_from_slice(body.as_bytes())).map_err(|e: Infallible| match e {});
     let mut answer = Response::new(body.boxed_unsync());
     *answer.status_mut() = status;
     answer
 }
 
-/// A body that breaks off half way.
-struct Broken {
-    half: Option<Bytes>,
-    whole: u64,
+/// A response body that is truncated half way.
+struct TruncatedBody {
+    first_half: Option<Bytes>,
+    full_length: u64,
 }
 
-impl Body for Broken {
+impl Body for TruncatedBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        Poll::Ready(Some(match self.half.take() {
-            Some(half) => Ok(Frame::data(half)),
+        Poll::Ready(Some(match self.first_half.take() {
+            Some(first_half) => Ok(Frame::data(first_half)),
             None => Err(io::ErrorKind::ConnectionReset.into()),
         }))
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.whole)
+        SizeHint::with_exact(self.full_length)
     }
 }
--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -107,7 +107,7 @@
 /// Plays a draw to its end, and passes a snapshot to the observer at its interval.
 ///
 /// # Errors
-/// Where the modules refuse the plan's settings.
+/// Fails if the modules reject the plan's settings.
 pub fn play(
     plan: &Plan,
     draw: &Rc<Draw>,
--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -108,7 +108,7 @@
     /// Creates a node that has just started and has no list.
     ///
     /// # Errors
-    /// Where the settings are refused.
+    /// Fails if the settings are rejected.
     pub fn new(settings: &Value, seed: u64, zones: &[String]) -> Result<Self, ModelError> {
         let node_settings = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
         let balancer = Balancer::new(node_settings.settings.clone(), seed)
@@ -373,7 +373,7 @@
     /// Applies an agreed policy.
     ///
     /// # Errors
-    /// Where the settings are refused.
+    /// Fails if the settings are rejected.
     pub fn apply_policy(&mut self, now: Us, settings: &Value) -> Result<Vec<NodeEffect>, ModelError> {
         self.node_settings = parse_settings(settings).map_err(|e| ModelError::Settings(e.to_string()))?;
         let settings = self.node_settings.settings.clone();
