--- a/crates/lab/src/bin/scripted-replica.rs
+++ b/crates/lab/src/bin/scripted-replica.rs
@@ -1,6 +1,7 @@
-//! A control group of one that breaks a rule, told by the name that it is started under (`scripted-replica-forget` and
-//! so on), to see that the referee sees it. It keeps nothing on a disk and asks no node. As `gullible` it removes what
-//! any one member wants removed, for as long as that member says so, and as `accuse` a server that there is none of.
+//! A scripted control group of one replica that breaks a rule, chosen by the name under which the program is started
+//! (`scripted-replica-forget` and so on), to test that the referee reports it. It stores nothing on disk and
+//! coordinates with no node. As `gullible` it removes any server for which the reporting member votes, for as long as
+//! that member does so; as `accuse` it removes a server that does not exist.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -22,23 +23,24 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
 
-type Failure = Box<dyn std::error::Error + Send + Sync>;
-type Answer = Response<Full<Bytes>>;
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
+type HttpResponse = Response<Full<Bytes>>;
 
-/// How long the script `forget` knows what it has committed.
-const KNOWS: Duration = Duration::from_millis(1000);
+/// How long the script `forget` remembers a committed change.
+const FORGET_AFTER: Duration = Duration::from_millis(1000);
 
 struct Replica {
     script: String,
     agreed: RefCell<(AgreedState, Instant)>,
-    /// The servers that a member wants removed.
+    /// Servers that the last reporting member votes to remove, with their start times.
     accused: RefCell<BTreeMap<String, f64>>,
 }
 
-/// What matters of a beat.
+/// The fields of a heartbeat that are used.
 #[derive(Deserialize)]
-struct Beat {
-    bye: bool,
+struct Heartbeat {
+    #[serde(rename = "bye")]
+    leaving: bool,
     votes: VoteReport,
 }
 
@@ -48,9 +50,9 @@
     policy: Policy,
 }
 
-fn main() -> Result<(), Failure> {
-    let own = std::env::args().next().unwrap_or_default();
-    let script = own.rsplit('-').next().unwrap_or_default().to_string();
+fn main() -> Result<(), BoxError> {
+    let program = std::env::args().next().unwrap_or_default();
+    let script = program.rsplit('-').next().unwrap_or_default().to_string();
     let file = std::env::args().nth(3).ok_or("control --config FILE expected")?;
     let config: toml::Table = std::fs::read_to_string(file)?.parse()?;
     let listen = config.get("listen").and_then(toml::Value::as_str).ok_or("listen is missing")?.parse()?;
@@ -58,7 +60,7 @@
     LocalSet::new().block_on(&runtime, serve(script, listen))
 }
 
-async fn serve(script: String, listen: SocketAddr) -> Result<(), Failure> {
+async fn serve(script: String, listen: SocketAddr) -> Result<(), BoxError> {
     let policy = Policy::default();
     let agreed =
         AgreedState { version: 1, fingerprint: 0, epoch: 0, policy, change: None, ended_changes: Vec::new() };
@@ -69,16 +71,16 @@
         let (stream, _) = listener.accept().await?;
         let replica = replica.clone();
         spawn_local(async move {
-            let service = service_fn(|request| replica.answer(request));
-            // Whoever breaks off has no more to say.
+            let service = service_fn(|request| replica.respond(request));
+            // An error means that the caller closed the connection.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
 impl Replica {
-    async fn answer(&self, request: Request<Incoming>) -> Result<Answer, Failure> {
-        let (status, words) = match (request.method(), request.uri().path()) {
+    async fn respond(&self, request: Request<Incoming>) -> Result<HttpResponse, BoxError> {
+        let (status, body) = match (request.method(), request.uri().path()) {
             (&Method::GET, "/ready") => (StatusCode::OK, json!({})),
             (&Method::GET, "/v1/status") => (StatusCode::OK, json!({"replica": {"role": "leader"}})),
             (&Method::GET, "/v1/policy") => (StatusCode::OK, serde_json::to_value(self.agreed())?),
@@ -97,25 +99,26 @@
             }
             (&Method::POST, "/v1/session") => {
                 let body = request.into_body().collect().await?.to_bytes();
-                (StatusCode::OK, self.hear(serde_json::from_slice(&body)?)?)
+                (StatusCode::OK, self.handle_heartbeat(serde_json::from_slice(&body)?)?)
             }
             _ => (StatusCode::NOT_FOUND, json!({})),
         };
-        let mut answer = Response::new(Full::new(Bytes::from(words.to_string())));
+        let mut answer = Response::new(Full::new(Bytes::from(body.to_string())));
         *answer.status_mut() = status;
         Ok(answer)
     }
 
-    fn hear(&self, beat: Beat) -> Result<serde_json::Value, Failure> {
-        let against = beat.votes.ballots.into_iter().filter(|b| b.vote == Vote::For && !beat.bye);
+    fn handle_heartbeat(&self, heartbeat: Heartbeat) -> Result<serde_json::Value, BoxError> {
+        let against =
+            heartbeat.votes.ballots.into_iter().filter(|b| b.vote == Vote::For && !heartbeat.leaving);
         *self.accused.borrow_mut() = against.map(|b| (b.server, b.born_ms)).collect();
-        let (stamp, told) = (json!({"term": 1, "at": 0}), json!({"news": self.agreed()}));
-        Ok(json!({"stamp": stamp, "told": told, "beat_ms": 100, "promise_ms": 300}))
+        let (stamp, update) = (json!({"term": 1, "at": 0}), json!({"news": self.agreed()}));
+        Ok(json!({"stamp": stamp, "told": update, "beat_ms": 100, "promise_ms": 300}))
     }
 
     fn agreed(&self) -> AgreedState {
         let (agreed, since) = &*self.agreed.borrow();
-        let forgets = self.script == "forget" && since.elapsed() > KNOWS;
+        let forgets = self.script == "forget" && since.elapsed() > FORGET_AFTER;
         AgreedState { epoch: if forgets { 0 } else { agreed.epoch }, ..agreed.clone() }
     }
 
@@ -126,13 +129,13 @@
         }
         agreed.version += 1;
         let aborted = (self.script == "abort").then_some(AbortReason::Operator);
-        let done = aborted.is_none();
+        let committed = aborted.is_none();
         agreed.ended_changes.push(EndedChange {
             id: ChangeId(agreed.version),
             epoch: agreed.epoch + 1,
             abort_reason: aborted,
         });
-        if !done {
+        if !committed {
             return (StatusCode::CONFLICT, json!({"error": "aborted"}));
         }
         (agreed.epoch, agreed.policy, *since) = (agreed.epoch + 1, proposal.policy, Instant::now());
