--- a/crates/lab/src/bin/scripted-node.rs
+++ b/crates/lab/src/bin/scripted-node.rs
@@ -27,6 +27,7 @@
 /// The script is applied to every n-th request.
 const SCRIPT_INTERVAL: usize = 10;
 
+/// State of the node.
 struct Node {
     script: String,
     hosts: RefCell<BTreeMap<String, Host>>,
@@ -80,6 +81,7 @@
 }
 
 impl Node {
+    /// Keeps a watch of the list open.
     async fn follow_discovery(self: Rc<Self>, discovery: SocketAddr) {
         loop {
             if let Err(error) = self.watch(discovery).await {
@@ -99,12 +101,13 @@
         }
     }
 
+    /// Reads the agreed epoch and the number of ended changes.
     async fn fetch_policy(&self, replica: SocketAddr) -> Result<(), BoxError> {
         let answer = self.send(Some(replica), Request::get("/v1/policy").body(Full::default())?).await?;
         let policy: Value = serde_json::from_slice(&answer.into_body().collect().await?.to_bytes())?;
-        let (known, _) = self.agreed.get().unwrap_or_default();
+        let (known_epoch, _) = self.agreed.get().unwrap_or_default();
         let ended = policy["ended"].as_array().map_or(0, Vec::len);
-        self.agreed.set(Some((known.max(policy["epoch"].as_u64().unwrap_or(0)), ended)));
+        self.agreed.set(Some((known_epoch.max(policy["epoch"].as_u64().unwrap_or(0)), ended)));
         Ok(())
     }
 
@@ -119,6 +122,7 @@
         })
     }
 
+    /// Reads list updates until the watch closes.
     async fn watch(&self, discovery: SocketAddr) -> Result<(), BoxError> {
         let (mut send, conn) = handshake(TokioIo::new(TcpStream::connect(discovery).await?)).await?;
         spawn_local(conn);
@@ -170,6 +174,7 @@
         Some(SocketAddr::new(ip.into(), lowest.port()))
     }
 
+    /// Answers a request, with the epoch that the script reports.
     async fn respond(&self, request: Request<Incoming>) -> Result<HttpResponse, std::io::Error> {
         let epoch = self.epoch();
         let mut answer = self.serve(request).await?;
@@ -212,6 +217,7 @@
         }
     }
 
+    /// Forwards a request to a server, as the script has it.
     async fn forward(&self, request: Request<Incoming>, turn: usize) -> Result<HttpResponse, BoxError> {
         let (mut head, body) = request.into_parts();
         let body = body.collect().await?.to_bytes();
@@ -225,6 +231,7 @@
         self.send(self.pick_server(turn), Request::from_parts(head, Full::new(body))).await
     }
 
+    /// Sends a request to a server on an idle or a new connection.
     async fn send(
         &self,
         to: Option<SocketAddr>,
--- a/crates/lab/src/bin/scripted-replica.rs
+++ b/crates/lab/src/bin/scripted-replica.rs
@@ -29,6 +29,7 @@
 /// How long the script `forget` remembers a committed change.
 const FORGET_AFTER: Duration = Duration::from_millis(1000);
 
+/// State of the replica.
 struct Replica {
     script: String,
     agreed: RefCell<(AgreedState, Instant)>,
@@ -108,6 +109,7 @@
         Ok(answer)
     }
 
+    /// Notes the votes for removal, and replies with the agreed state.
     fn handle_heartbeat(&self, heartbeat: Heartbeat) -> Result<serde_json::Value, BoxError> {
         let against =
             heartbeat.votes.ballots.into_iter().filter(|b| b.vote == Vote::For && !heartbeat.leaving);
@@ -116,12 +118,14 @@
         Ok(json!({"stamp": stamp, "told": update, "beat_ms": 100, "promise_ms": 300}))
     }
 
+    /// The agreed state that is reported.
     fn agreed(&self) -> AgreedState {
         let (agreed, since) = &*self.agreed.borrow();
         let forgets = self.script == "forget" && since.elapsed() > FORGET_AFTER;
         AgreedState { epoch: if forgets { 0 } else { agreed.epoch }, ..agreed.clone() }
     }
 
+    /// Commits or aborts a proposed policy at once.
     fn propose(&self, proposal: Proposal) -> (StatusCode, serde_json::Value) {
         let (agreed, since) = &mut *self.agreed.borrow_mut();
         if proposal.base != agreed.epoch {
--- a/crates/lab/src/live/addresses.rs
+++ b/crates/lab/src/live/addresses.rs
@@ -67,6 +67,7 @@
 }
 
 impl Addresses {
+    /// The address with this index in the range that starts at a third byte.
     fn address(self, third_byte: u8, index: usize, port: u16) -> SocketAddr {
         let third_byte = third_byte + (index / ADDRESSES_PER_BLOCK) as u8;
         let fourth_byte = 1 + (index % ADDRESSES_PER_BLOCK) as u8;
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -50,6 +50,7 @@
         Self { node, idle: RefCell::default(), permits: Semaphore::new(max_connections) }
     }
 
+    /// Takes an idle connection that is still open.
     fn take_idle(&self) -> Option<ClientConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
@@ -60,6 +61,7 @@
         None
     }
 
+    /// Opens a connection.
     async fn open(&self) -> Option<ClientConnection> {
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.node)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
@@ -77,6 +79,7 @@
     run.try_finished(try_id);
 }
 
+/// Sends a request and reads its answer.
 async fn exchange(run: &Rc<RunContext>, try_id: usize) -> TryOutcome {
     let pool = run.pool(try_id);
     let Ok(_permit) = pool.permits.acquire().await else { return TryOutcome::NoConnection };
@@ -94,6 +97,7 @@
     }
 }
 
+/// Reads an answer, and returns the connection to the pool.
 async fn read_answer(
     run: &Rc<RunContext>,
     pool: &ConnectionPool,
@@ -113,6 +117,7 @@
     TryOutcome::Answer { status: head.status.as_u16(), retry_after: retry_after.map(us_from_s), attempt }
 }
 
+/// The HTTP request of a try.
 fn request(run: &RunContext, try_id: usize) -> Request<Full<Bytes>> {
     let world = run.world();
     let client_try = world.client_try(try_id);
--- a/crates/lab/src/live/discovery.rs
+++ b/crates/lab/src/live/discovery.rs
@@ -29,6 +29,7 @@
     watches: RefCell<Vec<Watch>>,
 }
 
+/// An open watch.
 struct Watch {
     lines: Sender<Bytes, Infallible>,
 }
@@ -57,6 +58,7 @@
     Ok(())
 }
 
+/// Serves one connection of a node.
 async fn serve_connection(run: Rc<RunContext>, node: usize, stream: TcpStream) {
     if stream.set_nodelay(true).is_err() {
         return;
@@ -66,6 +68,7 @@
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
+/// Answers a call for the list, or opens a watch.
 async fn respond(
     run: &Rc<RunContext>,
     node: usize,
@@ -96,6 +99,7 @@
     Ok(Response::new(body.boxed_unsync()))
 }
 
+/// A list update as a line of JSON.
 fn line(run: &RunContext, node: usize, from: u64, to: u64) -> Bytes {
     // Plain data can always be serialized.
     let mut text = serde_json::to_string(&run.world().list_update(node, from, to)).unwrap_or_default();
--- a/crates/lab/src/live/group.rs
+++ b/crates/lab/src/live/group.rs
@@ -119,6 +119,7 @@
         self.replica_indexes().map(|replica| self.address(replica))
     }
 
+    /// Address of a replica that bypasses all partitions.
     fn address(&self, replica: usize) -> SocketAddr {
         self.addresses.replica(replica)
     }
@@ -178,33 +179,34 @@
     }
     for replica in group.replica_indexes() {
         let exited = group.replicas[replica].exited.notified();
-        let who = || format!("replica r{}", replica + 1);
+        let name = || format!("replica r{}", replica + 1);
         let last = || process::last_line(&group.log_path(replica));
         tokio::select! {
             () = process::wait_until_ready(group.address(replica)) => {}
             () = exited => {
                 return Err(LabError::Start {
-                    process: who(),
+                    process: name(),
                     reason: format!("it ended at once: {}", last()),
                 });
             }
             () = tokio::time::sleep(run.ready_timeout) => {
                 let timeout_s = run.ready_timeout.as_secs_f64();
-                return Err(LabError::NotReady { process: who(), timeout_s, last_log_line: last() });
+                return Err(LabError::NotReady { process: name(), timeout_s, last_log_line: last() });
             }
         }
     }
     Ok(())
 }
 
+/// Starts a replica, and waits in the background until it exits.
 fn start_replica(run: &Rc<RunContext>, group: &ReplicaGroup, replica: usize) -> Result<(), LabError> {
-    let who = format!("replica r{}", replica + 1);
+    let name = format!("replica r{}", replica + 1);
     let file = group.folder.join(format!("r{}.toml", replica + 1));
     std::fs::write(&file, group.config(replica).to_string())
-        .map_err(|e| LabError::Start { process: who.clone(), reason: e.to_string() })?;
+        .map_err(|e| LabError::Start { process: name.clone(), reason: e.to_string() })?;
     let mut command = Command::new(&group.program);
     command.arg("control").arg("--config").arg(&file);
-    let process = spawn(&who, command, &group.log_path(replica))?;
+    let process = spawn(&name, command, &group.log_path(replica))?;
     let state = &group.replicas[replica];
     state.pid.set(Some(process.id()));
     state.expected.set(true);
@@ -225,6 +227,7 @@
     Ok(())
 }
 
+/// Starts a replica again once its previous process has exited.
 async fn restart_after_exit(run: Rc<RunContext>, replica: usize) {
     let Some(group) = &run.group else { return };
     let exited = group.replicas[replica].exited.notified();
@@ -310,6 +313,7 @@
     }
 }
 
+/// Restarts a replica with SIGTERM after a delay.
 async fn restart_after(run: Rc<RunContext>, replica: usize, after: Duration) {
     tokio::time::sleep(after).await;
     let Some(group) = &run.group else { return };
@@ -448,17 +452,17 @@
     if group.replicas.iter().filter(|r| r.pid.get().is_some()).count() < majority {
         return None;
     }
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     loop {
-        let mut known = Vec::new();
+        let mut epochs = Vec::new();
         for replica in group.replica_indexes() {
             let response = call(group.address(replica), Method::GET, "/v1/policy", None, CALL_TIMEOUT).await;
-            known.push(response.and_then(|(_, body)| body["epoch"].as_u64()));
+            epochs.push(response.and_then(|(_, body)| body["epoch"].as_u64()));
         }
         // Sorted in descending order: the entry at majority - 1 is known to a majority.
-        known.sort_unstable_by(|a, b| b.cmp(a));
-        let agreed = known[majority - 1];
-        if agreed.is_some_and(|epoch| epoch >= acknowledged) || begun.elapsed() > CATCH_UP_TIMEOUT {
+        epochs.sort_unstable_by(|a, b| b.cmp(a));
+        let agreed = epochs[majority - 1];
+        if agreed.is_some_and(|epoch| epoch >= acknowledged) || started.elapsed() > CATCH_UP_TIMEOUT {
             return Some(agreed.unwrap_or(0));
         }
         tokio::time::sleep(RETRY_DELAY).await;
--- a/crates/lab/src/live/links.rs
+++ b/crates/lab/src/live/links.rs
@@ -3,8 +3,8 @@
 //!
 //! All replicas must be configured with the same address of each replica, which they also give to nodes that look for
 //! the leader. A router listens at that address, reads from the first request who has connected, and passes the
-//! connection on to that party's relay. All of it runs on a thread of its own, so that delays of the lab's main thread
-//! do not affect the links.
+//! connection on to that party's relay. All of it runs on a thread of its own, so that the lab's measured lateness
+//! does not include the forwarding.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
     relays: BTreeMap<LinkId, Relay>,
     routers: Vec<ConnectionRouter>,
     /// Link faults of each active fault.
-    cuts: RefCell<BTreeMap<usize, Vec<(LinkId, LinkFault)>>>,
+    active_faults: RefCell<BTreeMap<usize, Vec<(LinkId, LinkFault)>>>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -56,7 +56,7 @@
         let mut links = Self {
             relays: BTreeMap::new(),
             routers: Vec::new(),
-            cuts: RefCell::default(),
+            active_faults: RefCell::default(),
             stop: Some(stop),
             thread: Some(thread),
         };
@@ -77,7 +77,7 @@
     }
 
     /// Cuts the links between these parties and all other replicas, in both directions or only the given one.
-    pub fn partition(&self, fault: usize, parties: &[Party], way: Option<Direction>) {
+    pub fn partition(&self, fault: usize, parties: &[Party], direction: Option<Direction>) {
         let forwarding = |cut: bool| if cut { Forwarding::Block } else { Forwarding::Pass };
         let link_faults = self.relays.keys().filter_map(|(from, to)| {
             let connects = parties.contains(from);
@@ -86,8 +86,8 @@
             }
             // Traffic out of a party flows to the target if the party connects, and from the target if it is connected
             // to.
-            let (out, into) = (way != Some(Direction::In), way != Some(Direction::Out));
-            let (to_target, from_target) = if connects { (out, into) } else { (into, out) };
+            let (outbound, inbound) = (direction != Some(Direction::In), direction != Some(Direction::Out));
+            let (to_target, from_target) = if connects { (outbound, inbound) } else { (inbound, outbound) };
             Some((
                 (*from, *to),
                 LinkFault {
@@ -98,22 +98,23 @@
             ))
         });
         let link_faults = link_faults.collect();
-        self.cuts.borrow_mut().insert(fault, link_faults);
+        self.active_faults.borrow_mut().insert(fault, link_faults);
         self.apply_faults();
     }
 
     /// Ends a fault's partition.
     pub fn heal(&self, fault: usize) {
-        if self.cuts.borrow_mut().remove(&fault).is_some() {
+        if self.active_faults.borrow_mut().remove(&fault).is_some() {
             self.apply_faults();
         }
     }
 
+    /// Sets the combined state of all active faults at each relay.
     fn apply_faults(&self) {
-        let cuts = self.cuts.borrow();
+        let active_faults = self.active_faults.borrow();
         for (link, relay) in &self.relays {
             let mut state = LinkFault::default();
-            for (_, fault) in cuts.values().flatten().filter(|(cut, _)| cut == link) {
+            for (_, fault) in active_faults.values().flatten().filter(|(faulty, _)| faulty == link) {
                 for (flow, other) in
                     [(&mut state.to_target, fault.to_target), (&mut state.from_target, fault.from_target)]
                 {
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -253,6 +253,7 @@
 }
 
 impl RunContext {
+    /// Time since the start of the run, 0 before it.
     fn now(&self) -> Us {
         self.start.get().map_or(0, |start| Instant::now().saturating_duration_since(start).as_micros() as Us)
     }
@@ -277,6 +278,7 @@
         result
     }
 
+    /// Carries out the world's effects until there are none left.
     fn carry_out_effects(self: &Rc<Self>) {
         while !self.closed.get() {
             let Some(effect) = self.world.borrow_mut().next_effect() else { return };
@@ -327,10 +329,12 @@
         }
     }
 
+    /// Connection pool of the node of a try.
     fn pool(&self, try_id: usize) -> Rc<ConnectionPool> {
         self.pools[self.world().client_try(try_id).node].clone()
     }
 
+    /// Removes a finished try from the active ones.
     fn try_finished(&self, try_id: usize) {
         self.active_tries.borrow_mut().remove(&try_id);
     }
@@ -386,6 +390,7 @@
         }
     }
 
+    /// Starts a node again once its previous process has exited, and waits until it is ready.
     async fn restart_node(self: Rc<Self>, node: usize) {
         let exited = self.nodes[node].exited.notified();
         if self.nodes[node].pid.get().is_some() {
@@ -475,6 +480,7 @@
         Ok(false)
     }
 
+    /// Advances the world whenever an event is due, until the run is over.
     async fn drive(self: &Rc<Self>) -> Result<(), LabError> {
         let io = |source: std::io::Error| LabError::Io { what: "timer".into(), source };
         let start = self.start.get().unwrap_or_else(Instant::now);
--- a/crates/lab/src/live/process.rs
+++ b/crates/lab/src/live/process.rs
@@ -73,7 +73,7 @@
         &self,
         node: usize,
         incarnation: u32,
-        known: Value,
+        saved_list: Value,
         control: Option<Value>,
     ) -> Result<Process, LabError> {
         let fail = |error: std::io::Error| LabError::start(node, error);
@@ -85,7 +85,7 @@
         let seed = node_seed(&self.draw, node, incarnation);
         let mut config = json!({
             "name": format!("n{node}"), "listen": listen, "discovery": discovery,
-            "seed": format!("{seed:016x}"), "limits": self.limits, "known": known, "settings": settings,
+            "seed": format!("{seed:016x}"), "limits": self.limits, "known": saved_list, "settings": settings,
         });
         if let Some(control) = control {
             config["control"] = control;
@@ -193,6 +193,7 @@
     }
 }
 
+/// Whether `/ready` answers 200.
 async fn ready(at: SocketAddr) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect(at).await?;
     stream.write_all(b"GET /ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").await?;
--- a/crates/lab/src/live/servers.rs
+++ b/crates/lab/src/live/servers.rs
@@ -63,6 +63,7 @@
     }
 }
 
+/// Opens a listener.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -151,6 +152,7 @@
     }
 }
 
+/// Accepts the connections from a zone to a server.
 async fn accept_connections(run: Rc<RunContext>, listener: Rc<TcpListener>, server: usize, zone: usize) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
@@ -214,6 +216,7 @@
 type HttpResponse = Response<UnsyncBoxBody<Bytes, io::Error>>;
 
 impl ServerConnection {
+    /// Serves the connection until it closes or has been idle for too long.
     async fn serve(self, stream: TcpStream) {
         let service = service_fn(|request| self.answer(request));
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -231,6 +234,7 @@
         }
     }
 
+    /// Handles a request, and tracks when the connection is idle.
     async fn answer(&self, request: Request<Incoming>) -> io::Result<HttpResponse> {
         self.open_requests.set(self.open_requests.get() + 1);
         let answer = self.attempt(request).await;
@@ -239,6 +243,7 @@
         answer
     }
 
+    /// Reports the request to the world, and answers with the reply that the world decides.
     async fn attempt(&self, request: Request<Incoming>) -> io::Result<HttpResponse> {
         let txn = request.headers().get("x-txn").and_then(|v| v.to_str().ok()).map(String::from);
         let invalid = |e| io::Error::new(io::ErrorKind::InvalidData, e);
--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -157,6 +157,7 @@
 }
 
 impl FleetModel {
+    /// Runs until the world is over.
     fn run(&mut self, mut observer: Option<SnapshotObserver<'_>>) -> Result<(), ModelError> {
         let mut last_snapshot = 0;
         while !self.world.is_over() {
@@ -194,10 +195,12 @@
         stopped
     }
 
+    /// Schedules work for the node's current incarnation.
     fn schedule(&mut self, node: usize, at: Us, wake: Wake) {
         self.due.push(Reverse((at.max(self.now), node, self.incarnations[node], wake)));
     }
 
+    /// Handles the world's effects; those for a stopped node are kept until it continues.
     fn carry_out_effects(&mut self) -> Result<(), ModelError> {
         while let Some(effect) = self.world.next_effect() {
             let to = match &effect {
@@ -290,6 +293,7 @@
         Ok(())
     }
 
+    /// Handles scheduled work of a node.
     fn handle_wake(&mut self, node: usize, wake: Wake) {
         match wake {
             Wake::Timer => {
@@ -349,6 +353,7 @@
 
     // ---- Starts and ends ----
 
+    /// Starts a new incarnation of a node.
     fn start(&mut self, node: usize) -> Result<(), ModelError> {
         self.incarnations[node] += 1;
         let draw = self.world.draw().clone();
@@ -381,6 +386,7 @@
         }
     }
 
+    /// Ends a node at once; its open requests lose their connections.
     fn end(&mut self, node: usize) {
         self.stopped.remove(&node);
         self.incarnations[node] += 1;
@@ -466,9 +472,9 @@
             let answer = group.heartbeat(self.now, voter.process.clone(), voter.stamp, votes);
             (voter.last_heartbeat, voter.stamp) = (self.now, answer.map(|(stamp, _)| stamp));
         }
-        let (own, servers) = n.ballots();
+        let (report, servers) = n.ballots();
         let requested_ballots = n.group_answer.as_ref().map_or(&[][..], |(_, requested)| requested);
-        let ballots = own.ballots.into_iter().filter_map(|own| {
+        let ballots = report.ballots.into_iter().filter_map(|own| {
             let ballot = self.world.ballot(*servers.get(&own.server)?, own.stand, own.evidence)?;
             (ballot.vote == Vote::For || requested_ballots.contains(&ballot.server)).then_some(ballot)
         });
@@ -476,8 +482,12 @@
         ballots.sort_by_key(|ballot| (ballot.vote, std::cmp::Reverse(ballot.evidence.failures())));
         ballots.truncate(MAX_BALLOTS);
         let zone = Some(draw.zones[self.world.node_zone(node)].clone());
-        let votes =
-            VoteReport { zone, up_servers: self.world.active_by_zone(), abstains: own.self_doubt, ballots };
+        let votes = VoteReport {
+            zone,
+            up_servers: self.world.active_by_zone(),
+            abstains: report.self_doubt,
+            ballots,
+        };
         let echo = n.group_answer.as_ref().map(|(stamp, _)| *stamp);
         let Some(answer) = group.heartbeat(self.now, process(node, self.incarnations[node]), echo, votes)
         else {
@@ -494,6 +504,7 @@
         }
     }
 
+    /// Applies the verdicts for the zone of a node.
     fn apply_verdicts(&mut self, node: usize, verdicts: &Verdicts) {
         let zone = &self.world.draw().zones[self.world.node_zone(node)];
         let Some(n) = self.nodes[node].as_mut().filter(|_| !self.stopped.contains_key(&node)) else { return };
@@ -507,6 +518,7 @@
 
     // ---- What nodes do ----
 
+    /// Carries out what a node asks for.
     fn apply_effects(&mut self, node: usize, effects: Vec<NodeEffect>) {
         for effect in effects {
             match effect {
@@ -533,12 +545,13 @@
         }
     }
 
+    /// Sends an attempt on a kept connection, or connects first.
     fn send(&mut self, node: usize, id: RequestId, n: usize, server: usize, until: Us) {
         let (now, zone) = (self.now, self.world.node_zone(node));
         self.schedule(node, until, Wake::AttemptTimeout(id, n));
-        let kept = self.nodes[node].as_mut().and_then(|node| node.take_connection(now, server));
-        let fresh = kept.is_none();
-        let incarnation = kept.or_else(|| match self.world.reachability(server, zone) {
+        let kept_connection = self.nodes[node].as_mut().and_then(|node| node.take_connection(now, server));
+        let fresh = kept_connection.is_none();
+        let incarnation = kept_connection.or_else(|| match self.world.reachability(server, zone) {
             Reachability::Open => self.world.connect(now, server),
             Reachability::Refused | Reachability::Unreachable => None,
         });
@@ -559,11 +572,13 @@
         }
     }
 
+    /// Reports the end of an attempt to its node.
     fn ended(&mut self, node: usize, id: RequestId, n: usize, outcome: Outcome) {
         let effects = self.nodes[node].as_mut().map(|node| node.attempt_ended(self.now, id, n, outcome));
         self.apply_effects(node, effects.unwrap_or_default());
     }
 
+    /// Closes the connections of a node to a server.
     fn drop_connections(&mut self, node: usize, server: usize) {
         let Some(n) = &mut self.nodes[node] else { return };
         let (idle, open_attempts) = n.connections_lost(server);
@@ -575,6 +590,7 @@
         }
     }
 
+    /// Delivers a list update to a node.
     fn send_list_update(&mut self, node: usize, from: u64, to: u64) {
         let line = self.world.list_update(node, from, to);
         let Some(n) = &mut self.nodes[node] else { return };
--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -61,6 +61,7 @@
     },
 }
 
+/// An attempt at a request.
 struct Attempt {
     server_id: ServerId,
     server: usize,
@@ -70,6 +71,7 @@
     sent_as: Option<(usize, ConnectionId)>,
 }
 
+/// A request with an answer due or with open attempts.
 struct OpenRequest {
     try_id: usize,
     answer_due: bool,
@@ -169,6 +171,7 @@
         us_from_ms(self.node_settings.settings.limits.connect_timeout)
     }
 
+    /// Passes an event to the module, and translates its actions.
     fn handle_event(&mut self, now: Us, event: Event) -> Vec<NodeEffect> {
         let mut effects = Vec::new();
         let mut events = std::collections::VecDeque::from([event]);
@@ -215,6 +218,7 @@
         effects
     }
 
+    /// Answers a request unless it has been answered or its client has left.
     fn answer(
         &mut self,
         id: RequestId,
@@ -246,6 +250,7 @@
         Some((closed, self.attempt_end_event(now, id, attempt, outcome, answered)?))
     }
 
+    /// The event that reports the end of an attempt to the module.
     fn attempt_end_event(
         &self,
         now: Us,
@@ -393,6 +398,7 @@
 
     // ---- Connections ----
 
+    /// How long an idle connection is kept.
     fn keep_alive(&self) -> Us {
         us_from_ms(self.node_settings.keepalive * KEEP_ALIVE_SHARE)
     }
--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -269,6 +269,7 @@
         (sent > budget).then(informed_share)
     }
 
+    /// Starts a request on a free core.
     fn start(&mut self, request: u64, work: f64) {
         let remaining = work + std::mem::take(&mut self.pending_handshake_work);
         self.running.push(Running { request, remaining });
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -132,6 +132,7 @@
         self.links[from][to].cuts == 0
     }
 
+    /// A request arrives at its server, which answers, queues or runs it.
     pub(super) fn request_at_server(&mut self, attempt: usize) {
         let a = &self.attempts[attempt];
         let (server, informed) = (a.server, a.informed);
@@ -161,6 +162,7 @@
         self.schedule_server(server);
     }
 
+    /// Whether the process to which an attempt was sent is still up.
     fn is_same_process(&self, attempt: usize) -> bool {
         let a = &self.attempts[attempt];
         self.servers[a.server].incarnation == a.incarnation && self.servers[a.server].power == Power::Up
@@ -182,6 +184,7 @@
         self.crash_server(server);
     }
 
+    /// A cancellation arrives at a server.
     pub(super) fn cancel_at_server(&mut self, attempt: usize) {
         if !self.is_same_process(attempt) {
             return;
@@ -198,6 +201,7 @@
         self.schedule_server(server);
     }
 
+    /// A server's next state change is due.
     pub(super) fn server_step(&mut self, server: usize) {
         if self.servers[server].next_step.is_some_and(|due| due <= self.now) {
             self.servers[server].next_step = None;
@@ -243,6 +247,7 @@
         }
     }
 
+    /// Schedules a server's next state change if it is earlier than the scheduled one.
     pub(super) fn schedule_server(&mut self, server: usize) {
         let instance = &mut self.servers[server];
         if instance.power == Power::Off {
@@ -266,6 +271,7 @@
         }
     }
 
+    /// A reply arrives at the node; ignored if the server has restarted meanwhile.
     pub(super) fn reply_at_node(&mut self, attempt: usize, reply: ServerReply) {
         let a = &self.attempts[attempt];
         if self.servers[a.server].incarnation != a.incarnation {
@@ -358,13 +364,13 @@
         let (mut world, try_id) =
             first_request("[[fault]]\nkind = \"uplink\"\nat_s = 0\nfor_s = 20\nfactor = 1\n", 0);
         let txn = world.txn(try_id);
-        let mut got = Vec::new();
+        let mut replies = Vec::new();
         for _ in 0..20 {
             let attempt = world.start_attempt(world.now(), 0, 0, &txn, false).expect("a known request");
-            got.push(reply_to(&mut world, attempt).map(|(_, reply)| reply));
+            replies.push(reply_to(&mut world, attempt).map(|(_, reply)| reply));
         }
-        assert!(got.contains(&None) && got.contains(&Some(ServerReply::Reset)), "{got:?}");
-        assert!(got.iter().all(|g| matches!(g, None | Some(ServerReply::Reset))), "{got:?}");
+        assert!(replies.contains(&None) && replies.contains(&Some(ServerReply::Reset)), "{replies:?}");
+        assert!(replies.iter().all(|r| matches!(r, None | Some(ServerReply::Reset))), "{replies:?}");
         assert_eq!(world.tally.failed_attempts[0], 0);
     }
 
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl World {
+    /// Starts the drawn request `n`, and schedules the next arrival.
     pub(super) fn client_arrives(&mut self, n: usize) {
         let draw = self.draw.clone();
         let arrival = &draw.arrivals[n];
@@ -21,11 +22,13 @@
         self.start_try(n);
     }
 
+    /// Worth of a request: the worth per unit of work of its class, times its work.
     fn request_worth(&self, request: usize) -> f64 {
         let arrival = &self.draw.arrivals[request];
         self.draw.classes[arrival.class].worth * arrival.work
     }
 
+    /// Sends the next try of a request, or ends the request if too little time is left.
     pub(super) fn start_try(&mut self, request: usize) {
         let draw = self.draw.clone();
         let (arrival, now) = (&draw.arrivals[request], self.now);
@@ -66,8 +69,8 @@
     /// The node that the front of a zone picks next: round robin over the zone's nodes that are in rotation, or over
     /// all of them if none is. A zone without nodes uses all nodes.
     fn pick_node(&mut self, zone: usize) -> usize {
-        let own = |n: &usize| self.nodes[*n].zone == zone;
-        let mut nodes: Vec<usize> = (0..self.nodes.len()).filter(own).collect();
+        let in_zone = |n: &usize| self.nodes[*n].zone == zone;
+        let mut nodes: Vec<usize> = (0..self.nodes.len()).filter(in_zone).collect();
         if nodes.is_empty() {
             nodes = (0..self.nodes.len()).collect();
         }
@@ -77,6 +80,7 @@
         nodes[self.front_turns[zone] % nodes.len()]
     }
 
+    /// A request reaches its node.
     pub(super) fn request_at_node(&mut self, try_id: usize) {
         // A client that leaves before its request arrives is never seen by the node.
         if !self.tries[try_id].disconnected {
@@ -93,6 +97,7 @@
         }
     }
 
+    /// The client leaves before its timeout, unless it has its answer.
     pub(super) fn client_leaves(&mut self, try_id: usize) {
         if self.tries[try_id].outcome.is_none() && !self.tries[try_id].client_done {
             self.tries[try_id].client_done = true;
@@ -101,6 +106,7 @@
         }
     }
 
+    /// The client gives up waiting for a try.
     pub(super) fn try_times_out(&mut self, try_id: usize) {
         if !self.tries[try_id].client_done {
             self.tries[try_id].client_done = true;
@@ -221,6 +227,7 @@
         self.schedule_event(self.now + delay, Event::ClientRetries(request));
     }
 
+    /// Ends a request with an outcome, or with the outcome of its last try.
     fn end_request(&mut self, request: usize, outcome: Option<RequestOutcome>) {
         let r = &mut self.requests[request];
         let outcome = outcome.unwrap_or(r.last_outcome);
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl World {
+    /// Begins the drawn fault `n`.
     pub(super) fn begin_fault(&mut self, n: usize) {
         let draw = self.draw.clone();
         let fault = &draw.faults[n];
@@ -79,6 +80,7 @@
         self.update_faulty_servers();
     }
 
+    /// Ends the drawn fault `n`.
     pub(super) fn end_fault(&mut self, n: usize) {
         let draw = self.draw.clone();
         let fault = &draw.faults[n];
@@ -117,6 +119,7 @@
         self.update_faulty_servers();
     }
 
+    /// Applies or removes a slowdown, errors, resets or a gray failure at the fault's servers.
     fn apply_server_fault(&mut self, fault: &FaultSpec, on: bool) {
         let share = if on { fault.factor } else { 0.0 };
         let truncated_share = if on { fault.truncated_share } else { 0.0 };
@@ -128,6 +131,7 @@
         });
     }
 
+    /// Changes the state of the fault's servers, which are first advanced to the current time.
     fn update_servers(&mut self, fault: &FaultSpec, change: impl Fn(&mut ServerInstance)) {
         for server in &fault.targets {
             self.advance_server(*server);
@@ -152,6 +156,7 @@
         self.schedule_event((self.now + span).min(fault.until), Event::NeighbourToggles(n, !on));
     }
 
+    /// Begins or ends a partition between zones.
     fn set_partition(&mut self, fault: &FaultSpec, on: bool) {
         self.update_links(fault, |link| {
             link.cuts = if on { link.cuts + 1 } else { link.cuts.saturating_sub(1) }
@@ -186,6 +191,7 @@
         }
     }
 
+    /// Begins or ends an outage of the list; agents catch up when it ends.
     fn set_list_outage(&mut self, on: bool) {
         self.list_outage = on;
         if !on {
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -34,6 +34,7 @@
         self.referee.record_breach(Rule::Limits, now, about, reason);
     }
 
+    /// Sends SIGKILL to a node.
     pub(super) fn kill(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if std::mem::replace(&mut n.running, false) {
@@ -54,6 +55,7 @@
         }
     }
 
+    /// Starts a node unless it runs.
     pub(super) fn start_node(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if n.running {
@@ -65,6 +67,7 @@
         self.effects.push_back(Effect::StartNode(node));
     }
 
+    /// Sends SIGTERM to a node; the front stops sending to it a little later, and SIGKILL follows if it does not exit.
     pub(super) fn restart_node(&mut self, node: usize) {
         let now = self.now;
         let n = &mut self.nodes[node];
@@ -79,6 +82,7 @@
         self.schedule_event(now + max_deadline + KILL_GRACE_US, Event::KillNode(node, now));
     }
 
+    /// Emits how new connections from each zone to a server fare now.
     pub(super) fn update_reachability(&mut self, server: usize) {
         for zone in 0..self.draw.zones.len() {
             let reachability = self.reachability(server, zone);
@@ -140,6 +144,7 @@
         self.schedule_event(now + self.draw.discovery.join_delay, Event::ListAddsServer(server, incarnation));
     }
 
+    /// Lists a server as leaving, and schedules its end.
     pub(super) fn drain_server(&mut self, server: usize, replace: bool) {
         if self.servers[server].power != Power::Up {
             return;
--- a/crates/lab/src/world/list.rs
+++ b/crates/lab/src/world/list.rs
@@ -8,6 +8,7 @@
         self.unix_start_ms = unix_ms;
     }
 
+    /// Wall-clock time of a moment of the run, in Unix milliseconds.
     pub(super) fn unix_ms(&self, at: Us) -> f64 {
         (self.unix_start_ms + at as f64 / 1e3).round()
     }
@@ -24,6 +25,7 @@
         }
     }
 
+    /// Changes a server's list entry; each agent has the new version after a random delay.
     pub(super) fn change_list_entry(&mut self, server: usize, health: Health) {
         if self.list.newest_entry(server).is_none() && health != Health::Active {
             return;
@@ -102,7 +104,7 @@
     /// The update that brings a node from one version to another; the full list if `from` is 0.
     pub fn list_update(&self, node: usize, from: u64, to: u64) -> Update {
         let zone = self.nodes[node].zone;
-        let dial = |server| (self.dial)(server, zone);
+        let dial = |server| (self.server_address)(server, zone);
         if from == 0 {
             self.list.full(to, dial)
         } else {
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -208,6 +208,7 @@
     pub is_retry: bool,
 }
 
+/// Events on the timeline.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     ClientArrives(usize),
@@ -265,6 +266,7 @@
 
 impl Eq for Due {}
 
+/// State of a server process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Power {
     Up,
@@ -274,6 +276,7 @@
     Off,
 }
 
+/// A server and its state; a replacement is a new instance.
 #[derive(Debug)]
 struct ServerInstance {
     spec: ServerSpec,
@@ -284,6 +287,7 @@
     born_ms: f64,
     /// Work done by its earlier processes.
     earlier_work_done: f64,
+    /// Time of the next scheduled state change.
     next_step: Option<Us>,
     slowdown: f64,
     stolen_share: f64,
@@ -296,6 +300,7 @@
     gray_failure: (f64, Us, f64),
 }
 
+/// A node, as seen from outside.
 #[derive(Debug)]
 struct Node {
     zone: usize,
@@ -317,6 +322,7 @@
     delayed_from: Option<u64>,
 }
 
+/// A client's request.
 #[derive(Debug)]
 struct Request {
     try_count: usize,
@@ -328,6 +334,7 @@
     rng: Pcg64,
 }
 
+/// A try of a request.
 #[derive(Debug)]
 struct Try {
     request: usize,
@@ -346,22 +353,29 @@
     served: bool,
 }
 
+/// Where an attempt is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
+    /// On its way to the server.
     InTransit,
+    /// Runs or waits at the server.
     AtServer,
     Answered(ServerReply),
+    /// Cancelled.
     Closed,
 }
 
+/// A node's attempt at a server.
 #[derive(Debug)]
 struct Attempt {
     try_id: usize,
+    /// Number of this attempt within its try, as the referee counts.
     attempt_in_try: usize,
     server: usize,
     incarnation: u32,
     zone: usize,
     stage: Stage,
+    /// The node had been notified of the server's start when it sent the attempt.
     informed: bool,
     /// The server was faulty when the attempt was sent.
     server_faulty: bool,
@@ -381,7 +395,7 @@
 }
 
 /// Address at which the nodes of a zone reach a server, from the numbers of the server and the zone.
-pub type Dial = Rc<dyn Fn(usize, usize) -> SocketAddr>;
+pub type ServerAddressFn = Rc<dyn Fn(usize, usize) -> SocketAddr>;
 
 /// State of the emulated surroundings; see the module's documentation.
 pub struct World {
@@ -390,11 +404,11 @@
     /// How late each event was handled, in microseconds.
     lateness: Vec<u32>,
     queue: BinaryHeap<Reverse<Due>>,
-    order: u64,
+    last_order: u64,
     effects: VecDeque<Effect>,
     rng: Pcg64,
     unix_start_ms: f64,
-    dial: Dial,
+    server_address: ServerAddressFn,
     servers: Vec<ServerInstance>,
     nodes: Vec<Node>,
     front_turns: Vec<usize>,
@@ -417,7 +431,7 @@
 
 impl World {
     /// Creates the world at time 0. `unix_start_ms` is the wall-clock time of the start.
-    pub fn new(draw: Rc<Draw>, rules: Rules, unix_start_ms: f64, dial: Dial) -> Self {
+    pub fn new(draw: Rc<Draw>, rules: Rules, unix_start_ms: f64, server_address: ServerAddressFn) -> Self {
         let servers: Vec<ServerInstance> =
             draw.servers.iter().map(|spec| ServerInstance::new(spec.clone(), None, 0.0)).collect();
         let entries = servers
@@ -441,11 +455,11 @@
             now: 0,
             lateness: Vec::new(),
             queue: BinaryHeap::new(),
-            order: 0,
+            last_order: 0,
             effects: VecDeque::new(),
             rng: draw.network_rng(),
             unix_start_ms,
-            dial,
+            server_address,
             nodes: nodes.collect(),
             front_turns: vec![0; zones],
             requests: Vec::with_capacity(draw.arrivals.len()),
@@ -478,9 +492,10 @@
         world
     }
 
+    /// Schedules an event, not earlier than now.
     fn schedule_event(&mut self, due: Us, event: Event) {
-        self.order += 1;
-        self.queue.push(Reverse(Due { at: due.max(self.now), order: self.order, event }));
+        self.last_order += 1;
+        self.queue.push(Reverse(Due { at: due.max(self.now), order: self.last_order, event }));
     }
 
     /// Time of the next event, if any.
@@ -498,6 +513,7 @@
         self.now = self.now.max(now);
     }
 
+    /// Removes the next event that is due by `now`.
     fn pop_due(&mut self, now: Us) -> Option<Reverse<Due>> {
         let due = self.next_due().is_some_and(|due| due <= now);
         if due {
@@ -525,11 +541,13 @@
         self.now
     }
 
+    /// A link delay with random jitter.
     fn jittered(&mut self, delay: Us) -> Us {
         let jitter: f64 = Exp1.sample(&mut self.rng);
         (delay as f64 * (1.0 + self.draw.jitter * jitter)) as Us
     }
 
+    /// Handles an event.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::ClientArrives(n) => self.client_arrives(n),
@@ -568,9 +586,9 @@
 }
 
 impl ServerInstance {
-    fn new(spec: ServerSpec, born: Option<Us>, born_ms: f64) -> Self {
+    fn new(spec: ServerSpec, started_at: Option<Us>, born_ms: f64) -> Self {
         Self {
-            model: Server::new(spec.parameters.clone(), born),
+            model: Server::new(spec.parameters.clone(), started_at),
             spec,
             power: Power::Up,
             incarnation: 0,
@@ -604,6 +622,7 @@
     format!("s-{:08x}", rng.random::<u32>())
 }
 
+/// List entry of a server.
 fn entry(draw: &Draw, server: usize, instance: &ServerInstance, health: Health) -> ServerEntry {
     ServerEntry {
         name: name_of(draw, server),
