--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on lines written by hand, and the limits on the module's text.
+//! The simulator adapter on handwritten lines, and the size limits of the module's source.
 
 use serde_json::{json, Value};
 use tulipmount::wire::Adapter;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_request_goes_out_and_comes_back() {
+fn a_request_is_sent_and_its_outcome_handled() {
     let mut host = Adapter::default();
     let parts = reply(&mut host, 1, 100.0, json!([{"I": 3, "input": start(two_servers())}]));
     let steps = parts[0]["steps"].as_array().expect("steps");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_restart_in_one_batch_forgets_all() {
+fn a_restart_within_a_batch_discards_all_state() {
     let mut host = Adapter::default();
     reply(&mut host, 1, 100.0, json!([{"I": 0, "input": start(two_servers())}]));
     let mut input = vec![json!(["HALT"])];
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_table_used_again_within_a_batch_is_read_in_order() {
+fn a_table_replaced_within_a_batch_is_read_in_order() {
     let mut host = Adapter::default();
     let mut input = start(two_servers()).as_array().expect("events").clone();
     input.push(json!(["ROSTER", 0, [[11, "a", "x", 0, "fading", 1, null]]]));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_named() {
+fn malformed_input_is_named_in_the_error() {
     let no_me = {
         let mut o = options();
         o.as_object_mut().expect("object").remove("Me");
@@ -113,7 +113,7 @@
         input.push(event);
         batch(1, 1.0, json!([{"I": 0, "input": input}]))
     };
-    for (line, words) in [
+    for (line, message) in [
         (with("Weights", json!("heavy")), "Weights: heavy is unknown"),
         (with("Discovery", json!("gossip")), "Discovery: gossip is unknown"),
         (with("Tick", json!("2")), "Tick: number expected"),
@@ -132,13 +132,13 @@
         (no_me, "Me is missing"),
         (no_classes, "no classes"),
     ] {
-        let error = Adapter::default().handle_line(&line).expect_err(words);
-        assert!(error.contains(words), "{error}");
+        let error = Adapter::default().handle_line(&line).expect_err(message);
+        assert!(error.contains(message), "{error}");
     }
 }
 
 #[test]
-fn the_module_keeps_to_its_size() {
+fn the_module_source_stays_within_its_size_limits() {
     let text = include_str!("../src/balance.rs");
     let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
     assert!((300..=1200).contains(&lines), "{lines} lines");
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn the_program_names_what_is_malformed_and_exits_with_an_error() {
+fn the_program_reports_malformed_input_and_fails() {
     use std::io::Write;
     use std::process::{Command, Stdio};
     let mut host = Command::new(env!("CARGO_BIN_EXE_tulipmount-simhost"))
@@ -162,7 +162,7 @@
     host.stdin.take().expect("piped").write_all(lines.as_bytes()).expect("written");
     let out = host.wait_with_output().expect("it ends");
     assert!(!out.status.success());
-    let (said, fault) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
-    assert_eq!(said.lines().count(), 1, "the empty batch is answered: {said}");
-    assert!(fault.contains("Time: number expected") && !fault.contains("panicked"), "{fault}");
+    let (output, errors) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
+    assert_eq!(output.lines().count(), 1, "the empty batch is answered: {output}");
+    assert!(errors.contains("Time: number expected") && !errors.contains("panicked"), "{errors}");
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Settings that change in service: one request is judged by one policy, and nothing jumps.
+//! Settings that change in service: each request is judged by one policy, and nothing jumps.
 
 mod common;
 use common::*;
@@ -8,10 +8,10 @@
     node.event(Event::Policy(Box::new(settings)))
 }
 
-/// How many of a burst of a tenant's requests are within its share: those go before an older one that is worth as
-/// much, the others after it.
-fn within_share(node: &mut Node) -> usize {
-    // Errors of unsafe requests free their places and teach nothing of their server's pace.
+/// How many of a burst of a tenant's requests are within its quota: those are sent before an older request of
+/// equal worth, the others after it.
+fn within_quota(node: &mut Node) -> usize {
+    // Errors of unsafe requests free their slots and teach nothing about the server's latency.
     let mut out: Vec<_> = (0..4).map(|_| node.ask(UNSAFE).0).collect();
     let (marker, actions) = node.ask(UNSAFE);
     assert!(sends(&actions).is_empty(), "the one server is full");
@@ -27,7 +27,7 @@
     sent.iter().position(|id| *id == marker).expect("sent")
 }
 
-/// The servers of requests that are served one after the other.
+/// The servers of requests served one after the other.
 fn turns(node: &mut Node, count: usize) -> Vec<u64> {
     (0..count).map(|_| node.serve(SAFE, 5.0).expect("sent").0).collect()
 }
@@ -37,79 +37,79 @@
 }
 
 #[test]
-fn a_request_keeps_the_aim_that_it_came_under() {
+fn a_request_keeps_the_slo_it_arrived_under() {
     let mut node = Node::fleet(settings(), 1);
     let mut short = settings();
     short.classes[SAFE].slo = 40.0;
     let timeout = |actions: &[Action]| {
         actions.iter().find_map(|a| if let Action::Send { timeout, .. } = a { *timeout } else { None })
     };
-    // Four attempts fill the one server; what comes then is held.
+    // Four attempts fill the one server; later requests are queued.
     let out: Vec<_> = (0..4).map(|_| node.ask(SAFE)).collect();
     assert!(out.iter().all(|(_, actions)| timeout(actions) == Some(98.0)), "{out:?}");
-    let (held, actions) = node.ask(SAFE);
+    let (queued, actions) = node.ask(SAFE);
     assert_eq!(sends(&actions), []);
     policy(&mut node, short);
     let (late, _) = node.ask(SAFE);
-    // A quarter of an aim is how long one is held: 10 of 40, 25 of 100.
+    // Requests are queued for a quarter of the SLO: 10 of 40, 25 of 100.
     let actions = node.wait(15.0);
-    assert!(refused(&actions, late) && !refused(&actions, held), "{actions:?}");
+    assert!(refused(&actions, late) && !refused(&actions, queued), "{actions:?}");
     assert!(actions.contains(&Action::Refuse { id: late, retry_after: 10.0 }), "{actions:?}");
     let actions = node.end(out[0].0, Outcome::Success);
     assert_eq!(
         (sends(&actions), timeout(&actions)),
-        (vec![held], Some(83.0)),
-        "its own aim, less the 15 held"
+        (vec![queued], Some(83.0)),
+        "its own SLO, less the 15 queued"
     );
     node.end(out[1].0, Outcome::Success);
     assert_eq!(timeout(&node.ask(SAFE).1), Some(38.0));
 }
 
 #[test]
-fn attempts_cut_to_one_leave_retries_under_way() {
+fn fewer_attempts_do_not_affect_earlier_requests() {
     let mut node = Node::fleet(settings(), 3);
     let (old, _) = node.ask(SAFE);
     policy(&mut node, Settings { limits: Limits { max_attempts: 1, ..settings().limits }, ..settings() });
     let (new, _) = node.ask(SAFE);
-    assert_eq!(sends(&node.end(old, Outcome::Error)), [old], "it came when four were permitted");
+    assert_eq!(sends(&node.end(old, Outcome::Error)), [old], "it arrived when four were permitted");
     assert_eq!(sends(&node.end(old, Outcome::Error)), [old]);
     let actions = node.end(new, Outcome::Error);
     assert!(sends(&actions).is_empty() && refused(&actions, new), "{actions:?}");
 }
 
 #[test]
-fn a_smaller_retry_budget_takes_what_was_saved_up() {
+fn a_smaller_retry_budget_cuts_the_accumulated_one() {
     let mut node = Node::fleet(settings(), 3);
     policy(&mut node, Settings { retry_budget: RetryBudget { ratio: 0.0, max: 1.0 }, ..settings() });
     let retried = |node: &mut Node| {
         let (id, _) = node.ask(SAFE);
         !sends(&node.end(id, Outcome::Error)).is_empty()
     };
-    assert!(retried(&mut node) && !retried(&mut node), "one is left of ten");
+    assert!(retried(&mut node) && !retried(&mut node), "one of ten is left");
     policy(&mut node, settings());
-    assert!(!retried(&mut node), "a larger one is earned");
+    assert!(!retried(&mut node), "a larger budget has to accumulate");
 }
 
 #[test]
-fn a_quota_that_halves_gives_no_burst() {
-    // Over its share a tenant's requests are worth nothing: with one server full, those within go first.
-    let set =
+fn halving_a_quota_gives_no_burst() {
+    // Over its quota a tenant's requests are worth nothing: with one server full, those within go first.
+    let with_quota =
         |quota_per_s| Settings { tenants: vec![Tenant { quota_per_s }], over_quota_worth: 0.0, ..settings() };
-    let mut node = Node::fleet(set(40.0), 1);
+    let mut node = Node::fleet(with_quota(40.0), 1);
     node.wait(1000.0);
-    assert_eq!(within_share(&mut node), 20, "all that two nodes may save up in a second");
+    assert_eq!(within_quota(&mut node), 20, "all that two nodes may accumulate in a second");
     node.wait(1000.0);
-    policy(&mut node, set(20.0));
-    assert_eq!(within_share(&mut node), 10, "cut to the new most");
+    policy(&mut node, with_quota(20.0));
+    assert_eq!(within_quota(&mut node), 10, "cut to the new maximum");
     node.wait(110.0);
-    policy(&mut node, set(40.0));
-    assert_eq!(within_share(&mut node), 1, "what came under the old share counts as it was then");
+    policy(&mut node, with_quota(40.0));
+    assert_eq!(within_quota(&mut node), 1, "time under the old quota accrues at the old rate");
     node.wait(110.0);
-    assert_eq!(within_share(&mut node), 2);
+    assert_eq!(within_quota(&mut node), 2);
 }
 
 #[test]
-fn weights_that_change_in_a_round_let_no_turn_jump() {
+fn weight_changes_within_a_round_keep_the_order_of_turns() {
     let mut node = Node::fleet(settings(), 4);
     assert_eq!(turns(&mut node, 6), [0, 1, 2, 3, 0, 1]);
     let weights = [(ServerId(2), 2.0), (ServerId(9), 0.5)].into();
@@ -121,7 +121,7 @@
     policy(&mut node, settings());
     let round = turns(&mut node, 8);
     assert_eq!([0, 1, 2, 3].map(|id| count(&round, id)), [2; 4], "{round:?}");
-    // One that is listed later has its factor from the start.
+    // A server listed later has its factor from the start.
     let weights = [(ServerId(9), 0.5)].into();
     policy(&mut node, Settings { server_weights: weights, ..settings() });
     node.event(Event::ListChange(vec![entry(9, 1.0)]));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_larger_weight_does_not_push_a_cold_server() {
+fn a_larger_weight_does_not_overload_a_cold_server() {
     let sent = |weights: &[(ServerId, f64)]| {
         let mut node = Node::fleet(settings(), 3);
         policy(&mut node, Settings { server_weights: weights.iter().copied().collect(), ..settings() });
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_shorter_deadline_makes_no_new_request_an_old_one() {
+fn a_shorter_deadline_does_not_make_new_requests_look_old() {
     let mut node = Node::fleet(settings(), 2);
     node.ask_with(UNSAFE, None, 1000.0);
     let mut short = settings();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn held_requests_are_answered_in_time_though_aims_grow() {
+fn queued_requests_are_answered_in_time_when_slos_grow() {
     let mut node = Node::fleet(settings(), 0);
     let (id, _) = node.ask_with(SAFE, None, 90.0);
     let mut long = settings();
@@ -178,11 +178,11 @@
     }
     policy(&mut node, long);
     let actions = node.wait(35.0);
-    assert!(refused(&actions, id), "a quarter of its own aim has passed: {actions:?}");
+    assert!(refused(&actions, id), "a quarter of its own SLO has passed: {actions:?}");
 }
 
 #[test]
-fn what_may_not_change_changes_nothing() {
+fn a_policy_that_changes_fixed_settings_is_ignored() {
     type Change = fn(&mut Settings);
     let changes: [(&str, Change); 11] = [
         ("node_index", |s| s.node_index = 1),
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The four rules over generated days, and proof that the referee catches broken variants.
+//! The four rules over generated event sequences, and tests that the referee detects broken variants.
 
 mod common;
 use common::*;
@@ -6,23 +6,24 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use tulipmount::*;
 
-/// One step of a day.
+/// One step of a generated sequence.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(usize, f64),
-    /// Ends some attempt that is out, in some way.
+    Request(usize, f64),
+    /// Ends one of the outstanding attempts.
     End(usize, Outcome),
     List(usize, ServerState, bool),
     ListFailed,
-    Leave(usize),
+    ClientGone(usize),
     Wait(f64),
     Probe(usize, bool),
-    /// The group rules one server out, and may let another be probed.
+    /// The group removes one server, and may let another be probed.
     Verdicts(usize, Option<usize>),
-    /// New aims, as parts of those at first, then attempts, failures that eject, retries and a server's weight.
+    /// New SLOs as multiples of the original ones, then maximum attempts, failures before ejection, retry
+    /// budget and a server's weight.
     Policy([f64; 3], usize, u32, f64, f64),
-    /// Events about things that never were.
-    Odd(u64),
+    /// Events about requests and attempts that never existed.
+    Unknown(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -36,21 +37,21 @@
     ];
     let state = prop_oneof![3 => Just(ServerState::Up), 1 => Just(ServerState::Draining), 1 => Just(ServerState::Gone)];
     prop_oneof![
-        8 => (0..3usize, 20.0..400.0).prop_map(|(class, time)| Step::Ask(class, time)),
+        8 => (0..3usize, 20.0..400.0).prop_map(|(class, time)| Step::Request(class, time)),
         8 => (any::<prop::sample::Index>(), outcome).prop_map(|(i, o)| Step::End(i.index(1000), o)),
         1 => (0..6usize, state, any::<bool>()).prop_map(|(s, l, cold)| Step::List(s, l, cold)),
         1 => Just(Step::ListFailed),
-        1 => any::<prop::sample::Index>().prop_map(|i| Step::Leave(i.index(1000))),
+        1 => any::<prop::sample::Index>().prop_map(|i| Step::ClientGone(i.index(1000))),
         6 => (0.1..40.0).prop_map(Step::Wait),
         1 => (0..6usize, any::<bool>()).prop_map(|(s, up)| Step::Probe(s, up)),
         1 => (0..6usize, prop::option::of(0..6usize)).prop_map(|(out, probe)| Step::Verdicts(out, probe)),
-        1 => any::<u64>().prop_map(Step::Odd),
+        1 => any::<u64>().prop_map(Step::Unknown),
         1 => ([0.2..3.0, 0.2..3.0, 0.2..3.0], 1..6usize, 1..5u32, 0.0..10.0, 0.01..100.0)
             .prop_map(|(aims, attempts, fails, most, weight)| Step::Policy(aims, attempts, fails, most, weight)),
     ]
 }
 
-struct Out {
+struct Outstanding {
     id: RequestId,
     attempt: usize,
     server: ServerId,
@@ -59,21 +60,21 @@
     cancelled: bool,
 }
 
-/// Changes what the balancer does, to see whether the referee notices.
+/// Alters the balancer's actions, to test that the referee notices.
 type Variant = fn(&Action) -> Option<Action>;
 
-struct Day {
+struct Run {
     settings: Settings,
     balancer: Balancer,
     referee: Referee,
     now: f64,
-    out: Vec<Out>,
-    /// Deadline, attempts made, attempts permitted when it came.
+    out: Vec<Outstanding>,
+    /// Deadline, attempts made, and attempts permitted on arrival.
     open: std::collections::BTreeMap<RequestId, (f64, usize, usize)>,
     variant: Variant,
 }
 
-impl Day {
+impl Run {
     fn event(&mut self, event: Event) {
         self.referee.told(self.now, &event);
         let mut actions = Vec::new();
@@ -82,14 +83,21 @@
             self.referee.did(&self.settings, self.now, &action);
             match action {
                 Action::Send { id, server, timeout } => {
-                    let Some((deadline, attempts, most)) = self.open.get_mut(&id) else { continue };
+                    let Some((deadline, attempts, max_attempts)) = self.open.get_mut(&id) else { continue };
                     let until = timeout.map_or(*deadline, |t| (self.now + t).min(*deadline));
                     let attempt = *attempts;
                     *attempts += 1;
-                    if *attempts > *most {
+                    if *attempts > *max_attempts {
                         self.referee.breaches.push(format!("attempts: {id:?} was sent once too often"));
                     }
-                    self.out.push(Out { id, attempt, server, sent: self.now, until, cancelled: false });
+                    self.out.push(Outstanding {
+                        id,
+                        attempt,
+                        server,
+                        sent: self.now,
+                        until,
+                        cancelled: false,
+                    });
                 }
                 Action::Cancel { id, attempt } => {
                     for out in self.out.iter_mut().filter(|o| o.id == id && o.attempt == attempt) {
@@ -106,8 +114,8 @@
 
     fn end(&mut self, index: usize, outcome: Outcome) {
         let out = self.out.remove(index);
-        let owed = self.open.contains_key(&out.id);
-        let finished = !owed || outcome == Outcome::Success;
+        let unanswered = self.open.contains_key(&out.id);
+        let finished = !unanswered || outcome == Outcome::Success;
         if finished {
             self.open.remove(&out.id);
         }
@@ -137,20 +145,20 @@
     }
 }
 
-fn run(steps: &[Step], variant: Variant) -> Vec<String> {
+fn play(steps: &[Step], variant: Variant) -> Vec<String> {
     let settings = Settings { votes: Some(votes()), ..settings() };
     let balancer = Balancer::new(settings.clone(), 7).expect("good settings");
     let (referee, out, open) = (Referee::default(), Vec::new(), Default::default());
-    let mut day = Day { settings, balancer, referee, now: 50_000.0, out, open, variant };
-    day.event(Event::List { entries: (0..4).map(|id| entry(id, 1.0)).collect(), saved: true });
+    let mut run = Run { settings, balancer, referee, now: 50_000.0, out, open, variant };
+    run.event(Event::List { entries: (0..4).map(|id| entry(id, 1.0)).collect(), saved: true });
     let mut next = 0;
     for step in steps {
         match step {
-            Step::Ask(class, time) => {
-                let (id, deadline) = (RequestId(next), day.now + time);
+            Step::Request(class, time) => {
+                let (id, deadline) = (RequestId(next), run.now + time);
                 next += 1;
-                day.open.insert(id, (deadline, 0, day.settings.limits.max_attempts));
-                day.event(Event::Request {
+                run.open.insert(id, (deadline, 0, run.settings.limits.max_attempts));
+                run.event(Event::Request {
                     id,
                     class: *class,
                     tenant: None,
@@ -161,31 +169,31 @@
                 });
             }
             Step::End(i, outcome) => {
-                if !day.out.is_empty() {
-                    day.end(i % day.out.len(), *outcome);
+                if !run.out.is_empty() {
+                    run.end(i % run.out.len(), *outcome);
                 }
             }
             Step::List(server, state, cold) => {
-                let started = cold.then_some(day.now - 500.0);
+                let started = cold.then_some(run.now - 500.0);
                 let changed = Entry { state: *state, started_at: started, ..entry(*server as u64, 1.0) };
-                day.event(Event::ListChange(vec![changed]));
+                run.event(Event::ListChange(vec![changed]));
             }
-            Step::ListFailed => day.event(Event::ListFailed),
-            Step::Leave(i) => {
-                if let Some(id) = day.open.keys().nth(i % day.open.len().max(1)).copied() {
-                    day.open.remove(&id);
-                    day.event(Event::ClientGone(id));
+            Step::ListFailed => run.event(Event::ListFailed),
+            Step::ClientGone(i) => {
+                if let Some(id) = run.open.keys().nth(i % run.open.len().max(1)).copied() {
+                    run.open.remove(&id);
+                    run.event(Event::ClientGone(id));
                 }
             }
-            Step::Wait(span) => day.wait(*span),
+            Step::Wait(span) => run.wait(*span),
             Step::Probe(server, up) => {
                 let outcome = if *up { Outcome::Success } else { Outcome::ConnectFailed };
-                day.event(Event::ProbeEnded { server: ServerId(*server as u64), outcome, elapsed: 1.0 });
+                run.event(Event::ProbeEnded { server: ServerId(*server as u64), outcome, elapsed: 1.0 });
             }
-            Step::Verdicts(out, probe) => {
-                let ruling = |(server, probe)| ServerVerdict { server: ServerId(server as u64), probe };
-                let rulings = [Some((*out, false)), probe.map(|server| (server, true))];
-                day.event(Event::Verdicts(rulings.into_iter().flatten().map(ruling).collect()));
+            Step::Verdicts(removed, probe) => {
+                let verdict = |(server, probe)| ServerVerdict { server: ServerId(server as u64), probe };
+                let verdicts = [Some((*removed, false)), probe.map(|server| (server, true))];
+                run.event(Event::Verdicts(verdicts.into_iter().flatten().map(verdict).collect()));
             }
             Step::Policy(aims, attempts, failures, most, weight) => {
                 let mut new = common::settings();
@@ -197,13 +205,13 @@
                 new.ejection.consecutive_failures = *failures;
                 new.retry_budget.max = *most;
                 new.server_weights = [(ServerId(*attempts as u64), *weight)].into();
-                day.settings = new.clone();
-                day.event(Event::Policy(Box::new(new)));
+                run.settings = new.clone();
+                run.event(Event::Policy(Box::new(new)));
             }
-            Step::Odd(n) => {
+            Step::Unknown(n) => {
                 let (id, server) = (RequestId(n | 1 << 40), ServerId(*n));
                 let (outcome, took) = (Outcome::TimedOut, 3.0);
-                day.event(Event::AttemptEnded {
+                run.event(Event::AttemptEnded {
                     id,
                     attempt: 9,
                     server,
@@ -211,22 +219,23 @@
                     elapsed: took,
                     answered: false,
                 });
-                day.event(Event::Streaming { id, attempt: 0 });
-                day.event(Event::ClientGone(id));
-                day.event(Event::ProbeEnded { server, outcome, elapsed: took });
+                run.event(Event::Streaming { id, attempt: 0 });
+                run.event(Event::ClientGone(id));
+                run.event(Event::ProbeEnded { server, outcome, elapsed: took });
             }
         }
     }
-    day.wait(1000.0);
-    day.referee.finish();
-    day.referee.breaches
+    run.wait(1000.0);
+    run.referee.finish();
+    run.referee.breaches
 }
 
-/// The same days each time, unless the environment's `PROPTEST_CASES` and `PROPTEST_SEED` (0 to 255) say otherwise.
+/// A fixed seed, unless the environment variables `PROPTEST_CASES` and `PROPTEST_SEED` (0 to 255) say
+/// otherwise.
 fn runner(cases: u32) -> TestRunner {
-    let told = |name| std::env::var(name).ok().and_then(|value| value.parse::<u32>().ok());
-    let cases = told("PROPTEST_CASES").unwrap_or(cases);
-    let seed = told("PROPTEST_SEED").map_or(7, |seed| seed as u8);
+    let variable = |name| std::env::var(name).ok().and_then(|value| value.parse::<u32>().ok());
+    let cases = variable("PROPTEST_CASES").unwrap_or(cases);
+    let seed = variable("PROPTEST_SEED").map_or(7, |seed| seed as u8);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     TestRunner::new_with_rng(Config { cases, failure_persistence: None, ..Config::default() }, rng)
 }
@@ -235,7 +244,7 @@
 fn the_four_rules_hold() {
     runner(4000)
         .run(&prop::collection::vec(step(), 1..250), |steps| {
-            let breaches = run(&steps, |a| Some(a.clone()));
+            let breaches = play(&steps, |a| Some(a.clone()));
             prop_assert!(breaches.is_empty(), "{breaches:?}");
             Ok(())
         })
@@ -244,7 +253,7 @@
 
 #[test]
 fn identical_events_give_identical_actions() {
-    let days = |seed| {
+    let trace = |seed| {
         let mut log = Vec::new();
         let mut node = Node::new(settings(), (0..5).map(|id| entry(id, 1.0 + id as f64)).collect());
         for n in 0..300u64 {
@@ -257,44 +266,44 @@
         }
         log
     };
-    assert_eq!(days(5), days(5));
+    assert_eq!(trace(5), trace(5));
 }
 
-/// What a broken variant must be caught at.
-fn caught(rule: &str, variant: Variant) {
+/// Asserts that a broken variant is reported as a breach of `rule`.
+fn assert_detected(rule: &str, variant: Variant) {
     let found = std::cell::Cell::new(false);
-    let days = prop::collection::vec(step(), 100..250);
-    let _ = runner(100).run(&days, |steps| {
-        found.set(found.get() || run(&steps, variant).iter().any(|b| b.starts_with(rule)));
+    let sequences = prop::collection::vec(step(), 100..250);
+    let _ = runner(100).run(&sequences, |steps| {
+        found.set(found.get() || play(&steps, variant).iter().any(|b| b.starts_with(rule)));
         Ok(())
     });
-    assert!(found.get(), "no day shows the breach of {rule}");
+    assert!(found.get(), "no run shows the breach of {rule}");
 }
 
 #[test]
-fn the_referee_catches_a_lost_answer() {
-    caught("rule 1", |a| if matches!(a, Action::Fail(_)) { None } else { Some(a.clone()) });
+fn the_referee_detects_a_lost_answer() {
+    assert_detected("rule 1", |a| if matches!(a, Action::Fail(_)) { None } else { Some(a.clone()) });
 }
 
 #[test]
-fn the_referee_catches_a_refusal_of_what_may_have_run() {
-    caught("rule 2", |a| match a {
+fn the_referee_detects_a_refusal_of_a_request_that_may_have_run() {
+    assert_detected("rule 2", |a| match a {
         Action::Fail(id) => Some(Action::Refuse { id: *id, retry_after: 0.0 }),
         a => Some(a.clone()),
     });
 }
 
 #[test]
-fn the_referee_catches_a_second_run() {
-    caught("rule 2", |a| match a {
+fn the_referee_detects_a_second_execution() {
+    assert_detected("rule 2", |a| match a {
         Action::Fail(id) => Some(Action::Send { id: *id, server: ServerId(0), timeout: None }),
         a => Some(a.clone()),
     });
 }
 
 #[test]
-fn the_referee_catches_sends_to_drained_servers() {
-    caught("rule 3", |a| match a {
+fn the_referee_detects_sends_to_drained_servers() {
+    assert_detected("rule 3", |a| match a {
         Action::Send { id, timeout, .. } => {
             Some(Action::Send { id: *id, server: ServerId(1), timeout: *timeout })
         }
@@ -303,9 +312,9 @@
 }
 
 #[test]
-fn the_referee_catches_sends_to_removed_servers_and_probes_with_what_may_not() {
-    for words in ["votes: ServerId", "votes: RequestId"] {
-        caught(words, |a| match a {
+fn the_referee_detects_sends_to_removed_servers_and_unsafe_probes() {
+    for breach in ["votes: ServerId", "votes: RequestId"] {
+        assert_detected(breach, |a| match a {
             Action::Send { id, timeout, .. } => {
                 Some(Action::Send { id: *id, server: ServerId(1), timeout: *timeout })
             }
@@ -315,8 +324,8 @@
 }
 
 #[test]
-fn the_referee_catches_a_cold_server_pushed_over() {
-    caught("rule 4", |a| match a {
+fn the_referee_detects_an_overloaded_cold_server() {
+    assert_detected("rule 4", |a| match a {
         Action::Send { id, timeout, .. } => {
             Some(Action::Send { id: *id, server: ServerId(1), timeout: *timeout })
         }
--- a/tests/rotation.rs
+++ b/tests/rotation.rs
@@ -1,4 +1,4 @@
-//! The rotation: evenness, offset, interleaving, what restarts it and what does not.
+//! The rotation: evenness, offsets, interleaving, and what does and does not restart it.
 
 mod common;
 use common::*;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn each_node_starts_at_its_own_number() {
+fn each_node_starts_at_its_own_offset() {
     let mut node = Node::fleet(Settings { node_index: 1, node_count: 7, ..settings() }, 4);
     assert_eq!(turns(&mut node, 5), [1, 2, 3, 0, 1]);
     let mut node = Node::fleet(Settings { node_index: 6, node_count: 7, ..settings() }, 4);
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn the_order_is_that_of_the_ids_not_of_the_list() {
+fn the_order_is_by_id_not_by_list_position() {
     let mut node = Node::new(settings(), vec![entry(9, 1.0), entry(2, 1.0), entry(5, 1.0)]);
     assert_eq!(turns(&mut node, 3), [2, 5, 9]);
 }
 
 #[test]
-fn weights_interleave_instead_of_repeating() {
+fn weighted_turns_are_interleaved() {
     let mut node = Node::new(settings(), vec![entry(0, 2.0), entry(1, 1.0), entry(2, 1.0)]);
     let order = turns(&mut node, 40);
     assert_eq!(order.iter().filter(|s| **s == 0).count(), 20);
@@ -42,17 +42,17 @@
 }
 
 #[test]
-fn a_weight_change_does_not_restart() {
+fn a_weight_change_does_not_restart_the_rotation() {
     let mut node = Node::fleet(settings(), 4);
     turns(&mut node, 2);
     node.event(Event::ListChange(vec![entry(0, 1.1)]));
     assert_eq!(turns(&mut node, 2), [2, 3]);
 }
 
-/// Guards the change that outruns the round: with all nodes back at their offsets at each change of the list,
-/// the servers after the offsets got everything.
+/// Regression: list changes that come faster than a round. With all nodes back at their offsets at each
+/// change, the servers after the offsets got everything.
 #[test]
-fn a_change_of_members_keeps_the_place() {
+fn a_membership_change_keeps_the_cursor() {
     let mut node = Node::fleet(Settings { node_index: 1, ..settings() }, 3);
     assert_eq!(turns(&mut node, 2), [1, 2]);
     node.event(Event::ListChange(vec![entry(3, 1.0)]));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_unready_server_is_passed_over_in_place() {
+fn a_server_that_is_not_ready_loses_only_its_turn() {
     let mut node = Node::fleet(settings(), 4);
     turns(&mut node, 1);
     for round in 0..3 {
@@ -70,7 +70,7 @@
         assert_eq!(sent_to(&actions), Some(ServerId(1)), "round {round}");
         node.now += 30.0;
         let actions = node.end(id, Outcome::ConnectFailed);
-        assert_eq!(sent_to(&actions), Some(ServerId(2)), "a further attempt takes the next turn");
+        assert_eq!(sent_to(&actions), Some(ServerId(2)), "a retry takes the next turn");
         node.end(id, Outcome::Success);
         assert_eq!(turns(&mut node, 2), [3, 0]);
     }
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn live_weights_do_not_steer_by_load() {
+fn live_weights_do_not_follow_load() {
     let live = Settings { weights: Weights::Live, ..settings() };
     let mut node = Node::new(live, vec![entry(0, 1.0), entry(1, 1.0)]);
     node.event(Event::ListChange(vec![entry(0, 0.1)]));
@@ -86,13 +86,13 @@
 }
 
 #[test]
-fn a_server_with_late_answers_loses_turns_slowly() {
+fn a_server_with_slow_answers_loses_turns_gradually() {
     let mut node = Node::fleet(settings(), 4);
     let mut sent = [0; 4];
     for round in 0..400 {
         let (id, actions) = node.ask(SAFE);
         let server = sent_to(&actions).expect("sent");
-        // The listed sizes are alike, yet server 0 takes most of the aim.
+        // The listed sizes are equal, yet server 0 takes most of the SLO.
         node.now += if server.0 == 0 { 90.0 } else { 10.0 };
         node.end(id, Outcome::Success);
         if round >= 300 {
@@ -104,38 +104,39 @@
 
 /// The servers that each of `nodes` nodes sends to in two rounds.
 fn subsets(nodes: usize, servers: &[Entry]) -> Vec<Vec<u64>> {
-    let of = |number| {
+    let subset = |number| {
         let mut node =
             Node::new(Settings { node_index: number, node_count: nodes, ..settings() }, servers.to_vec());
-        let mut met = turns(&mut node, 12);
-        met.sort_unstable();
-        met.dedup();
-        met
+        let mut used = turns(&mut node, 12);
+        used.sort_unstable();
+        used.dedup();
+        used
     };
-    (0..nodes).map(of).collect()
+    (0..nodes).map(subset).collect()
 }
 
-/// Guards full size: with each node on every server, connections were nodes times servers and full tables
-/// looked like dead processes, while no node saw any server often enough to learn from it.
+/// Regression at full size: with each node on every server, connections were nodes times servers, full
+/// connection tables looked like dead processes, and no node saw any server often enough to learn from it.
 #[test]
-fn many_nodes_share_the_fleet_out_evenly() {
-    // The fewer the servers, the oftener one stands twice in what a node reads and a neighbour's is taken.
-    for (nodes, servers, even) in [(305, 60, 0.75), (751, 123, 0.75), (49, 13, 0.55), (1800, 276, 0.75)] {
+fn subsets_cover_a_large_fleet_evenly() {
+    // With fewer servers, one more often appears twice in what a node reads, and a neighbour's is taken
+    // instead.
+    for (nodes, servers, evenness) in [(305, 60, 0.75), (751, 123, 0.75), (49, 13, 0.55), (1800, 276, 0.75)] {
         let fleet: Vec<_> = (0..servers).map(|id| entry(id * id + 7, 1.0)).collect();
-        let met = subsets(nodes, &fleet);
+        let used = subsets(nodes, &fleet);
         let mut count = std::collections::BTreeMap::new();
-        for id in met.iter().flatten() {
+        for id in used.iter().flatten() {
             *count.entry(*id).or_insert(0usize) += 1;
         }
         assert_eq!(count.len(), servers as usize, "every server has nodes");
-        let (least, most) = (count.values().min().expect("some"), count.values().max().expect("some"));
-        assert!(met.iter().all(|m| m.len() <= 6), "small parts");
-        assert!(*least as f64 > even * *most as f64, "{nodes} nodes, {servers} servers: {least} to {most}");
+        let (min, max) = (count.values().min().expect("some"), count.values().max().expect("some"));
+        assert!(used.iter().all(|m| m.len() <= 6), "small subsets");
+        assert!(*min as f64 > evenness * *max as f64, "{nodes} nodes, {servers} servers: {min} to {max}");
     }
 }
 
 #[test]
-fn a_change_of_the_list_moves_few_subsets() {
+fn a_list_change_moves_few_servers_between_subsets() {
     let fleet: Vec<_> = (0..60).map(|id| entry(id * id + 7, 1.0)).collect();
     let (before, after) = (subsets(300, &fleet), subsets(300, &fleet[1..]));
     let kept: usize =
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn few_nodes_rotate_over_the_whole_fleet() {
+fn few_nodes_use_the_whole_fleet() {
     let fleet: Vec<_> = (0..12).map(|id| entry(id, 1.0)).collect();
     assert!(subsets(4, &fleet).iter().all(|m| m.len() == 12));
 }
@@ -156,9 +157,10 @@
         .find_map(|a| if let Action::Send { id, server, .. } = a { Some((*id, *server)) } else { None })
 }
 
-/// Guards a subset that is wholly down: its node would refuse everything with the rest of the fleet idle.
+/// Regression: with all of its subset down, a node would refuse everything while the rest of the fleet is
+/// idle.
 #[test]
-fn a_subset_that_is_down_widens() {
+fn a_subset_that_is_down_grows() {
     let fleet: Vec<_> = (0..60).map(|id| entry(id, 1.0)).collect();
     let mut node = Node::new(Settings { node_count: 300, ..settings() }, fleet);
     let first = turns(&mut node, 8);
@@ -166,11 +168,11 @@
     for _ in 0..40 {
         let mut actions = node.wait(20.0);
         actions.extend(node.ask(UNSAFE).1);
-        // What was held may be sent in any of these.
+        // Queued requests may be sent in any of these steps.
         while let Some((id, server)) = sent(&actions) {
             node.now += 0.3;
             let down = first.contains(&server.0);
-            actions.retain(|a| !matches!(a, Action::Send { id: of, .. } if *of == id));
+            actions.retain(|a| !matches!(a, Action::Send { id: other, .. } if *other == id));
             actions.extend(node.end(id, if down { Outcome::ConnectFailed } else { Outcome::Success }));
             served += usize::from(!down);
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, one by one, and the failures met so far.
+//! The four rules, and regressions of failures found in incidents and experiments.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_is_resent() {
+fn an_unsafe_request_that_was_not_executed_is_resent() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut node = Node::fleet(settings(), 3);
         let (id, _) = node.ask(UNSAFE);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_not_resent_once_forgotten() {
+fn a_keyed_request_is_not_resent_after_its_dedup_window() {
     let mut slow = settings();
     slow.classes[KEYED].slo = 2000.0;
     slow.classes[KEYED].idempotency = Idempotency::Keyed { scope: DedupScope::All, dedup_window: 5.0 };
@@ -41,7 +41,7 @@
     let (id, _) = node.ask(KEYED);
     node.now += 6.0;
     let actions = node.end(id, Outcome::Error);
-    assert!(sent_to(&actions).is_none() && refused(&actions, id), "group `all` may be refused: {actions:?}");
+    assert!(sent_to(&actions).is_none() && refused(&actions, id), "scope `all` may be refused: {actions:?}");
 }
 
 #[test]
@@ -55,9 +55,9 @@
     assert_eq!(node.serve(SAFE, 1.0), Some(ServerId(0)), "what a whole list leaves out is gone");
 }
 
-/// A request whose body is passed on as it comes can be sent once, whatever its class.
+/// A request whose body is forwarded as it arrives can be sent once, whatever its class.
 #[test]
-fn a_request_that_is_coming_is_sent_once() {
+fn a_streamed_request_is_sent_once() {
     for (class, refusable) in [(SAFE, true), (UNSAFE, false)] {
         let mut node = Node::fleet(settings(), 3);
         let (id, actions) = node.ask_coming(class);
@@ -68,40 +68,40 @@
     }
     let mut node = Node::fleet(settings(), 3);
     let (id, _) = node.ask_coming(UNSAFE);
-    assert!(refused(&node.end(id, Outcome::ConnectFailed), id), "it never ran, and the client may ask again");
+    assert!(refused(&node.end(id, Outcome::ConnectFailed), id), "not executed, so the client may retry");
 }
 
-/// Its server has no work of it until it is whole, and its time counts from then on.
+/// The server has no work from a streamed request before the body is complete; its time counts from then on.
 #[test]
-fn a_request_that_is_coming_takes_no_room() {
+fn a_streamed_request_uses_no_capacity_until_complete() {
     let mut node = Node::fleet(settings(), 1);
     let coming: Vec<_> = (0..50).map(|_| node.ask_coming(SAFE)).collect();
     assert!(coming.iter().all(|(_, actions)| sent_to(actions).is_some()));
     node.now += 5000.0;
-    assert!(node.serve(SAFE, 1.0).is_some(), "there is room for others");
+    assert!(node.serve(SAFE, 1.0).is_some(), "other requests have capacity");
     for (id, _) in &coming {
         node.event(Event::BodyComplete { id: *id, deadline: node.now + PATIENCE });
     }
-    let (held, actions) = node.ask(SAFE);
-    assert!(sent_to(&actions).is_none(), "the server has all of them now");
+    let (queued, actions) = node.ask(SAFE);
+    assert!(sent_to(&actions).is_none(), "the server has work from all of them now");
     let (first, _) = coming[0];
     for (id, _) in &coming {
         node.end(*id, Outcome::Success);
     }
-    assert!(!refused(&node.wait(1.0), held) && !failed(&node.wait(1.0), first));
+    assert!(!refused(&node.wait(1.0), queued) && !failed(&node.wait(1.0), first));
 }
 
-/// Whatever the list says: a server that operators have taken out gets neither first sends nor repeats nor what
-/// is held, until one call gives it back.
+/// Whatever the list says, a server disabled by operators gets no first attempts, retries or queued requests
+/// until it is enabled.
 #[test]
 fn a_disabled_server_gets_nothing_until_it_is_enabled() {
     let mut node = Node::fleet(settings(), 2);
-    let (held, _) = node.ask(SAFE);
+    let (queued, _) = node.ask(SAFE);
     node.event(Event::Disable(ServerId(1)));
     node.event(Event::Disable(ServerId(1)));
-    let again = node.end(held, Outcome::ConnectFailed);
-    assert_eq!(sent_to(&again), Some(ServerId(0)), "a repeat goes to the one that is left");
-    node.end(held, Outcome::Success);
+    let actions = node.end(queued, Outcome::ConnectFailed);
+    assert_eq!(sent_to(&actions), Some(ServerId(0)), "a retry goes to the remaining server");
+    node.end(queued, Outcome::Success);
     for _ in 0..5 {
         assert_eq!(node.serve(SAFE, 1.0), Some(ServerId(0)));
         node.event(Event::List { entries: vec![entry(0, 1.0), entry(1, 1.0)], saved: false });
@@ -113,9 +113,9 @@
     assert!(sent.contains(&ServerId(1)), "in use again within 2 s");
 }
 
-/// Its process is a new one: what comes back is cold, and what was seen of the old one says nothing of it.
+/// An enabled server runs a new process: it is cold, and observations of the old process do not apply.
 #[test]
-fn an_enabled_server_returns_as_cold() {
+fn an_enabled_server_is_cold() {
     let mut node = Node::fleet(settings(), 4);
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
@@ -137,9 +137,9 @@
     assert!((sent[2] - before[2]) * 2 > sent[0] - before[0], "{before:?}, then {sent:?}");
 }
 
-/// With the last one out, and with ids that are draining, gone or nobody's, requests are refused in time.
+/// With every server disabled, and with ids that are draining, gone or unknown, requests are refused in time.
 #[test]
-fn disabling_all_that_there_is_refuses_in_time() {
+fn requests_are_refused_in_time_with_all_servers_disabled() {
     let mut node = Node::fleet(settings(), 3);
     node.event(Event::ListChange(vec![
         Entry { state: ServerState::Draining, ..entry(1, 1.0) },
@@ -153,27 +153,27 @@
     let (id, actions) = node.ask(UNSAFE);
     assert!(sent_to(&actions).is_none());
     assert!(refused(&node.wait(60.0), id));
-    let (held, _) = node.ask(SAFE);
+    let (queued, _) = node.ask(SAFE);
     for id in (0..4).rev() {
         assert!(!node.balancer.status().to_string().is_empty());
         let actions = node.event(Event::Enable { server: ServerId(id), enabled_at: node.now - 60_000.0 });
         assert!(sent_to(&actions).is_none_or(|to| to == ServerId(0)), "the others are not up: {actions:?}");
     }
     let sent = node.wait(20.0);
-    assert!(sent_to(&sent) == Some(ServerId(0)) && !refused(&sent, held), "{sent:?}");
+    assert!(sent_to(&sent) == Some(ServerId(0)) && !refused(&sent, queued), "{sent:?}");
 }
 
 #[test]
-fn no_servers_means_a_refusal_in_time() {
+fn requests_are_refused_in_time_without_servers() {
     let mut node = Node::fleet(settings(), 0);
     let (id, actions) = node.ask(UNSAFE);
-    assert!(!refused(&actions, id), "held first");
+    assert!(!refused(&actions, id), "queued first");
     assert!(refused(&node.wait(60.0), id));
 }
 
-/// Guards the failure of incidents ia125e6 and i0ddaf6.
+/// Regression, incidents ia125e6 and i0ddaf6: a request queued after a failed attempt got no answer in time.
 #[test]
-fn a_request_held_after_a_failed_attempt_is_answered_in_time() {
+fn a_request_queued_after_a_failed_attempt_is_answered_in_time() {
     let mut node = Node::fleet(settings(), 1);
     let (id, _) = node.ask(UNSAFE);
     for _ in 0..2 {
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_cold_server_gets_its_part_without_bursts() {
+fn a_cold_server_gets_a_reduced_share() {
     let mut node = Node::fleet(settings(), 4);
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_cold_server_alone_is_not_pushed_over() {
+fn a_cold_server_alone_is_not_overloaded() {
     let mut node = Node::fleet(settings(), 2);
     for _ in 0..400 {
         node.serve(SAFE, 5.0);
@@ -212,11 +212,11 @@
     assert!(sent <= 50, "a second's budget at 15% of some 100 a second, times 3, not {sent}");
 }
 
-/// Guards full size: with a least of one send a window for each node, some hundred nodes that hear of a cold
-/// server together push it over, though each keeps to its own budget.
-/// Nothing tells what they can do but what is asked for: an even part of that may be far above it.
+/// Regression at full size: with at least one send per window and node, some hundred nodes that learned of a
+/// cold server together overloaded it, though each kept to its own budget. Arrivals are the only measure of
+/// what an all-cold fleet can do, and an even part of them may be far above it.
 #[test]
-fn a_fleet_that_is_all_cold_is_not_pushed_over() {
+fn an_all_cold_fleet_is_not_overloaded() {
     let mut node = Node::new(settings(), Vec::new());
     let started = Some(node.now);
     node.event(Event::List {
@@ -225,7 +225,7 @@
     });
     let mut sent = [0.0; 4];
     for n in 0..800 {
-        // What is asked for is known after a window.
+        // The arrival rate is known after one window.
         if n == 400 {
             sent = [0.0; 4];
         }
@@ -238,13 +238,13 @@
             }
         }
     }
-    // Of 400 requests in the window each would get 100 if all were warm.
+    // Of 400 requests in the window each server would get 100 if all were warm.
     let budget = 3.0 * 0.2 * 100.0;
     assert!(sent.iter().all(|n| *n > 0.2 * budget && *n < 0.6 * budget), "{sent:?} of {budget}");
 }
 
 #[test]
-fn many_nodes_together_do_not_push_a_cold_server_over() {
+fn many_nodes_together_do_not_overload_a_cold_server() {
     const NODES: usize = 200;
     let mut sent = [0usize; 8];
     let set = settings();
@@ -266,9 +266,9 @@
     assert!(sent[3] > 0 && (sent[3] as f64) < 0.7 * budget, "{sent:?}, budget {budget}");
 }
 
-/// Guards the jam in which each server, ejected once for time-outs, came back on a cold budget.
+/// Regression: in an overload every server was ejected once for timeouts and came back on a cold budget.
 #[test]
-fn a_slow_server_is_not_cold_on_its_return_but_one_that_was_down_is() {
+fn a_returning_server_is_cold_only_if_it_was_down() {
     for (outcome, took, cold) in [
         (Outcome::TimedOut, 100.0, false),
         (Outcome::ConnectFailed, 50.0, false),
@@ -301,41 +301,43 @@
     }
 }
 
-/// Guards case4897: a network that breaks single connections, or all of a server's for a moment, had every server
-/// ejected, and come back as cold.
+/// Regression, case4897: a network that breaks single connections, or all of one server's for a moment, had
+/// every server ejected and returned as cold.
 #[test]
-fn broken_connections_eject_only_where_all_break_for_a_while() {
+fn broken_connections_eject_only_if_all_break_for_a_while() {
     for outcome in [Outcome::Reset, Outcome::ConnectFailed] {
         let mut node = Node::fleet(settings(), 4);
-        // How often server 1 has a turn in 20 rounds when every `nth` attempt at it fails, one each `pause`.
-        let mut turns = |nth: usize, pause: f64| {
+        // Turns of server 1 in 20 rounds when every `nth` attempt at it fails, with a request every
+        // `interval` ms.
+        let mut turns = |nth: usize, interval: f64| {
             let mut tried = 0;
             for _ in 0..80 {
                 let (id, mut actions) = node.ask(SAFE);
-                node.now += pause;
+                node.now += interval;
                 if sent_to(&actions) == Some(ServerId(1)) {
                     tried += 1;
                     if tried % nth == 0 {
                         actions = node.end(id, outcome);
                     }
                 }
-                // Not where the retry budget is spent.
+                // Not sent where the retry budget is spent.
                 if sent_to(&actions).is_some() {
                     node.end(id, Outcome::Success);
                 }
             }
             tried
         };
-        assert!(turns(2, 20.0) >= 18, "{outcome:?}: answers between the breaks show that it runs");
+        assert!(turns(2, 20.0) >= 18, "{outcome:?}: answers in between show that it runs");
         assert!(turns(1, 0.1) >= 18, "{outcome:?}: 8 ms of breaks are a moment");
         let last = turns(1, 20.0);
-        assert!(last <= 3, "{outcome:?}: {last}: all break for longer than a connect takes");
+        assert!(last <= 3, "{outcome:?}: {last}: all break for longer than a connect may take");
     }
 }
 
-/// Guards requests with little time left: cut off by their clients' deadlines, they had good servers ejected.
+/// Regression: requests with little time left, cut off by their clients' deadlines, had healthy servers
+/// ejected.
 #[test]
-fn time_outs_that_had_little_time_eject_nobody() {
+fn timeouts_of_attempts_with_little_time_do_not_eject() {
     let turns_after = |left: f64| {
         let mut node = Node::fleet(settings(), 4);
         let mut turns = [0; 4];
@@ -349,13 +351,14 @@
         }
         turns[1]
     };
-    assert_eq!(turns_after(20.0), 6, "a fifth of the aim tells nothing of the server");
+    assert_eq!(turns_after(20.0), 6, "a fifth of the SLO tells nothing about the server");
     assert_eq!(turns_after(95.0), 3, "nearly all of it does");
 }
 
-/// Guards incident i0ddaf6: a zone cut off is more than half of the fleet, and all of it refuses.
+/// Regression, incident i0ddaf6: a zone that is cut off may be more than half of the fleet, and all of it
+/// refuses.
 #[test]
-fn refused_connections_eject_without_a_cap() {
+fn refused_connections_eject_without_limit() {
     let mut node = Node::fleet(settings(), 4);
     for _ in 0..3 {
         let (id, actions) = node.ask(SAFE);
@@ -371,7 +374,7 @@
     }
 }
 
-/// Guards overload: what is beyond the limit of own attempts is held, not queued at a slow server.
+/// Overload: requests beyond the limit on own attempts are queued at the node, not at a slow server.
 #[test]
 fn a_server_full_with_own_attempts_is_passed_over() {
     let mut node = Node::fleet(settings(), 2);
@@ -382,16 +385,19 @@
     let sent: Vec<_> = (0..12).map(|_| ask()).collect();
     let to = |s: u64| sent.iter().filter(|(_, a)| sent_to(a) == Some(ServerId(s))).count();
     assert_eq!((to(0), to(1)), (4, 4), "8 for a server, divided among 2 nodes");
-    let held = sent[8].0;
+    let queued = sent[8].0;
     node.now += 10.0;
-    assert!(sent_to(&node.end(sent[0].0, Outcome::Success)).is_some(), "a held one takes the room");
-    assert!(refused(&node.wait(30.0), held), "the rest is refused early");
+    assert!(
+        sent_to(&node.end(sent[0].0, Outcome::Success)).is_some(),
+        "a queued request takes the free slot"
+    );
+    assert!(refused(&node.wait(30.0), queued), "the rest is refused early");
 }
 
-/// Guards archive-edinburgh big-1: with one attempt allowed to each of some twenty nodes, a server that slowed
-/// down was crowded until it choked, and its neighbours after it.
+/// Regression, archive-edinburgh big-1: with one attempt allowed to each of some twenty nodes, a server that
+/// slowed down was overloaded until it failed, and its neighbours after it.
 #[test]
-fn a_server_that_slows_down_rests_where_many_nodes_share_it() {
+fn many_nodes_send_less_to_a_server_that_slows_down() {
     let mut node = Node::fleet(Settings { node_count: 300, ..settings() }, 60);
     let mut ask = |slow: Option<u64>| {
         node.wait(60.0);
@@ -409,12 +415,12 @@
     let of = |turns: &[u64]| turns.iter().filter(|s| **s == slow).count();
     let after: Vec<_> = (0..80).map(|_| ask(Some(slow))).collect();
     assert!(of(&calm[320..]) >= 15 && of(&after) <= 14, "{} and then {}", of(&calm[320..]), of(&after));
-    assert!(of(&after) >= 3, "it is looked at again: {}", of(&after));
+    assert!(of(&after) >= 3, "it still gets trial requests: {}", of(&after));
 }
 
-/// Guards overload: what is served after a long hold has lost the time that it needed.
+/// Overload: a request served after long queueing has lost the time it needed.
 #[test]
-fn a_lasting_overload_shortens_the_hold() {
+fn a_lasting_overload_shortens_queueing() {
     let mut node = Node::fleet(settings(), 0);
     let refused_after = |node: &mut Node| {
         let (id, _) = node.ask(SAFE);
@@ -433,10 +439,10 @@
     assert!(burst >= 20.0 && lasting <= burst / 2.0 + 5.0, "{burst} and then {lasting}");
 }
 
-/// Guards incident i72d528: repeats of refused requests were taken for new ones, and a fifth of all was served
-/// too late to be of use.
+/// Regression, incident i72d528: repeats of refused requests were taken for new ones, and a fifth of all was
+/// served too late.
 #[test]
-fn a_repeat_counts_from_the_first_asking_where_its_deadline_tells() {
+fn a_retry_counts_from_the_first_try_if_its_deadline_shows_it() {
     let timeout = |class, left| {
         let mut node = Node::fleet(settings(), 3);
         node.serve(class, 10.0);
@@ -445,10 +451,10 @@
     };
     let (new, back) = (timeout(UNSAFE, PATIENCE).expect("sent"), timeout(UNSAFE, PATIENCE - 60.0));
     assert_eq!(back, Some(new - 60.0));
-    // Clients may give up a try of a safe request for another: what its deadline tells is that of the try.
+    // Clients may replace a try of a safe request by another: its deadline is that of the try.
     assert_eq!(timeout(SAFE, PATIENCE - 60.0), timeout(SAFE, PATIENCE));
 
-    // A repeat is held no longer than an answer may still be of use.
+    // A retry is queued no longer than an answer may still be of use.
     let mut node = Node::fleet(settings(), 1);
     while sent_to(&node.ask(UNSAFE).1).is_some() {}
     let (old, _) = node.ask_with(UNSAFE, None, PATIENCE - 85.0);
@@ -457,9 +463,9 @@
     assert!(refused(&actions, old) && !refused(&actions, fresh), "{actions:?}");
 }
 
-/// Guards overload: first come, first served starved the classes with short aims.
+/// Overload: first come, first served starved the classes with short SLOs.
 #[test]
-fn the_held_request_of_most_worth_goes_first() {
+fn the_queued_request_of_highest_worth_goes_first() {
     let mut node = Node::fleet(settings(), 1);
     let sent: Vec<_> = (0..4).map(|_| node.ask(SAFE).0).collect();
     let (poor, _) = node.ask(SAFE);
@@ -470,9 +476,10 @@
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { id, .. } if *id == poor)));
 }
 
-/// Guards hunted day h0a6c65: a class slow on one kind of machine took the room there from one that is not.
+/// Regression, experiment h0a6c65: a class slow on one kind of machine took the capacity there from one that
+/// is not.
 #[test]
-fn a_free_turn_goes_to_the_held_class_that_suits_its_kind() {
+fn a_free_turn_goes_to_the_queued_class_that_is_quick_there() {
     let mut two = settings();
     two.classes[KEYED] = Class { idempotency: Idempotency::Safe, ..two.classes[SAFE].clone() };
     let kinds: Vec<_> = (0..2).map(|id| Entry { kind: id, ..entry(id, 1.0) }).collect();
@@ -491,17 +498,17 @@
             at_server = if to.0 == server { Some(id) } else { at_server };
         }
         node.ask(SAFE);
-        let held = [node.ask(SAFE).0, node.ask(KEYED).0, node.ask(SAFE).0];
+        let queued = [node.ask(SAFE).0, node.ask(KEYED).0, node.ask(SAFE).0];
         node.now += 1.0;
         let actions = node.end(at_server.expect("one was sent there"), Outcome::Success);
         let next =
             actions.iter().find_map(|a| if let Action::Send { id, .. } = a { Some(*id) } else { None });
-        assert_eq!(next == Some(held[1]), server == 1, "room at {server}: {actions:?}");
+        assert_eq!(next == Some(queued[1]), server == 1, "room at {server}: {actions:?}");
     }
 }
 
 #[test]
-fn a_tenant_beyond_its_share_waits_behind_one_within() {
+fn a_tenant_beyond_its_quota_waits_behind_one_within() {
     let tenants = vec![Tenant { quota_per_s: 4.0 }, Tenant { quota_per_s: 1000.0 }];
     let mut node = Node::fleet(Settings { tenants, ..settings() }, 1);
     let sent: Vec<_> = (0..4).map(|_| node.ask_for(SAFE, Some(0)).0).collect();
@@ -513,9 +520,10 @@
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { id, .. } if *id == beyond)));
 }
 
-/// Guards incident i5f50fa: with most answers quick, a fifth of all could be cut off at a mean within the target.
+/// Regression, incident i5f50fa: with most answers quick, a fifth of all could be cut off with the mean
+/// within the target.
 #[test]
-fn a_cut_off_attempt_weighs_more_than_a_late_answer() {
+fn a_cut_off_attempt_lowers_limits_more_than_a_late_answer() {
     let room_after = |outcome, took| {
         let mut node = Node::fleet(settings(), 8);
         for _ in 0..16 {
@@ -535,12 +543,12 @@
     assert!(room_after(Outcome::TimedOut, 98.0) < room_after(Outcome::Success, 101.0));
 }
 
-/// Guards incident i19f915: the whole fleet slowed down at once, and each limit took ten seconds to learn it from
-/// its own few answers, with three quarters of them late.
+/// Regression, incident i19f915: the whole fleet slowed down at once, and each limit took ten seconds to
+/// adapt by its own few answers; three quarters of all were late.
 #[test]
-fn a_fleet_that_slows_down_at_once_is_soon_spared() {
+fn concurrency_drops_soon_when_the_whole_fleet_slows_down() {
     let mut node = Node::fleet(settings(), 10);
-    let taken = |node: &mut Node| {
+    let fill = |node: &mut Node| {
         let asked: Vec<_> = (0..60).map(|_| node.ask(SAFE)).collect();
         asked
             .into_iter()
@@ -548,14 +556,14 @@
             .map(|(id, _)| id)
             .collect::<Vec<_>>()
     };
-    let before = taken(&mut node);
+    let before = fill(&mut node);
     assert_eq!(before.len(), 40);
     node.wait(30.0);
     node.now += 65.0;
     for id in before {
         node.end(id, Outcome::TimedOut);
     }
-    let after = taken(&mut node);
+    let after = fill(&mut node);
     assert!(after.len() <= 5, "{} attempts after one late answer for each", after.len());
     let mut out = after;
     for _ in 0..400 {
@@ -571,11 +579,11 @@
     for id in out {
         node.end(id, Outcome::Success);
     }
-    let again = taken(&mut node).len();
-    assert!(again > 5, "{again} attempts after quick answers");
+    let restored = fill(&mut node).len();
+    assert!(restored > 5, "{restored} attempts after quick answers");
 }
 
-/// Guards incident i19f915: refusals went on for long after a slow spell.
+/// Regression, incident i19f915: refusals went on long after a slow period.
 #[test]
 fn a_server_that_recovers_is_soon_used_again() {
     let mut node = Node::fleet(settings(), 1);
@@ -594,9 +602,9 @@
     assert!(served > 40, "{served} of 100");
 }
 
-/// Guards incident i6a66ac: limits fell to a rest between attempts though answers still came in time.
+/// Regression, incident i6a66ac: limits fell to a pause between attempts though answers still came in time.
 #[test]
-fn answers_in_time_leave_one_attempt_at_a_time() {
+fn timely_answers_keep_a_limit_of_at_least_one() {
     let mut node = Node::fleet(settings(), 1);
     for _ in 0..100 {
         node.serve(SAFE, 90.0);
@@ -605,45 +613,45 @@
 }
 
 #[test]
-fn discovery_is_asked_and_asked_again_with_growing_pauses() {
+fn discovery_calls_are_repeated_with_growing_backoff() {
     let mut node = Node::fleet(Settings { discovery: Discovery::Subscribed, ..settings() }, 2);
-    let mut pauses = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..5 {
         // The first call goes out with the first list, before this loop.
         node.event(Event::ListFailed);
         let start = node.now;
         while !node.wait(5.0).contains(&Action::Subscribe) {
-            assert!(node.now - start < 10_000.0, "never asked again");
+            assert!(node.now - start < 10_000.0, "no further call");
         }
-        pauses.push(node.now - start);
+        backoffs.push(node.now - start);
         assert_eq!(node.serve(SAFE, 1.0).map(|_| ()), Some(()), "the old list holds");
     }
-    assert!(pauses[4] > 2.0 * pauses[0], "{pauses:?}");
+    assert!(backoffs[4] > 2.0 * backoffs[0], "{backoffs:?}");
     node.event(Event::ListChange(Vec::new()));
     assert!(!node.wait(30_000.0).contains(&Action::Subscribe), "subscribed: no more calls");
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused() {
-    type Spoil = fn(&mut Settings);
-    let cases: [(&str, Spoil); 5] = [
+fn invalid_settings_are_refused() {
+    type Change = fn(&mut Settings);
+    let cases: [(&str, Change); 5] = [
         ("no classes", |s| s.classes.clear()),
         ("node_index", |s| s.node_index = s.node_count),
         ("negative", |s| s.rules.overload_window = -1.0),
         ("share", |s| s.rules.cold_capacity = 1.5),
         ("attempts", |s| s.limits.max_attempts = 0),
     ];
-    for (words, spoil) in cases {
+    for (message, change) in cases {
         let mut bad = settings();
-        spoil(&mut bad);
-        let error = Balancer::new(bad, 0).err().expect(words).to_string();
-        assert!(error.contains(words), "{error}");
+        change(&mut bad);
+        let error = Balancer::new(bad, 0).err().expect(message).to_string();
+        assert!(error.contains(message), "{error}");
     }
 }
 
-/// A client waits for PATIENCE a try and twice that in all, and wants SAFE within a fifth of it.
+/// A client waits for CLIENT_TIMEOUT_MS per try and twice that in total; the SLO of SAFE is a fifth of it.
 #[test]
-fn a_marked_repeat_is_not_begun_where_it_can_t_be_in_time() {
+fn a_marked_retry_that_would_be_late_is_not_started() {
     let mut node = Node::fleet(settings(), 4);
     let (first, actions) = node.ask_with(SAFE, None, PATIENCE);
     assert!(sent_to(&actions).is_some());
@@ -651,12 +659,12 @@
     let (late, actions) = node.ask_again(SAFE, 0.7 * PATIENCE);
     assert!(refused(&actions, late) && sent_to(&actions).is_none(), "{actions:?}");
     let (_, actions) = node.ask_with(SAFE, None, 0.7 * PATIENCE);
-    assert!(sent_to(&actions).is_some(), "one that is not marked may have little patience: {actions:?}");
+    assert!(sent_to(&actions).is_some(), "an unmarked request may just have a short timeout: {actions:?}");
 }
 
-/// SAFE is wanted within 100 ms, and the servers' answers show what its usual work takes.
+/// The SLO of SAFE is 100 ms; the servers' answers show what its usual work takes.
 #[test]
-fn more_work_than_there_is_time_for_is_not_begun() {
+fn a_request_with_too_much_work_for_its_time_is_not_started() {
     let mut node = Node::fleet(settings(), 4);
     for _ in 0..20 {
         let (id, _) = node.ask_guessed(SAFE, 10.0);
@@ -668,23 +676,23 @@
     let (_, actions) = node.ask_guessed(SAFE, 60.0);
     assert!(sent_to(&actions).is_some(), "{actions:?}");
     let (shot, actions) = node.ask_guessed(SAFE, 150.0);
-    assert!(sent_to(&actions).is_some(), "while there is room, a long shot is taken: {actions:?}");
+    assert!(sent_to(&actions).is_some(), "with spare capacity a long shot is taken: {actions:?}");
     node.end(shot, Outcome::Error);
     let (_, actions) = node.ask(SAFE);
-    assert!(sent_to(&actions).is_some(), "one without a guess: {actions:?}");
+    assert!(sent_to(&actions).is_some(), "without an estimate: {actions:?}");
     let crowd: Vec<_> = (0..60).map(|_| node.ask(SAFE).0).collect();
     let actions = node.wait(60.0);
     assert!(crowd.iter().any(|id| refused(&actions, *id)), "{actions:?}");
     let (shot, actions) = node.ask_guessed(SAFE, 150.0);
-    assert!(refused(&actions, shot), "while others are refused, none is: {actions:?}");
+    assert!(refused(&actions, shot), "none while others are refused: {actions:?}");
 }
 
-/// Guards rule 1: the repeat was answered as failed, and the first was sent or answered once more.
+/// Regression, rule 1: the repeat was answered as failed, and the first was sent or answered once more.
 #[test]
-fn a_request_id_handed_in_again_changes_nothing() {
+fn a_repeated_request_id_is_ignored() {
     let mut node = Node::fleet(settings(), 0);
     let (id, _) = node.ask(UNSAFE);
-    let again = Event::Request {
+    let repeated = Event::Request {
         id,
         class: UNSAFE,
         tenant: None,
@@ -693,11 +701,11 @@
         is_retry: false,
         estimated_work: None,
     };
-    let actions = node.event(again.clone());
+    let actions = node.event(repeated.clone());
     assert!(!failed(&actions, id) && !refused(&actions, id), "{actions:?}");
     node.event(Event::List { entries: vec![entry(0, 1.0)], saved: false });
     let mut all = node.event(Event::Timer);
-    all.extend(node.event(again));
+    all.extend(node.event(repeated));
     all.extend(node.wait(600.0));
     assert!(sends(&all).len() <= 1, "{all:?}");
     let answers = all
@@ -708,7 +716,7 @@
 }
 
 #[test]
-fn odd_deadlines_and_weights_neither_panic_nor_lose_an_answer() {
+fn extreme_deadlines_and_weights_still_get_an_answer() {
     for left in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -50.0, 0.0] {
         for servers in [0, 3] {
             let weights = [f64::NAN, f64::INFINITY, 0.0];
@@ -724,7 +732,7 @@
 }
 
 #[test]
-fn a_clock_that_jumps_forward_answers_what_is_held() {
+fn a_clock_jump_answers_queued_requests() {
     let mut node = Node::fleet(settings(), 0);
     let (id, _) = node.ask(SAFE);
     node.now += 1e9;
@@ -732,9 +740,10 @@
     assert!(refused(&actions, id), "{actions:?}");
 }
 
-/// Guards incident i3e6a64: the looks that some forty nodes took at a slow server were alone enough to keep it slow.
+/// Regression, incident i3e6a64: the trial sends of some forty nodes were by themselves enough to keep a slow
+/// server slow.
 #[test]
-fn the_more_nodes_share_a_slow_server_the_rarer_each_looks() {
+fn the_more_nodes_share_a_slow_server_the_less_each_sends() {
     let sends_of = |nodes| {
         let mut node = Node::fleet(Settings { node_count: nodes, ..settings() }, 60);
         let (mut count, start) = (0, node.now);
@@ -756,7 +765,7 @@
 }
 
 #[test]
-fn a_wholly_draining_list_gets_nothing_and_answers_are_given() {
+fn requests_are_refused_if_all_servers_drain() {
     let mut node = Node::fleet(settings(), 3);
     let draining = (0..3).map(|id| Entry { state: ServerState::Draining, ..entry(id, 1.0) }).collect();
     node.event(Event::List { entries: draining, saved: false });
@@ -766,7 +775,7 @@
 }
 
 #[test]
-fn news_of_what_is_over_or_was_not_asked_changes_nothing() {
+fn outdated_and_unexpected_events_are_ignored() {
     let mut node = Node::fleet(settings(), 2);
     let (id, _) = node.ask(SAFE);
     node.end(id, Outcome::Success);
@@ -781,10 +790,10 @@
     assert!(refused(&node.wait(60.0), id), "an empty list refuses in time");
 }
 
-/// Guards round 8: quick answers raised the limits of some thirty sharing nodes to one each within seconds, more than
-/// a server bears.
+/// Regression, round 8: quick answers raised the limits of some thirty sharing nodes to one each within
+/// seconds, more than a server can take.
 #[test]
-fn quick_answers_raise_a_shared_limit_slowly_beyond_its_start() {
+fn quick_answers_raise_a_shared_limit_slowly_beyond_its_initial_value() {
     let mut node = Node::fleet(Settings { node_count: 1000, ..settings() }, 60);
     let start = node.now;
     let served = (0..30).filter(|_| node.serve_held(SAFE, 5.0).is_some()).count();
@@ -792,12 +801,12 @@
     assert!(served >= 10 && each > 9.0, "{served} served, {each} ms from one to the next");
 }
 
-/// A refusal says when to come back: a part of the aim, and no more than clients will follow.
+/// The advice is a part of the SLO, and no more than clients will follow.
 #[test]
-fn a_refusal_says_how_long_to_stay_away() {
-    let span = |most: f64| {
+fn a_refusal_says_how_long_to_wait() {
+    let advice = |max: f64| {
         let mut set = settings();
-        set.limits.max_retry_after = most;
+        set.limits.max_retry_after = max;
         let mut node = Node::new(set, Vec::new());
         let (_, actions) = node.ask_with(SAFE, None, 1.0);
         actions.iter().find_map(|a| {
@@ -808,16 +817,16 @@
             }
         })
     };
-    let free = span(1000.0).expect("refused: no server, and no time");
+    let free = advice(1000.0).expect("refused: no server, and no time");
     assert!(free > 0.0 && free < 100.0, "{free}");
-    assert_eq!(span(1.0), Some(1.0));
-    assert_eq!(span(0.0), Some(0.0));
+    assert_eq!(advice(1.0), Some(1.0));
+    assert_eq!(advice(0.0), Some(0.0));
 }
 
-/// A keyed request bound to the cell of a server that is alone in it goes there again rather than being held
-/// for a server that may never have it.
+/// A keyed request bound to the cell of a server that is alone in it goes there again rather than being
+/// queued for a server that can never take it.
 #[test]
-fn a_keyed_request_goes_again_to_the_only_server_of_its_cell() {
+fn a_keyed_request_is_resent_to_the_only_server_of_its_cell() {
     let mut node = Node::new(settings(), vec![entry(1, 1.0), entry(2, 1.0)]);
     let (id, actions) = node.ask(KEYED);
     let to = |actions: &[Action]| {
@@ -829,10 +838,10 @@
     assert_eq!(to(&actions), Some(first));
 }
 
-/// The servers of its group forget a key after a while: a further attempt is over by then, or is not begun. What never
-/// ran began no such while.
+/// Servers forget a key after a while: a further attempt ends before that, or is not started. What was not
+/// executed started no such period.
 #[test]
-fn a_further_keyed_attempt_is_over_while_its_key_is_known() {
+fn a_further_keyed_attempt_ends_while_its_key_is_known() {
     const KNOWN: f64 = 80.0;
     let timeout = |actions: &[Action]| {
         actions.iter().find_map(|a| if let Action::Send { timeout, .. } = a { *timeout } else { None })
@@ -845,7 +854,7 @@
                 Idempotency::Keyed { scope: DedupScope::All, dedup_window: KNOWN };
             Node::fleet(set, servers)
         };
-        // Usual is a quarter of the aim of 200.
+        // The expected latency is a quarter of the SLO of 200.
         for (after, begun) in [(0.0, true), (25.0, true), (31.0, false), (79.0, false)] {
             for outcome in [Outcome::Error, Outcome::Reset, Outcome::TimedOut] {
                 let mut node = fleet(4);
@@ -861,11 +870,11 @@
         let (id, _) = node.ask(KEYED);
         node.now += 60.0;
         let actions = node.end(id, Outcome::ConnectFailed);
-        assert!(timeout(&actions).is_some_and(|timeout| timeout > KNOWN), "it never ran: {actions:?}");
+        assert!(timeout(&actions).is_some_and(|timeout| timeout > KNOWN), "it was not executed: {actions:?}");
         node.now += 10.0;
         let actions = node.end(id, Outcome::Error);
         assert!(timeout(&actions).is_some_and(|timeout| 10.0 + timeout < KNOWN), "{actions:?}");
-        // The key is known from the first of them that may have run.
+        // The key is known from the first attempt that may have run.
         let mut node = fleet(4);
         let (id, _) = node.ask(KEYED);
         for spent in [10.0, 20.0] {
@@ -873,7 +882,7 @@
             let actions = node.end(id, Outcome::Error);
             assert!(timeout(&actions).is_some_and(|timeout| spent + timeout < KNOWN), "{actions:?}");
         }
-        // Held for want of a server, it is not sent when there is one again.
+        // Queued for want of a server, it is not sent when there is one again.
         let mut node = fleet(1);
         let (id, _) = node.ask(KEYED);
         node.event(Event::Disable(ServerId(0)));
--- a/tests/votes.rs
+++ b/tests/votes.rs
@@ -1,4 +1,4 @@
-//! Votes before a server is removed, at one node: rulings in, ballots out.
+//! Removal of servers by vote, at one node: verdicts in, ballots out.
 
 mod common;
 use common::{entry, sent_to, settings, Node, SAFE, UNSAFE};
@@ -13,32 +13,32 @@
     }
 }
 
-/// A node that votes; the group has been heard.
+/// A voting node that the group has contacted.
 fn node(servers: u64) -> Node {
     let mut node = Node::fleet(Settings { votes: Some(votes()), ..settings() }, servers);
-    hear(&mut node, &[]);
+    deliver_verdicts(&mut node, &[]);
     node
 }
 
-/// The group's word: which servers are out, and which of them are probed from here.
-fn hear(node: &mut Node, rulings: &[(u64, bool)]) -> Vec<Action> {
-    let ruling = |&(server, probe): &(u64, bool)| ServerVerdict { server: ServerId(server), probe };
-    node.event(Event::Verdicts(rulings.iter().map(ruling).collect()))
+/// Delivers the group's verdicts: which servers are removed, and which of them this node probes.
+fn deliver_verdicts(node: &mut Node, verdicts: &[(u64, bool)]) -> Vec<Action> {
+    let verdict = |&(server, probe): &(u64, bool)| ServerVerdict { server: ServerId(server), probe };
+    node.event(Event::Verdicts(verdicts.iter().map(verdict).collect()))
 }
 
-/// Sends requests, a new one every 5 ms, and the group's word each 500 ms; those to `bad` servers break after
-/// 1 ms, all others are served. Gives what each server got first attempts of.
+/// Sends a request every 5 ms and the group's verdicts every 500 ms. Attempts at `bad` servers fail after 1
+/// ms, all others succeed. Returns the number of first attempts per server.
 fn play(
     node: &mut Node,
     count: usize,
     class: usize,
     bad: &[u64],
-    rulings: Option<&[(u64, bool)]>,
+    verdicts: Option<&[(u64, bool)]>,
 ) -> Vec<usize> {
     let mut sent = vec![0; 8];
     for n in 0..count {
-        if let (0, Some(rulings)) = (n % 100, rulings) {
-            hear(node, rulings);
+        if let (0, Some(verdicts)) = (n % 100, verdicts) {
+            deliver_verdicts(node, verdicts);
         }
         let (id, mut actions) = node.ask(class);
         node.now += 1.0;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_removed_server_gets_nothing_and_comes_back_in_slow_start() {
+fn a_removed_server_gets_nothing_and_returns_in_slow_start() {
     let mut node = node(4);
     assert!(play(&mut node, 400, SAFE, &[], Some(&[]))[2] > 80, "in use");
     assert_eq!(play(&mut node, 400, SAFE, &[], Some(&[(2, false)]))[2], 0);
@@ -71,31 +71,31 @@
 }
 
 #[test]
-fn a_suspect_keeps_a_trickle_and_is_not_removed_on_own_evidence() {
+fn a_suspect_keeps_a_trickle_without_a_verdict() {
     let mut node = node(4);
     let bad = play(&mut node, 4000, SAFE, &[1], Some(&[]));
     assert!(bad[1] >= 10 && bad[1] < 150, "{bad:?}");
     assert_eq!(node.balancer.ballots().suspects, 1);
-    let held = ballot(&node, 1).expect("enough attempts");
-    assert_eq!((held.stand, held.evidence.errors), (Stand::For, held.evidence.attempts));
+    let own = ballot(&node, 1).expect("enough attempts");
+    assert_eq!((own.stand, own.evidence.errors), (Stand::For, own.evidence.attempts));
     assert_eq!(ballot(&node, 0).map(|b| b.stand), Some(Stand::Against));
-    // In no span of a trickle's rounds it is left out for longer.
+    // It is never left out for longer than the trickle implies.
     for _ in 0..10 {
         assert!(play(&mut node, 400, SAFE, &[1], Some(&[]))[1] > 0, "a trickle");
     }
-    // One good answer ends it, without a slow start.
+    // One success ends it, without a slow start.
     play(&mut node, 400, SAFE, &[], Some(&[]));
     assert!(play(&mut node, 400, SAFE, &[], Some(&[]))[1] > 80, "{:?}", node.balancer.status());
 }
 
 #[test]
-fn a_suspect_is_put_aside_for_a_stated_time_only() {
+fn a_suspect_is_paused_for_a_limited_time() {
     let mut node = node(4);
     while node.balancer.ballots().suspects == 0 {
         play(&mut node, 1, SAFE, &[1], None);
     }
     let count = (votes().suspect_pause / 5.0) as usize - 1;
-    assert_eq!(play(&mut node, count, SAFE, &[1], None)[1], 0, "nothing while aside");
+    assert_eq!(play(&mut node, count, SAFE, &[1], None)[1], 0, "nothing while paused");
     assert!(play(&mut node, 400, SAFE, &[1], None)[1] > 0);
 }
 
@@ -106,7 +106,7 @@
     assert!(!node.balancer.ballots().self_doubt, "2 of 6 may be bad");
     play(&mut node, 300, SAFE, &[1, 3, 4], Some(&[]));
     assert!(node.balancer.ballots().self_doubt);
-    // One of two that it shares is no cause to doubt.
+    // One of two servers is no cause for self-doubt.
     let mut few = self::node(2);
     play(&mut few, 300, SAFE, &[1], Some(&[]));
     assert_eq!(ballot(&few, 1).map(|b| b.stand), Some(Stand::For));
@@ -114,11 +114,11 @@
 }
 
 #[test]
-fn evidence_is_of_the_window_and_of_the_process_that_runs() {
+fn evidence_covers_the_window_and_the_current_process() {
     let mut node = node(4);
     play(&mut node, 60, SAFE, &[1], Some(&[]));
     assert_eq!(ballot(&node, 1).map(|b| b.stand), Some(Stand::For));
-    // Turned away, called off: these say nothing.
+    // Rejected, cancelled and unsent attempts are no evidence.
     let before = ballot(&node, 0).expect("one").evidence;
     for outcome in [Outcome::Rejected, Outcome::Cancelled, Outcome::NotSent] {
         let (id, actions) = node.ask(UNSAFE);
@@ -127,7 +127,7 @@
         node.event(Event::ClientGone(id));
     }
     assert_eq!(ballot(&node, 0).expect("one").evidence, before);
-    // An attempt at the process before that ends now is not about the new one.
+    // An attempt at the previous process that ends now is no evidence about the new one.
     let (old, actions) = node.ask(SAFE);
     let at = sent_to(&actions).expect("sent");
     let entries = (0..4).map(|id| Entry { started_at: Some(node.now), ..entry(id, 1.0) }).collect();
@@ -144,7 +144,7 @@
         });
     }
     assert!(node.balancer.ballots().ballots.is_empty(), "{:?}", node.balancer.ballots());
-    // And what is older than the window counts no more.
+    // Evidence older than the window does not count.
     let mut node = self::node(4);
     play(&mut node, 60, SAFE, &[1], Some(&[]));
     node.wait(votes().evidence_window);
@@ -152,61 +152,61 @@
 }
 
 #[test]
-fn a_new_process_ends_the_ruling_on_the_one_before() {
+fn a_new_process_ends_the_verdict_on_the_previous_one() {
     let mut node = node(4);
-    hear(&mut node, &[(2, false)]);
+    deliver_verdicts(&mut node, &[(2, false)]);
     node.event(Event::ListChange(vec![Entry { started_at: Some(node.now), ..entry(2, 1.0) }]));
     assert!(play(&mut node, 400, SAFE, &[], None)[2] > 0);
 }
 
-/// When each of three servers ruled out came back after the group's last word.
-fn lapses(seed: u64) -> Vec<f64> {
+/// When each of three removed servers returned after the group's last message.
+fn lapse_times(seed: u64) -> Vec<f64> {
     let entries = (0..8).map(|id| entry(id, 1.0)).collect();
     let mut node = Node::new_seeded(Settings { votes: Some(votes()), ..settings() }, entries, seed);
-    hear(&mut node, &[(1, false), (2, false), (3, false)]);
-    let heard = node.now;
+    deliver_verdicts(&mut node, &[(1, false), (2, false), (3, false)]);
+    let last_contact = node.now;
     let mut back = Vec::new();
     while back.len() < 3 {
         let out = node.balancer.unavailable_servers();
         node.wait(5.0);
-        back.extend((node.balancer.unavailable_servers()..out).map(|_| node.now - heard));
-        assert!(node.now < heard + 2.0 * votes().contact_timeout + 10.0, "back by then");
+        back.extend((node.balancer.unavailable_servers()..out).map(|_| node.now - last_contact));
+        assert!(node.now < last_contact + 2.0 * votes().contact_timeout + 10.0, "all have returned by then");
     }
     back
 }
 
 #[test]
-fn without_word_rulings_lapse_one_by_one_and_own_evidence_acts() {
-    let (one, other) = (lapses(1), lapses(2));
+fn without_contact_verdicts_lapse_one_by_one_and_own_evidence_counts() {
+    let (one, other) = (lapse_times(1), lapse_times(2));
     assert!(one.iter().chain(&other).all(|at| *at >= votes().contact_timeout), "{one:?} {other:?}");
     assert!(one.windows(2).all(|w| w[1] > w[0] + 10.0), "one by one: {one:?}");
-    assert_ne!(one, other, "at other times elsewhere");
+    assert_ne!(one, other, "other nodes at other times");
     let mut node = node(4);
     play(&mut node, 60, SAFE, &[1], Some(&[]));
     assert!(!node.balancer.ballots().isolated);
     node.wait(votes().contact_timeout);
     assert!(node.balancer.ballots().isolated);
-    // As today: ejected until a probe finds it well.
+    // As without votes: ejected until a probe succeeds.
     let sent = play(&mut node, 2000, SAFE, &[1], None);
     assert!(sent[1] < 10 && node.balancer.status().ejected == 1, "{sent:?}");
     let sent = play(&mut node, 2000, SAFE, &[1], Some(&[]));
-    assert!(sent[1] > 10, "the group is heard again: {sent:?}");
+    assert!(sent[1] > 10, "the group is in contact again: {sent:?}");
 }
 
 #[test]
-fn where_too_few_would_be_left_all_are_back() {
+fn verdicts_are_ignored_if_too_few_servers_would_be_left() {
     let mut node = node(6);
     let three = [(0, false), (1, false), (2, false)];
     assert_eq!(play(&mut node, 300, SAFE, &[], Some(&three))[..3], [0, 0, 0]);
     assert!(!node.balancer.ballots().panic_mode);
-    // A drain more, and the rulings are not heeded.
+    // With one more server draining, the verdicts are ignored.
     node.event(Event::ListChange(vec![Entry { state: ServerState::Draining, ..entry(3, 1.0) }]));
     let sent = play(&mut node, 2000, SAFE, &[], Some(&three));
     assert!(
         node.balancer.ballots().panic_mode && sent[3] == 0 && sent[..3].iter().all(|n| *n > 0),
         "{sent:?}"
     );
-    // A ban weighs as a drain does; once they end, the rulings hold again.
+    // A disabled server counts like a draining one; once that ends, the verdicts apply again.
     node.event(Event::ListChange(vec![entry(3, 1.0)]));
     node.event(Event::Disable(ServerId(5)));
     assert!(node.balancer.ballots().panic_mode);
@@ -215,24 +215,24 @@
 }
 
 #[test]
-fn probes_are_first_attempts_of_what_may_be_repeated_and_few() {
+fn probes_are_few_first_attempts_of_repeatable_requests() {
     let mut node = node(4);
     play(&mut node, 400, SAFE, &[], Some(&[]));
     assert_eq!(play(&mut node, 400, UNSAFE, &[], Some(&[(2, true)]))[2], 0, "may not be repeated");
     let sent = play(&mut node, 800, SAFE, &[], Some(&[(2, true)]));
-    // A tenth of its turns, within what a cold server may get.
+    // A tenth of its turns, within the budget of a cold server.
     assert!(sent[2] > 3 && sent[2] <= 30, "{sent:?}");
     assert_eq!(ballot(&node, 2).map(|b| b.stand), Some(Stand::Against));
     let sent = play(&mut node, 2000, SAFE, &[2], Some(&[(2, true)]));
     assert!(sent[2] < 40 && ballot(&node, 2).is_none_or(|b| b.stand == Stand::For), "{sent:?}");
-    // A second attempt does not go there, whatever came of the first.
+    // A second attempt never goes there, whatever the first one's outcome.
     let mut node = self::node(3);
-    hear(&mut node, &[(2, true)]);
+    deliver_verdicts(&mut node, &[(2, true)]);
     for _ in 0..200 {
         let (id, actions) = node.ask(SAFE);
         if sent_to(&actions).is_some() {
-            let again = sent_to(&node.end(id, Outcome::NotSent));
-            assert_ne!(again, Some(ServerId(2)));
+            let retried_at = sent_to(&node.end(id, Outcome::NotSent));
+            assert_ne!(retried_at, Some(ServerId(2)));
             node.event(Event::ClientGone(id));
         }
         node.wait(5.0);
@@ -240,14 +240,14 @@
 }
 
 #[test]
-fn with_votes_off_the_group_is_not_heard() {
+fn verdicts_are_ignored_with_votes_off() {
     let mut node = Node::fleet(settings(), 4);
-    hear(&mut node, &[(2, false)]);
+    deliver_verdicts(&mut node, &[(2, false)]);
     assert!(play(&mut node, 100, SAFE, &[], None)[2] > 10);
     assert_eq!(node.balancer.ballots(), BallotReport::default());
-    // Turned off in service: what was ruled holds no more.
+    // With votes turned off in service, earlier verdicts no longer apply.
     let mut node = self::node(4);
-    hear(&mut node, &[(2, false)]);
+    deliver_verdicts(&mut node, &[(2, false)]);
     node.event(Event::Policy(Box::new(settings())));
     assert_eq!(node.balancer.unavailable_servers(), 0);
 }
