--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,7 +1,7 @@
 //! Roster, policy and verdicts on the log: what [`consensus`] drives.
 
-use consensus::Machine;
-use member::Agreed;
+use consensus::StateMachine;
+use member::AgreedState;
 use serde::{Deserialize, Serialize};
 
 use crate::command::{Command, Outcome, RosterCommand};
@@ -66,12 +66,12 @@
     }
 
     /// What nodes are told of policy.
-    pub fn agreed(&self) -> Agreed {
+    pub fn agreed(&self) -> AgreedState {
         self.book.agreed()
     }
 }
 
-impl Machine for Agreement {
+impl StateMachine for Agreement {
     type Command = Command;
     type Reply = Outcome;
 
--- a/src/net/replica.rs
+++ b/src/net/replica.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use endpoints::Lines;
+use endpoints::MessageSplitter;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Request, Response, StatusCode};
-use member::{Answer, Beat, News, NotLeader};
+use member::{Heartbeat, HeartbeatReply, NotLeader, WatchEvent};
 use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinHandle};
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// Where no answer to it has come. The line is then of no further use, unless the replica has refused.
-    pub async fn beat(&mut self, beat: &Beat) -> Result<Answer, CallError> {
+    pub async fn beat(&mut self, beat: &Heartbeat) -> Result<HeartbeatReply, CallError> {
         let at = self.at;
         let unreadable = |words: String| CallError::Unreadable { at, words };
         let body = serde_json::to_vec(beat).map_err(|e| unreadable(e.to_string()))?;
@@ -180,7 +180,7 @@
 pub struct Watch {
     line: Line,
     body: Incoming,
-    lines: Lines,
+    lines: MessageSplitter,
 }
 
 impl Watch {
@@ -198,14 +198,14 @@
         if answer.status() != StatusCode::OK {
             return Err(timeout(PATIENCE, line.refused(answer)).await.unwrap_or(CallError::Silent { at }));
         }
-        Ok(Self { line, body: answer.into_body(), lines: Lines::default() })
+        Ok(Self { line, body: answer.into_body(), lines: MessageSplitter::default() })
     }
 
     /// The next news; `None` where the watch has ended in order.
     ///
     /// # Errors
     /// Where it broke, fell silent, or brought what can't be read.
-    pub async fn next(&mut self) -> Result<Option<News>, CallError> {
+    pub async fn next(&mut self) -> Result<Option<WatchEvent>, CallError> {
         let at = self.line.at;
         let unreadable = |words: String| CallError::Unreadable { at, words };
         loop {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use member::votes::Figures;
+use member::votes::VoteSettings as VotePolicy;
 use serde::Deserialize;
 use serde_json::{json, Map, Value};
 
@@ -208,17 +208,16 @@
 
 /// Reads the vote settings with the same checks as the control group.
 fn votes(value: &Value) -> Result<VoteSettings, WireError> {
-    let figures = Figures::deserialize(value).map_err(|e| format!("Votes: {e}"))?;
-    figures.check().map_err(|e| e.to_string())?;
-    let Figures { window, attempts, failed, doubt, aside, trickle, word, .. } = figures;
+    let policy = VotePolicy::deserialize(value).map_err(|e| format!("Votes: {e}"))?;
+    policy.check().map_err(|e| e.to_string())?;
     Ok(VoteSettings {
-        evidence_window: window,
-        min_attempts: attempts,
-        failure_threshold: failed,
-        self_doubt_threshold: doubt,
-        suspect_pause: aside,
-        trickle_share: trickle,
-        contact_timeout: word,
+        evidence_window: policy.evidence_window,
+        min_attempts: policy.min_attempts,
+        failure_threshold: policy.failure_ratio,
+        self_doubt_threshold: policy.abstain_ratio,
+        suspect_pause: policy.suspect_pause,
+        trickle_share: policy.suspect_share,
+        contact_timeout: policy.contact_timeout,
     })
 }
 
--- a/src/wire/policy.rs
+++ b/src/wire/policy.rs
@@ -12,9 +12,9 @@
 /// # Errors
 /// Names the first field of the policy that may not change, is unknown or has an invalid value.
 pub fn settings_with_policy(settings: &Value, policy: &Policy) -> Result<NodeSettings, PolicyError> {
-    let invalid = |e: &dyn std::fmt::Display| PolicyError::Settings(e.to_string());
+    let invalid = |e: &dyn std::fmt::Display| PolicyError::IncompatibleSettings(e.to_string());
     let before = parse_settings(settings).map_err(|e| invalid(&e))?;
-    let after = parse_settings(&policy.over(settings)?).map_err(|e| invalid(&e))?;
+    let after = parse_settings(&policy.apply_to(settings)?).map_err(|e| invalid(&e))?;
     before.settings.check_update(&after.settings).map_err(|e| invalid(&e))?;
     Ok(after)
 }
@@ -91,6 +91,6 @@
             let error = parse_with(policy).expect_err(message);
             assert!(error.starts_with(message), "{error}");
         }
-        assert_eq!(member::policy::SERVER_WEIGHTS, crate::api::SERVER_WEIGHT_RANGE);
+        assert_eq!(member::policy::SERVER_WEIGHT_RANGE, crate::api::SERVER_WEIGHT_RANGE);
     }
 }
