--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -447,7 +447,7 @@
         let (own, servers) = n.ballots();
         let asked = n.answer.as_ref().map_or(&[][..], |(_, asked)| asked);
         let ballots = own.ballots.into_iter().filter_map(|own| {
-            let ballot = self.world.ballot(*servers.get(&own.server)?, own.stand, own.evidence)?;
+            let ballot = self.world.ballot(*servers.get(&own.server)?, own.vote, own.evidence)?;
             (ballot.vote == Vote::For || asked.contains(&ballot.server)).then_some(ballot)
         });
         let mut ballots: Vec<_> = ballots.collect();
--- a/src/api.rs
+++ b/src/api.rs
@@ -608,7 +608,7 @@
     /// The server.
     pub server: ServerId,
     /// For or against its removal.
-    pub stand: Vote,
+    pub vote: Vote,
     /// Observed within the window, of the server's listed process.
     pub evidence: Evidence,
 }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -517,12 +517,12 @@
         let ballot = |(server, evidence): (ServerId, Evidence)| {
             let failed =
                 f64::from(evidence.failures()) >= votes.failure_threshold * f64::from(evidence.attempts);
-            LocalBallot { server, stand: if failed { Vote::For } else { Vote::Against }, evidence }
+            LocalBallot { server, vote: if failed { Vote::For } else { Vote::Against }, evidence }
         };
         let ballots: Vec<_> = seen.filter(|(_, e)| e.attempts >= votes.min_attempts).map(ballot).collect();
         // Of two servers that a node shares, one may be bad.
         let max_removals = (votes.self_doubt_threshold * ballots.len() as f64).max(1.0);
-        let self_doubt = ballots.iter().filter(|b| b.stand == Vote::For).count() as f64 > max_removals;
+        let self_doubt = ballots.iter().filter(|b| b.vote == Vote::For).count() as f64 > max_removals;
         let panic_mode =
             self.servers.iter().any(|(id, s)| s.removal.is_none() && self.verdicts.contains_key(id));
         let (isolated, suspects) = (self.active_votes().is_none(), up.filter(|s| s.suspect).count());
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -419,7 +419,7 @@
                 server: host.name.clone(),
                 born_ms: host.born_ms,
                 zone: host.zone.as_deref().unwrap_or_default().to_owned(),
-                vote: own.stand,
+                vote: own.vote,
                 evidence: own.evidence,
             })
         });
--- a/tests/votes.rs
+++ b/tests/votes.rs
@@ -77,8 +77,8 @@
     assert!(bad[1] >= 10 && bad[1] < 150, "{bad:?}");
     assert_eq!(node.balancer.ballots().suspects, 1);
     let own = ballot(&node, 1).expect("enough attempts");
-    assert_eq!((own.stand, own.evidence.errors), (Vote::For, own.evidence.attempts));
-    assert_eq!(ballot(&node, 0).map(|b| b.stand), Some(Vote::Against));
+    assert_eq!((own.vote, own.evidence.errors), (Vote::For, own.evidence.attempts));
+    assert_eq!(ballot(&node, 0).map(|b| b.vote), Some(Vote::Against));
     // It is never left out for longer than the trickle implies.
     for _ in 0..10 {
         assert!(play(&mut node, 400, SAFE, &[1], Some(&[]))[1] > 0, "a trickle");
@@ -109,7 +109,7 @@
     // One of two servers is no cause for self-doubt.
     let mut few = self::node(2);
     play(&mut few, 300, SAFE, &[1], Some(&[]));
-    assert_eq!(ballot(&few, 1).map(|b| b.stand), Some(Vote::For));
+    assert_eq!(ballot(&few, 1).map(|b| b.vote), Some(Vote::For));
     assert!(!few.balancer.ballots().self_doubt);
 }
 
@@ -117,7 +117,7 @@
 fn evidence_covers_the_window_and_the_current_process() {
     let mut node = node(4);
     play(&mut node, 60, SAFE, &[1], Some(&[]));
-    assert_eq!(ballot(&node, 1).map(|b| b.stand), Some(Vote::For));
+    assert_eq!(ballot(&node, 1).map(|b| b.vote), Some(Vote::For));
     // Rejected, cancelled and unsent attempts are no evidence.
     let before = ballot(&node, 0).expect("one").evidence;
     for outcome in [Outcome::Rejected, Outcome::Cancelled, Outcome::NotSent] {
@@ -222,9 +222,9 @@
     let sent = play(&mut node, 800, SAFE, &[], Some(&[(2, true)]));
     // A tenth of its turns, within the budget of a cold server.
     assert!(sent[2] > 3 && sent[2] <= 30, "{sent:?}");
-    assert_eq!(ballot(&node, 2).map(|b| b.stand), Some(Vote::Against));
+    assert_eq!(ballot(&node, 2).map(|b| b.vote), Some(Vote::Against));
     let sent = play(&mut node, 2000, SAFE, &[2], Some(&[(2, true)]));
-    assert!(sent[2] < 40 && ballot(&node, 2).is_none_or(|b| b.stand == Vote::For), "{sent:?}");
+    assert!(sent[2] < 40 && ballot(&node, 2).is_none_or(|b| b.vote == Vote::For), "{sent:?}");
     // A second attempt never goes there, whatever the first one's outcome.
     let mut node = self::node(3);
     deliver_verdicts(&mut node, &[(2, true)]);
