--- a/src/api.rs
+++ b/src/api.rs
@@ -258,51 +258,51 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let fail = |what: String| Err(SettingsError(what));
         if self.classes.is_empty() {
-            return fail("classes: no classes, one is needed at least".into());
+            return fail("classes: no classes, at least one is required".into());
         }
         if self.node_index >= self.node_count {
             return fail("node_index: must be below node_count".into());
         }
         if self.limits.max_attempts == 0 {
-            return fail("limits.max_attempts: no attempts allowed, one is needed at least".into());
+            return fail("limits.max_attempts: must be at least 1".into());
         }
-        let (l, r, g) = (&self.limits, &self.rules, &self.goal);
+        let Self { limits, rules, goal, .. } = self;
         let mut amounts = vec![
-            ("limits.connect_timeout".to_string(), l.connect_timeout),
-            ("limits.max_retry_after".into(), l.max_retry_after),
-            ("rules.discovery_deadline".into(), r.discovery_deadline),
-            ("rules.warmup_time".into(), r.warmup_time),
-            ("rules.overload_multiple".into(), r.overload_multiple),
-            ("rules.overload_window".into(), r.overload_window),
+            ("limits.connect_timeout".to_string(), limits.connect_timeout),
+            ("limits.max_retry_after".into(), limits.max_retry_after),
+            ("rules.discovery_deadline".into(), rules.discovery_deadline),
+            ("rules.warmup_time".into(), rules.warmup_time),
+            ("rules.overload_multiple".into(), rules.overload_multiple),
+            ("rules.overload_window".into(), rules.overload_window),
             ("tick".into(), self.tick),
             ("retry_budget.max".into(), self.retry_budget.max),
-            ("goal.worth".into(), g.worth),
-            ("goal.worst_class".into(), g.worst_class),
-            ("goal.worst_tenant".into(), g.worst_tenant),
+            ("goal.worth".into(), goal.worth),
+            ("goal.worst_class".into(), goal.worst_class),
+            ("goal.worst_tenant".into(), goal.worst_tenant),
         ];
         let mut shares = vec![
-            ("rules.cold_capacity".to_string(), r.cold_capacity),
+            ("rules.cold_capacity".to_string(), rules.cold_capacity),
             ("over_quota_worth".into(), self.over_quota_worth),
             ("retry_budget.ratio".into(), self.retry_budget.ratio),
             ("ejection.max_fraction".into(), self.ejection.max_fraction),
         ];
-        if let Some(v) = &self.votes {
+        if let Some(votes) = &self.votes {
             amounts.extend([
-                ("votes.evidence_window".into(), v.evidence_window),
-                ("votes.suspect_pause".into(), v.suspect_pause),
+                ("votes.evidence_window".into(), votes.evidence_window),
+                ("votes.suspect_pause".into(), votes.suspect_pause),
             ]);
-            amounts.push(("votes.contact_timeout".into(), v.contact_timeout));
+            amounts.push(("votes.contact_timeout".into(), votes.contact_timeout));
             shares.extend([
-                ("votes.failure_threshold".into(), v.failure_threshold),
-                ("votes.self_doubt_threshold".into(), v.self_doubt_threshold),
+                ("votes.failure_threshold".into(), votes.failure_threshold),
+                ("votes.self_doubt_threshold".into(), votes.self_doubt_threshold),
             ]);
-            shares.push(("votes.trickle_share".into(), v.trickle_share));
-            if v.trickle_share <= 0.0 || v.evidence_window <= 0.0 {
+            shares.push(("votes.trickle_share".into(), votes.trickle_share));
+            if votes.trickle_share <= 0.0 || votes.evidence_window <= 0.0 {
                 return fail("votes: trickle_share and evidence_window must be above 0".into());
             }
         }
         if self.ejection.consecutive_failures == 0 {
-            return fail("ejection.consecutive_failures: none, one is needed at least".into());
+            return fail("ejection.consecutive_failures: must be at least 1".into());
         }
         if let Some((server, factor)) =
             self.server_weights.iter().find(|(_, w)| !SERVER_WEIGHT_RANGE.contains(w))
@@ -310,21 +310,21 @@
             let (min, max) = SERVER_WEIGHT_RANGE.into_inner();
             return fail(format!("server_weights[{}]: {factor} is outside {min} to {max}", server.0));
         }
-        for (n, class) in self.classes.iter().enumerate() {
-            amounts.push((format!("classes[{n}].slo"), class.slo));
-            amounts.push((format!("classes[{n}].worth"), class.worth));
+        for (index, class) in self.classes.iter().enumerate() {
+            amounts.push((format!("classes[{index}].slo"), class.slo));
+            amounts.push((format!("classes[{index}].worth"), class.worth));
             if let Idempotency::Keyed { dedup_window, .. } = class.idempotency {
-                amounts.push((format!("classes[{n}].idempotency.dedup_window"), dedup_window));
+                amounts.push((format!("classes[{index}].idempotency.dedup_window"), dedup_window));
             }
-            shares.push((format!("classes[{n}].late_worth"), class.late_worth));
+            shares.push((format!("classes[{index}].late_worth"), class.late_worth));
             for (name, value) in [("slo", class.slo), ("deadline", class.deadline)] {
                 if value.is_nan() || value <= 0.0 {
-                    return fail(format!("classes[{n}].{name}: must be above 0"));
+                    return fail(format!("classes[{index}].{name}: must be above 0"));
                 }
             }
         }
-        for (n, tenant) in self.tenants.iter().enumerate() {
-            amounts.push((format!("tenants[{n}].quota_per_s"), tenant.quota_per_s));
+        for (index, tenant) in self.tenants.iter().enumerate() {
+            amounts.push((format!("tenants[{index}].quota_per_s"), tenant.quota_per_s));
         }
         if let Some((name, value)) = amounts.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
             return fail(format!("{name}: {value} is negative or not finite"));
@@ -335,8 +335,8 @@
         Ok(())
     }
 
-    /// Interval between looks at the queue: far below every objective, and short enough that an answer at the
-    /// deadline still counts as in time.
+    /// Interval between looks at the queue: far below every SLO, and short enough that a final answer due at the
+    /// deadline is still given within its tolerance.
     pub(crate) fn sweep_interval(&self) -> Millis {
         let min_slo = self.classes.iter().map(|c| c.slo).fold(f64::INFINITY, f64::min);
         (min_slo / 20.0).max(self.tick).max(1.0)
@@ -360,7 +360,7 @@
     /// Names the first field that is invalid or may not change in service.
     pub fn check_update(&self, new: &Self) -> Result<(), SettingsError> {
         new.check()?;
-        let (l, n) = (&self.limits, &new.limits);
+        let (old_limits, new_limits) = (&self.limits, &new.limits);
         let idempotency = |s: &Self| s.classes.iter().map(|c| c.idempotency).collect::<Vec<_>>();
         let same = [
             ("node_index", self.node_index == new.node_index),
@@ -370,10 +370,10 @@
             ("tenants: count", self.tenants.len() == new.tenants.len()),
             ("over_quota_worth", self.over_quota_worth == new.over_quota_worth),
             ("goal", self.goal == new.goal),
-            ("limits.hedging", l.hedging == n.hedging),
-            ("limits.cancel", l.cancel == n.cancel),
-            ("limits.probes", l.probes == n.probes),
-            ("limits.connect_timeout", l.connect_timeout == n.connect_timeout),
+            ("limits.hedging", old_limits.hedging == new_limits.hedging),
+            ("limits.cancel", old_limits.cancel == new_limits.cancel),
+            ("limits.probes", old_limits.probes == new_limits.probes),
+            ("limits.connect_timeout", old_limits.connect_timeout == new_limits.connect_timeout),
             ("rules", self.rules == new.rules),
             ("discovery", self.discovery == new.discovery),
             ("weights", self.weights == new.weights),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -251,7 +251,7 @@
     let fields = Fields::of(value, "")?;
     let (class_names, classes) = fields.named("Classes", class)?;
     if classes.is_empty() {
-        return Err("Classes: no classes, one is needed at least".to_string());
+        return Err("Classes: no classes, at least one is required".to_string());
     }
     let max_deadline = classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     let tenant = |t: &Fields<'_>| Ok(Tenant { quota_per_s: t.within("QuotaPerS", AMOUNT)? });
