--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -1,5 +1,5 @@
-//! One draw of an experiment: every figure that the plan leaves to chance, and every first try, taken ahead of the
-//! play from the seed alone. The same seed gives the same draw.
+//! One draw of an experiment: every value that the plan leaves to chance, and every first try. All are generated from
+//! the seed before the run, so the same seed gives the same draw.
 
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -9,12 +9,12 @@
 use crate::plan::{Direction, Fault, FaultKind, Idempotency, Plan, Range, WorkDistribution};
 use crate::server::{Choke, Figures, Us};
 
-/// The most first tries of one draw.
+/// The most first tries of one draw; further ones are left out.
 pub const MAX_ARRIVALS: usize = 2_000_000;
-/// Servers of a cell.
-const CELL: usize = 6;
+const SERVERS_PER_CELL: usize = 6;
 
-/// What random numbers are for: each use has a stream of its own, so that one more figure moves no other.
+/// The uses of random numbers. Each has a stream of its own, so that one more random value in a use leaves the others
+/// as they were. The numbers select the streams: changing one changes all draws.
 #[derive(Clone, Copy)]
 #[repr(u64)]
 enum Stream {
@@ -22,174 +22,174 @@
     Arrivals,
     Faults,
     Network,
-    Guesses,
+    Estimates,
 }
 
-/// Microseconds from milliseconds.
-pub fn us_from_ms(value: f64) -> Us {
-    (value.max(0.0) * 1e3).round() as Us
+/// Microseconds from milliseconds; a negative value gives 0.
+pub fn us_from_ms(milliseconds: f64) -> Us {
+    (milliseconds.max(0.0) * 1e3).round() as Us
 }
 
-/// Microseconds from seconds.
-pub fn us_from_s(value: f64) -> Us {
-    us_from_ms(value * 1e3)
+/// Microseconds from seconds; a negative value gives 0.
+pub fn us_from_s(seconds: f64) -> Us {
+    us_from_ms(seconds * 1e3)
 }
 
-/// A place for an app server.
+/// An app server as drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSpec {
-    /// Its zone.
+    /// The zone's number.
     pub zone: usize,
-    /// Its cell.
+    /// The cell's number.
     pub cell: u64,
-    /// What it is like.
+    /// What the server is like.
     pub parameters: Figures,
 }
 
-/// A class as drawn.
+/// A class of requests as drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSpec {
-    /// Its name.
+    /// The class's name.
     pub name: String,
-    /// Mean work.
+    /// Mean work, in microseconds of one core at speed 1.
     pub mean_work: f64,
-    /// Wanted within.
+    /// The target for the time to an answer.
     pub aim: Us,
-    /// Given up after.
+    /// The client gives up after this, all tries together.
     pub deadline: Us,
-    /// Worth of a unit of work.
+    /// The worth of an answer, for a unit of work.
     pub worth: f64,
-    /// May it run again?
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// How long repeats are dropped.
+    /// How long servers drop repeats of a keyed request.
     pub dedup_window: Us,
 }
 
-/// A first try.
+/// A request as drawn, from its first try on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When its client asks.
+    /// When the client sends the first try.
     pub at: Us,
-    /// Where.
+    /// The client's zone.
     pub zone: usize,
-    /// For what.
+    /// The request's class.
     pub class: usize,
-    /// How much work it is.
+    /// The request's work, in microseconds of one core at speed 1.
     pub work: f64,
-    /// What its client guesses that to be.
+    /// The client's estimate of the work.
     pub work_estimate: f64,
-    /// Its client stays away for as long as a refusal says.
+    /// Whether the client waits for as long as the `Retry-After` of a refusal says.
     pub honours_retry_after: bool,
-    /// Its client leaves after this share of its patience.
+    /// The client closes the connection after this share of the try's timeout; `None`: not before it.
     pub leaves_after: Option<f64>,
-    /// For what its client does by chance.
+    /// The seed of the client's random choices.
     pub seed: u64,
 }
 
-/// How clients behave.
+/// The behaviour of clients as drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientSpec {
-    /// Further tries.
+    /// How often a client retries a request.
     pub max_retries: usize,
-    /// A try is given up after this share of the class's time.
+    /// The timeout of one try, as a share of the class's deadline.
     pub try_timeout_share: f64,
-    /// The wait before the first further try.
+    /// The backoff before the first retry.
     pub backoff: Us,
-    /// The longest that a refusal can hold one off.
+    /// The longest `Retry-After` that clients honour.
     pub max_retry_after: Us,
 }
 
-/// A fault with its targets: numbers of nodes, servers or zones, by its kind.
+/// A fault with its targets as drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultSpec {
-    /// What happens.
+    /// The kind.
     pub kind: FaultKind,
-    /// From when ...
+    /// When the fault begins.
     pub at: Us,
-    /// ... until when.
+    /// When the fault ends.
     pub until: Us,
-    /// To whom.
+    /// The numbers of nodes, servers, replicas or zones, by the kind; replicas count from 0 here.
     pub targets: Vec<usize>,
-    /// How strongly.
+    /// The strength; its meaning depends on the kind.
     pub factor: f64,
-    /// In how many steps.
+    /// The number of steps of a release.
     pub steps: usize,
-    /// How late a gray server answers.
+    /// The added delay of answers in a gray failure.
     pub answer_delay: Us,
-    /// The share of answers that break off.
+    /// The share of answers that are cut short in a gray failure.
     pub truncated_share: f64,
-    /// Which way of a cut.
+    /// The direction of a partition; `None`: both.
     pub direction: Option<Direction>,
-    /// The other zone of it; all others where there is none.
+    /// The other zone of a partition or of links with limited bandwidth; `None`: all others.
     pub peer_zone: Option<usize>,
-    /// The policy that is asked for.
+    /// The proposed policy.
     pub policy: serde_json::Map<String, serde_json::Value>,
-    /// It strikes the replica that leads when it begins.
+    /// Whether the target is the replica that leads when the fault begins.
     pub targets_leader: bool,
 }
 
-/// How the list reaches the nodes.
+/// How the list of servers reaches the nodes, as drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoverySpec {
-    /// A drain or an end in order is listed after this.
+    /// The delay until a drain, or a server that shut down in order, is listed as such.
     pub leave_delay: Us,
-    /// A server that vanished is listed as gone after this.
+    /// The delay until a server that vanished is listed as gone.
     pub vanish_delay: Us,
-    /// A server that started is listed after this.
+    /// The delay until a server that started is listed.
     pub join_delay: Us,
-    /// Nodes hear of a version within this of each other.
+    /// All nodes receive a version of the list within this time of each other.
     pub node_spread: Us,
 }
 
-/// A draw.
+/// One seeded instance of an experiment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Draw {
-    /// What it was drawn from.
+    /// The seed of the draw.
     pub seed: u64,
-    /// How long clients come.
+    /// How long clients send requests.
     pub length: Us,
     /// The zones' names.
     pub zones: Vec<String>,
     /// The zone of each node.
     pub nodes: Vec<usize>,
-    /// The servers.
+    /// The app servers.
     pub servers: Vec<ServerSpec>,
-    /// The classes.
+    /// The classes of requests.
     pub classes: Vec<ClassSpec>,
-    /// The first tries, in order.
+    /// The requests, in the order of their first tries.
     pub arrivals: Vec<Arrival>,
     /// How clients behave.
     pub clients: ClientSpec,
-    /// One way between zones.
+    /// The one-way delay from each zone to each zone.
     pub delays: Vec<Vec<Us>>,
-    /// One way between a client and a node.
+    /// The one-way delay between a client and a node.
     pub client_delay: Us,
-    /// Mean of the jitter, as a share.
+    /// The mean of the jitter, as a share of the delay.
     pub jitter: f64,
-    /// Round trips of a new connection.
+    /// The round trips of a new connection.
     pub handshake_trips: f64,
-    /// How long a front goes on sending to a dead node.
+    /// How long the front of a zone goes on sending to a dead node.
     pub front_detection_delay: Us,
-    /// How the list reaches the nodes.
+    /// How the list of servers reaches the nodes.
     pub discovery: DiscoverySpec,
-    /// What goes wrong.
+    /// The faults, in the order of the plan.
     pub faults: Vec<FaultSpec>,
-    /// Work that the warm fleet gets done in a microsecond.
+    /// The work that the warm fleet does in a microsecond.
     pub capacity: f64,
 }
 
 impl Draw {
-    /// The draw of a seed.
+    /// Generates the draw of a seed.
     pub fn new(plan: &Plan, seed: u64) -> Self {
         let mut rng = stream(seed, Stream::Fleet);
         let fleet = plan.fleet.get_ref();
         let zones = fleet.zones.clone();
-        let nodes = (0..count(&mut rng, fleet.nodes)).map(|n| n % zones.len()).collect();
-        let servers = servers(plan, &mut rng);
+        let nodes = (0..sample_count(&mut rng, fleet.nodes)).map(|n| n % zones.len()).collect();
+        let servers = sample_servers(plan, &mut rng);
         let capacity = servers.iter().map(|s| s.parameters.speed * s.parameters.cores as f64).sum();
         let classes = plan.classes.get_ref().iter().map(|c| ClassSpec {
             name: c.name.clone(),
-            mean_work: take(&mut rng, c.work_ms) * 1e3,
+            mean_work: sample(&mut rng, c.work_ms) * 1e3,
             aim: us_from_ms(c.aim_ms),
             deadline: us_from_ms(c.deadline_ms),
             worth: c.worth,
@@ -199,18 +199,20 @@
         let classes: Vec<ClassSpec> = classes.collect();
         let clients = plan.clients.get_ref();
         let clients = ClientSpec {
-            max_retries: take(&mut rng, clients.retries) as usize,
-            try_timeout_share: take(&mut rng, clients.try_share),
-            backoff: us_from_ms(take(&mut rng, clients.backoff_ms)),
+            max_retries: sample(&mut rng, clients.retries) as usize,
+            try_timeout_share: sample(&mut rng, clients.try_share),
+            backoff: us_from_ms(sample(&mut rng, clients.backoff_ms)),
             max_retry_after: us_from_ms(clients.max_retry_after_ms),
         };
-        let net = &plan.network;
-        let delays = (0..zones.len()).map(|a| {
-            let delay = |b| us_from_ms(take(&mut rng, if a == b { net.same_ms } else { net.cross_ms }));
+        let network = &plan.network;
+        let delays = (0..zones.len()).map(|from| {
+            let delay = |to| {
+                us_from_ms(sample(&mut rng, if from == to { network.same_ms } else { network.cross_ms }))
+            };
             (0..zones.len()).map(delay).collect()
         });
         let delays = delays.collect();
-        let list = &plan.discovery;
+        let discovery = &plan.discovery;
         let mut draw = Self {
             seed,
             length: us_from_s(*plan.length_s.get_ref()),
@@ -221,36 +223,39 @@
             arrivals: Vec::new(),
             clients,
             delays,
-            client_delay: us_from_ms(take(&mut rng, net.client_ms)),
-            jitter: take(&mut rng, net.jitter),
-            handshake_trips: take(&mut rng, plan.server.get_ref().handshake_trips),
-            front_detection_delay: us_from_s(take(&mut rng, fleet.front_notice_s)),
+            client_delay: us_from_ms(sample(&mut rng, network.client_ms)),
+            jitter: sample(&mut rng, network.jitter),
+            handshake_trips: sample(&mut rng, plan.server.get_ref().handshake_trips),
+            front_detection_delay: us_from_s(sample(&mut rng, fleet.front_notice_s)),
             discovery: DiscoverySpec {
-                leave_delay: us_from_s(take(&mut rng, list.notice_s)),
-                vanish_delay: us_from_s(take(&mut rng, list.silent_notice_s)),
-                join_delay: us_from_s(take(&mut rng, list.add_s)),
-                node_spread: us_from_ms(take(&mut rng, list.spread_ms)),
+                leave_delay: us_from_s(sample(&mut rng, discovery.notice_s)),
+                vanish_delay: us_from_s(sample(&mut rng, discovery.silent_notice_s)),
+                join_delay: us_from_s(sample(&mut rng, discovery.add_s)),
+                node_spread: us_from_ms(sample(&mut rng, discovery.spread_ms)),
             },
             faults: Vec::new(),
             capacity,
         };
         let mut rng = stream(seed, Stream::Faults);
         let replicas = plan.control.as_ref().map_or(0, |c| c.get_ref().replicas);
-        draw.faults = plan.faults.iter().map(|f| draw.fault(f.get_ref(), replicas, &mut rng)).collect();
-        draw.arrivals = draw.arrive(plan, &mut stream(seed, Stream::Arrivals));
-        draw.guess(plan, &mut stream(seed, Stream::Guesses));
+        draw.faults =
+            plan.faults.iter().map(|f| draw.sample_fault(f.get_ref(), replicas, &mut rng)).collect();
+        draw.arrivals = draw.sample_arrivals(plan, &mut stream(seed, Stream::Arrivals));
+        draw.sample_estimates(plan, &mut stream(seed, Stream::Estimates));
         draw
     }
 
-    /// Random numbers for what the network does by chance.
+    /// The random numbers for the network's random behaviour.
     pub fn network_rng(&self) -> Pcg64 {
         stream(self.seed, Stream::Network)
     }
 
-    fn fault(&self, fault: &Fault, replicas: usize, rng: &mut Pcg64) -> FaultSpec {
-        let place = |zone: &Option<String>| self.zones.iter().position(|name| Some(name) == zone.as_ref());
-        let zone = place(&fault.zone);
-        let parties: Vec<usize> = match fault.kind {
+    /// Chooses the targets of a fault and resolves names and units.
+    fn sample_fault(&self, fault: &Fault, replicas: usize, rng: &mut Pcg64) -> FaultSpec {
+        let zone_number =
+            |zone: &Option<String>| self.zones.iter().position(|name| Some(name) == zone.as_ref());
+        let zone = zone_number(&fault.zone);
+        let candidate_zones: Vec<usize> = match fault.kind {
             kind if kind.targets_nodes() => self.nodes.clone(),
             kind if kind.targets_replicas() => vec![0; replicas],
             FaultKind::Partition
@@ -264,10 +269,11 @@
             | FaultKind::GroupOutage => Vec::new(),
             _ => self.servers.iter().map(|s| s.zone).collect(),
         };
-        let mut targets: Vec<usize> =
-            (0..parties.len()).filter(|n| zone.is_none_or(|zone| parties[*n] == zone)).collect();
+        let mut targets: Vec<usize> = (0..candidate_zones.len())
+            .filter(|n| zone.is_none_or(|zone| candidate_zones[*n] == zone))
+            .collect();
         if let Some(ids) = &fault.ids {
-            // Replicas count from 1.
+            // Experiments number replicas from 1.
             let first = usize::from(fault.kind.targets_replicas());
             targets.retain(|n| ids.contains(&(n + first)));
         }
@@ -294,37 +300,38 @@
             answer_delay: us_from_ms(fault.slower_ms.unwrap_or(0.0)),
             truncated_share: fault.garbled.unwrap_or(0.0),
             direction: fault.direction,
-            peer_zone: place(&fault.peer_zone),
+            peer_zone: zone_number(&fault.peer_zone),
             policy: fault.policy.clone().unwrap_or_default(),
             targets_leader: fault.role.is_some(),
         }
     }
 
-    /// What clients guess of their requests' work.
-    fn guess(&mut self, plan: &Plan, rng: &mut Pcg64) {
-        let cv = take(rng, plan.load.get_ref().guess_cv);
+    /// Sets the clients' estimates of their requests' work.
+    fn sample_estimates(&mut self, plan: &Plan, rng: &mut Pcg64) {
+        let cv = sample(rng, plan.load.get_ref().guess_cv);
         for arrival in &mut self.arrivals {
             arrival.work_estimate = arrival.work * lognormal(rng, cv);
         }
     }
 
-    /// First tries: a Poisson process whose rate swings, with the bursts of the timeline.
-    fn arrive(&self, plan: &Plan, rng: &mut Pcg64) -> Vec<Arrival> {
+    /// Generates the first tries: a Poisson process whose rate swings, with the bursts of the timeline. It is sampled at
+    /// its highest rate, and thinned to the rate of the moment.
+    fn sample_arrivals(&self, plan: &Plan, rng: &mut Pcg64) -> Vec<Arrival> {
         let load = plan.load.get_ref();
         let shares: Vec<f64> = plan.classes.get_ref().iter().map(|c| c.share).collect();
         let total: f64 = shares.iter().sum();
-        let work: f64 = shares.iter().zip(&self.classes).map(|(s, c)| s / total * c.mean_work).sum();
-        let mean = match load.per_s {
-            Some(per_s) => take(rng, per_s),
-            None => take(rng, load.of_capacity) * self.capacity / work * 1e6,
+        let mean_work: f64 = shares.iter().zip(&self.classes).map(|(s, c)| s / total * c.mean_work).sum();
+        let mean_per_s = match load.per_s {
+            Some(per_s) => sample(rng, per_s),
+            None => sample(rng, load.of_capacity) * self.capacity / mean_work * 1e6,
         };
-        let swing = take(rng, load.swing);
-        let skew = take(rng, load.zone_skew);
-        let zones = weights(rng, self.zones.len(), skew);
-        let impatient = take(rng, plan.clients.get_ref().impatient);
-        let honour = take(rng, plan.clients.get_ref().honour);
-        // Over half a sine the swing adds 2/pi of itself to the mean.
-        let base = mean / (1.0 + swing * std::f64::consts::FRAC_2_PI) / 1e6;
+        let swing = sample(rng, load.swing);
+        let skew = sample(rng, load.zone_skew);
+        let zone_weights = sample_weights(rng, self.zones.len(), skew);
+        let leaving_share = sample(rng, plan.clients.get_ref().impatient);
+        let honouring_share = sample(rng, plan.clients.get_ref().honour);
+        // The rate for a microsecond without swing and bursts: half a sine wave adds 2/pi of its height to the mean.
+        let base = mean_per_s / (1.0 + swing * std::f64::consts::FRAC_2_PI) / 1e6;
         let rate = |at: f64| {
             let bursts = self.faults.iter().filter(|f| f.kind == FaultKind::Burst);
             let burst = bursts.filter(|f| (f.at as f64..f.until as f64).contains(&at)).map(|f| f.factor);
@@ -332,27 +339,27 @@
             base * wave * burst.product::<f64>()
         };
         let bursts = self.faults.iter().filter(|f| f.kind == FaultKind::Burst);
-        let most = base * (1.0 + swing) * bursts.map(|f| f.factor.max(1.0)).product::<f64>();
+        let max_rate = base * (1.0 + swing) * bursts.map(|f| f.factor.max(1.0)).product::<f64>();
         let mut arrivals = Vec::new();
         let mut at = 0.0;
-        while most > 0.0 && arrivals.len() < MAX_ARRIVALS {
+        while max_rate > 0.0 && arrivals.len() < MAX_ARRIVALS {
             let gap: f64 = Exp1.sample(rng);
-            at += gap / most;
+            at += gap / max_rate;
             if at >= self.length as f64 {
                 break;
             }
-            if rng.random::<f64>() * most >= rate(at) {
+            if rng.random::<f64>() * max_rate >= rate(at) {
                 continue;
             }
-            let class = pick(rng, &shares);
+            let class = sample_index(rng, &shares);
             arrivals.push(Arrival {
                 at: at as Us,
-                zone: pick(rng, &zones),
+                zone: sample_index(rng, &zone_weights),
                 class,
-                work: work_of(rng, plan, class, self.classes[class].mean_work),
+                work: sample_work(rng, plan, class, self.classes[class].mean_work),
                 work_estimate: 0.0,
-                honours_retry_after: rng.random::<f64>() < honour,
-                leaves_after: (rng.random::<f64>() < impatient).then(|| rng.random()),
+                honours_retry_after: rng.random::<f64>() < honouring_share,
+                leaves_after: (rng.random::<f64>() < leaving_share).then(|| rng.random()),
                 seed: rng.random(),
             });
         }
@@ -360,103 +367,108 @@
     }
 }
 
-fn work_of(rng: &mut Pcg64, plan: &Plan, class: usize, mean: f64) -> f64 {
+/// The work of a request, at least 0.1 ms of one core at speed 1.
+fn sample_work(rng: &mut Pcg64, plan: &Plan, class: usize, mean: f64) -> f64 {
     let class = &plan.classes.get_ref()[class];
     let unit = match class.dist {
         WorkDistribution::Exponential => Exp1.sample(rng),
         WorkDistribution::Lognormal => {
-            let (least, most) = class.cv.bounds();
-            lognormal(rng, (least + most) / 2.0)
+            let (min, max) = class.cv.bounds();
+            lognormal(rng, (min + max) / 2.0)
         }
     };
     (mean * unit).max(100.0)
 }
 
-/// With a mean of 1 and this standard deviation.
+/// A lognormal value with a mean of 1 and this standard deviation.
 fn lognormal(rng: &mut Pcg64, cv: f64) -> f64 {
     let variance = (1.0 + cv.powi(2)).ln();
-    // Both parameters are finite: the plan's figures are.
+    // Both parameters are finite, as all values of a plan are.
     LogNormal::new(-variance / 2.0, variance.sqrt()).map_or(1.0, |d| d.sample(rng))
 }
 
-fn servers(plan: &Plan, rng: &mut Pcg64) -> Vec<ServerSpec> {
+fn sample_servers(plan: &Plan, rng: &mut Pcg64) -> Vec<ServerSpec> {
     let (fleet, kind) = (plan.fleet.get_ref(), plan.server.get_ref());
-    let skew = take(rng, fleet.server_skew);
-    let weights = weights(rng, fleet.zones.len(), skew);
-    let count = count(rng, fleet.servers);
-    let (speed, cv) = (take(rng, kind.speed), take(rng, kind.speed_cv));
+    let skew = sample(rng, fleet.server_skew);
+    let weights = sample_weights(rng, fleet.zones.len(), skew);
+    let count = sample_count(rng, fleet.servers);
+    let (speed, cv) = (sample(rng, kind.speed), sample(rng, kind.speed_cv));
     let cores = kind.cores as f64;
     let model = Figures {
         cores: kind.cores,
         speed,
-        queue: (take(rng, kind.queue_per_core) * cores) as usize,
-        thrash_at: take(rng, kind.thrash_at),
-        thrash: take(rng, kind.thrash),
-        cold_from: take(rng, kind.cold_from),
-        cold: us_from_s(take(rng, kind.cold_s)),
-        error_rate: take(rng, kind.error_rate),
-        drops_cancelled: rng.random::<f64>() < take(rng, kind.drops_cancelled),
-        connections: (take(rng, kind.connections_per_core) * cores) as usize,
-        full_tax: take(rng, kind.full_tax),
-        handshake: take(rng, kind.handshake_ms) * 1e3,
+        queue: (sample(rng, kind.queue_per_core) * cores) as usize,
+        thrash_at: sample(rng, kind.thrash_at),
+        thrash: sample(rng, kind.thrash),
+        cold_from: sample(rng, kind.cold_from),
+        cold: us_from_s(sample(rng, kind.cold_s)),
+        error_rate: sample(rng, kind.error_rate),
+        drops_cancelled: rng.random::<f64>() < sample(rng, kind.drops_cancelled),
+        connections: (sample(rng, kind.connections_per_core) * cores) as usize,
+        full_tax: sample(rng, kind.full_tax),
+        handshake: sample(rng, kind.handshake_ms) * 1e3,
         choke: Choke {
-            at: take(rng, kind.choke_at),
-            over: us_from_s(take(rng, kind.choke_over_s)),
-            slower: take(rng, kind.choke_slower),
-            below: take(rng, kind.choke_below),
-            rest: us_from_s(take(rng, kind.choke_rest_s)),
-            most: us_from_s(take(rng, kind.choke_most_s)),
+            at: sample(rng, kind.choke_at),
+            over: us_from_s(sample(rng, kind.choke_over_s)),
+            slower: sample(rng, kind.choke_slower),
+            below: sample(rng, kind.choke_below),
+            rest: us_from_s(sample(rng, kind.choke_rest_s)),
+            most: us_from_s(sample(rng, kind.choke_most_s)),
         },
         fall_multiple: plan.rules.fall_multiple,
         fall_window: us_from_ms(plan.rules.fall_ms),
     };
-    // The largest remainders get what rounding leaves over; the zones in turn where weights are alike.
+    // Each server goes to the zone that is furthest below its share of the servers placed so far.
     let total: f64 = weights.iter().sum();
-    let mut filled = vec![0usize; weights.len()];
+    let mut placed = vec![0usize; weights.len()];
     let zones: Vec<usize> = (0..count)
         .map(|n| {
-            let lack = |z: usize| weights[z] / total * (n + 1) as f64 - filled[z] as f64;
-            let zone = (0..weights.len()).max_by(|a, b| lack(*a).total_cmp(&lack(*b))).unwrap_or(0);
-            filled[zone] += 1;
+            let deficit = |z: usize| weights[z] / total * (n + 1) as f64 - placed[z] as f64;
+            let zone = (0..weights.len()).max_by(|a, b| deficit(*a).total_cmp(&deficit(*b))).unwrap_or(0);
+            placed[zone] += 1;
             zone
         })
         .collect();
-    let spread = Normal::new(1.0, cv).ok();
+    let speed_factors = Normal::new(1.0, cv).ok();
     let specs = zones.into_iter().enumerate().map(|(n, zone)| {
-        let factor = spread.map_or(1.0, |d| d.sample(rng)).clamp(0.5, 1.5);
+        let factor = speed_factors.map_or(1.0, |d| d.sample(rng)).clamp(0.5, 1.5);
         let figures = Figures { speed: speed * factor, ..model.clone() };
-        ServerSpec { zone, cell: (n / CELL) as u64, parameters: figures }
+        ServerSpec { zone, cell: (n / SERVERS_PER_CELL) as u64, parameters: figures }
     });
     specs.collect()
 }
 
 fn stream(seed: u64, stream: Stream) -> Pcg64 {
-    // Seeds that are near each other must not give streams that are alike.
+    // Seeds that are close to each other must not give correlated streams.
     let state = Pcg64::seed_from_u64(seed).random::<u128>();
     Pcg64::new(state, stream as u128)
 }
 
-fn take(rng: &mut Pcg64, range: Range) -> f64 {
-    let (least, most) = range.bounds();
-    least + (most - least) * rng.random::<f64>()
+/// A uniform value within a range.
+fn sample(rng: &mut Pcg64, range: Range) -> f64 {
+    let (min, max) = range.bounds();
+    min + (max - min) * rng.random::<f64>()
 }
 
-fn count(rng: &mut Pcg64, range: Range) -> usize {
-    let (least, most) = range.bounds();
-    (least + (most - least + 1.0) * rng.random::<f64>()).min(most) as usize
+/// A uniform whole number within a range.
+fn sample_count(rng: &mut Pcg64, range: Range) -> usize {
+    let (min, max) = range.bounds();
+    (min + (max - min + 1.0) * rng.random::<f64>()).min(max) as usize
 }
 
-fn weights(rng: &mut Pcg64, parts: usize, skew: f64) -> Vec<f64> {
+/// Weights around 1 that differ from it by up to the skew.
+fn sample_weights(rng: &mut Pcg64, parts: usize, skew: f64) -> Vec<f64> {
     (0..parts).map(|_| (1.0 + skew * (2.0 * rng.random::<f64>() - 1.0)).max(0.01)).collect()
 }
 
-fn pick(rng: &mut Pcg64, weights: &[f64]) -> usize {
-    let mut left = rng.random::<f64>() * weights.iter().sum::<f64>();
-    let place = weights.iter().position(|w| {
-        left -= w;
-        left < 0.0
+/// An index, each with a probability by its weight.
+fn sample_index(rng: &mut Pcg64, weights: &[f64]) -> usize {
+    let mut remaining = rng.random::<f64>() * weights.iter().sum::<f64>();
+    let index = weights.iter().position(|w| {
+        remaining -= w;
+        remaining < 0.0
     });
-    place.unwrap_or(weights.len() - 1)
+    index.unwrap_or(weights.len() - 1)
 }
 
 #[cfg(test)]
@@ -469,28 +481,28 @@
     }
 
     #[test]
-    fn one_seed_gives_one_draw_and_another_gives_another() {
+    fn a_draw_depends_on_its_seed_alone() {
         let plan = plan("[[fault]]\nkind = \"slow\"\nat_s = 3\nfor_s = 2\nshare = 0.3\nfactor = 4\n");
         assert_eq!(Draw::new(&plan, 7), Draw::new(&plan, 7));
         assert_ne!(Draw::new(&plan, 7), Draw::new(&plan, 8));
     }
 
     #[test]
-    fn a_fault_moves_no_arrival_and_a_burst_adds_some() {
+    fn only_a_burst_changes_the_arrivals() {
         let calm = Draw::new(&plan("[load]\nswing = 0\n"), 7);
         let text = "[load]\nswing = 0\n[[fault]]\nkind = \"kill\"\nat_s = 3\n";
         assert_eq!(Draw::new(&plan(text), 7).arrivals, calm.arrivals);
         let text = "[load]\nswing = 0\n[[fault]]\nkind = \"burst\"\nat_s = 5\nfor_s = 5\nfactor = 2\n";
         let burst = Draw::new(&plan(text), 7);
-        let within = |d: &Draw| {
+        let within_burst = |d: &Draw| {
             d.arrivals.iter().filter(|a| (us_from_s(5.0)..us_from_s(10.0)).contains(&a.at)).count() as f64
         };
-        let ratio = within(&burst) / within(&calm);
+        let ratio = within_burst(&burst) / within_burst(&calm);
         assert!((1.8..2.2).contains(&ratio), "{ratio}");
     }
 
     #[test]
-    fn the_load_is_the_share_of_capacity_that_was_asked_for() {
+    fn the_offered_work_is_the_share_of_capacity_in_the_plan() {
         let draw = Draw::new(&plan("[load]\nof_capacity = 0.7\n"), 11);
         let work: f64 = draw.arrivals.iter().map(|a| a.work).sum();
         let load = work / (draw.capacity * draw.length as f64);
@@ -498,7 +510,7 @@
     }
 
     #[test]
-    fn targets_are_of_the_zone_and_so_many() {
+    fn targets_are_the_given_share_of_the_zone() {
         let text =
             "[fleet]\nservers = 30\n[[fault]]\nkind = \"lose\"\nat_s = 1\nzone = \"maipu\"\nshare = 0.5\n";
         let draw = Draw::new(&plan(text), 3);
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,31 +1,32 @@
-//! What fails round a play, besides the play itself: files that are read and written, and settings that modules refuse.
+//! Errors of the lab outside a live run: files that can't be read or written, and settings that the decision modules
+//! reject.
 //!
-//! Each error of the lab says what failed and where in one line, and `advice()` what to do about it in a few reason.
+//! Each error of the lab says in one line what failed and where; `advice()` says in a few words what to do about it.
 
 use std::path::{Path, PathBuf};
 
 use thiserror::Error;
 
-/// Why a file is of no use.
+/// Why a file can't be used.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: can't be read: {source}", file.display())]
     Read {
         /// The file.
         file: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It can't be written.
+    /// The file or folder can't be written.
     #[error("{}: can't be written: {reason}", file.display())]
     Write {
         /// The file or folder.
         file: PathBuf,
-        /// Why not.
+        /// The error.
         reason: String,
     },
-    /// It does not hold what it should.
+    /// The file's content has the wrong form.
     #[error("{}: {field}: {reason}", file.display())]
     Format {
         /// The file.
@@ -35,17 +36,17 @@
         /// What is wrong with it.
         reason: String,
     },
-    /// It is of a version that this program does not know.
+    /// The file has a version that this program does not support.
     #[error("{}: schema: {known} is known, not {found}", file.display())]
     Schema {
         /// The file.
         file: PathBuf,
-        /// The version that is known.
+        /// The supported version.
         known: u32,
-        /// Its own.
+        /// The file's version.
         found: u32,
     },
-    /// A folder holds no result.
+    /// A folder has no result in it.
     #[error("{}: no result.json below it", folder.display())]
     NoResults {
         /// The folder.
@@ -54,31 +55,31 @@
 }
 
 impl FileError {
-    /// Puts a file's name to a failed read.
+    /// Maps the I/O error of a failed read to an error with the file's name.
     pub fn read(file: &Path) -> impl FnOnce(std::io::Error) -> Self {
         let file = file.to_path_buf();
         move |source| Self::Read { file, source }
     }
 
-    /// Puts a file's name to a failed write.
+    /// Maps the error of a failed write to an error with the file's name.
     pub fn write<E: std::fmt::Display>(file: &Path) -> impl FnOnce(E) -> Self {
         let file = file.to_path_buf();
         move |error| Self::Write { file, reason: error.to_string() }
     }
 
-    /// What to do about it.
+    /// What to do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            Self::Read { .. } => "name a file that is there and may be read",
-            Self::Write { .. } => "name a place that may be written and has room",
-            Self::Format { .. } => "play it again to have the file written anew",
-            Self::Schema { .. } => "use the program that wrote it, or play it again",
-            Self::NoResults { .. } => "name the --out of a run, or a folder of some",
+            Self::Read { .. } => "name a file that exists and is readable",
+            Self::Write { .. } => "name a writable place with enough space",
+            Self::Format { .. } => "run the experiment again to write the file anew",
+            Self::Schema { .. } => "use the program that wrote it, or run the experiment again",
+            Self::NoResults { .. } => "name the --out folder of a run, or a folder with some below it",
         }
     }
 }
 
-/// Reads a JSON file of a known version.
+/// Reads a JSON file and checks its version.
 pub(crate) fn read_json<T: serde::de::DeserializeOwned>(
     file: &Path,
     known: u32,
@@ -99,22 +100,22 @@
     }
 }
 
-/// Why the decision modules could not be played.
+/// Why the decision modules could not be run.
 #[derive(Debug, Error)]
 pub enum ModelError {
-    /// They refuse the plan's settings.
-    #[error("settings: the nodes' modules refuse them: {0}")]
+    /// They reject the settings that were made from the plan.
+    #[error("settings: the nodes' decision modules reject them: {0}")]
     Settings(String),
-    /// A plan that was made of the one that was read can't be played.
+    /// A plan that was derived from the one that was read can't be played.
     #[error(transparent)]
     Plan(#[from] crate::plan::PlanError),
 }
 
 impl ModelError {
-    /// What to do about it.
+    /// What to do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
-            Self::Settings(_) => "mend [[class]], [rules] and [server] of the experiment's file",
+            Self::Settings(_) => "correct [[class]], [rules] and [server] of the experiment's file",
             Self::Plan(error) => error.advice(),
         }
     }
@@ -130,7 +131,7 @@
         std::io::ErrorKind::PermissionDenied.into()
     }
 
-    /// One error of each variant: a variant that is left out does not compile.
+    /// The message and advice of one error of each variant; a missing variant does not compile.
     macro_rules! each {
         ($($variant:pat => $error:expr),+ $(,)?) => {{
             let all = vec![$($error),+];
--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -643,7 +643,7 @@
         // For one zone first, perhaps; what it ends as is what is mended.
         let first = votes.removals.first().expect("a server was removed");
         let last = votes.removals.last().expect("a server was removed");
-        assert!(first.remove_ms < Some(4_000.0) && last.mended && last.return_ms.is_some(), "{votes:?}");
+        assert!(first.remove_ms < Some(4_000.0) && last.recovered && last.return_ms.is_some(), "{votes:?}");
         assert!(played("").votes().is_none());
     }
 
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -1,7 +1,8 @@
-//! The experiment's file: a fleet, its load, faults on a timeline, and what must hold.
+//! The experiment file: a fleet, its load, faults on a timeline, and what must hold.
 //!
-//! What a file leaves out has the deployment's figures. Where a `[least, most]` stands, each draw takes a figure
-//! between the two. A file that can't be played is told in one line with file, line and key.
+//! A key that a file leaves out takes the value of the deployment. Where a value is a `[least, most]` pair, each
+//! draw takes a random value between the two. A file that can't be played gives an error of one line with file, line
+//! and key.
 
 use std::path::Path;
 
@@ -10,153 +11,153 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// The version of the file's form.
+/// The version of the file format.
 pub const SCHEMA: u32 = 1;
-/// The most zones, nodes, servers and first tries of one play.
+/// The most zones.
 pub const MAX_ZONES: usize = 6;
 /// The most nodes.
 pub const MAX_NODES: usize = 400;
-/// The most servers that are listed at a time.
+/// The most app servers that are listed at a time.
 pub const MAX_SERVERS: usize = 400;
-/// The most silent connections to one node.
+/// The most idle connections that a `crowd` fault opens to one node.
 pub const MAX_IDLE_CONNECTIONS: f64 = 5000.0;
-/// The most liars of one fault.
+/// The most faulty voters of one `liar` fault.
 pub const MAX_FAULTY_VOTERS: f64 = 16.0;
 /// The most replicas of a control group.
 pub const MAX_REPLICAS: usize = 7;
-/// The longest play, in seconds.
+/// The longest run, in seconds.
 pub const MAX_LENGTH_S: f64 = 3600.0;
 
-/// The largest figure that a file may have, in whatever unit: beyond all that is sensible, and within all that clocks
-/// and counters can hold.
+/// The largest number that a file may have, in whatever unit: larger than any sensible value, and small enough for
+/// clocks and counters.
 pub const MAX_VALUE: f64 = 1e6;
 
-/// A figure, or the bounds that a draw takes one from; from 0 to [`MAX_VALUE`].
+/// A value, or the bounds that a draw takes one from; all between 0 and [`MAX_VALUE`].
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-#[serde(try_from = "Written")]
+#[serde(try_from = "RangeSyntax")]
 pub enum Range {
-    /// Always this.
+    /// The same value in each draw.
     Fixed(f64),
-    /// Something between the two.
+    /// The least and the greatest value; each draw takes one between them, uniformly.
     Between([f64; 2]),
 }
 
-/// A range as it is written.
+/// A range as a file writes it, before its bounds are checked.
 #[derive(Deserialize)]
 #[serde(untagged, expecting = "a number or [least, most] expected")]
-enum Written {
+enum RangeSyntax {
     Fixed(f64),
     Between([f64; 2]),
 }
 
-impl TryFrom<Written> for Range {
+impl TryFrom<RangeSyntax> for Range {
     type Error = String;
 
-    fn try_from(written: Written) -> Result<Self, String> {
-        let (range, least, most) = match written {
-            Written::Fixed(v) => (Self::Fixed(v), v, v),
-            Written::Between([a, b]) => (Self::Between([a, b]), a, b),
+    fn try_from(syntax: RangeSyntax) -> Result<Self, String> {
+        let (range, min, max) = match syntax {
+            RangeSyntax::Fixed(v) => (Self::Fixed(v), v, v),
+            RangeSyntax::Between([min, max]) => (Self::Between([min, max]), min, max),
         };
-        sensible(least)?;
-        sensible(most)?;
-        if least > most {
-            return Err(format!("[{least}, {most}]: the least comes first"));
+        check_bounds(min)?;
+        check_bounds(max)?;
+        if min > max {
+            return Err(format!("[{min}, {max}]: the least comes first"));
         }
         Ok(range)
     }
 }
 
 impl Range {
-    /// The least and the most.
+    /// The least and the greatest value.
     pub fn bounds(self) -> (f64, f64) {
         match self {
             Self::Fixed(v) => (v, v),
-            Self::Between([least, most]) => (least, most),
+            Self::Between([min, max]) => (min, max),
         }
     }
 }
 
-/// A figure that can be played.
-fn sensible(figure: f64) -> Result<f64, String> {
-    if (0.0..=MAX_VALUE).contains(&figure) {
-        Ok(figure)
+/// Rejects a number below 0, above [`MAX_VALUE`] or not finite.
+fn check_bounds(value: f64) -> Result<f64, String> {
+    if (0.0..=MAX_VALUE).contains(&value) {
+        Ok(value)
     } else {
-        Err(format!("{figure} is not within 0 and {MAX_VALUE}"))
+        Err(format!("{value} is not within 0 and {MAX_VALUE}"))
     }
 }
 
-fn figure<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    sensible(f64::deserialize(from)?).map_err(D::Error::custom)
+fn bounded<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    check_bounds(f64::deserialize(deserializer)?).map_err(D::Error::custom)
 }
 
-fn figure_or_none<'de, D: Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
-    figure(from).map(Some)
+fn bounded_option<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
+    bounded(deserializer).map(Some)
 }
 
-/// An experiment.
+/// An experiment, as its file describes it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The form's version.
+    /// The version of the file format; [`SCHEMA`] is supported.
     pub schema: u32,
-    /// What it is called.
+    /// The experiment's name.
     pub name: String,
-    /// What it is for.
+    /// What the experiment is for.
     #[serde(default)]
     pub about: String,
-    /// The draw, where the command line names none.
-    #[serde(default = "one")]
+    /// The seed of the draw, where the command line names none.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// How long clients come, in seconds.
+    /// How long clients send requests, in seconds.
     pub length_s: Spanned<f64>,
-    /// Parties and places.
-    #[serde(default = "unplaced")]
+    /// Zones, and how many nodes and app servers there are.
+    #[serde(default = "without_span")]
     pub fleet: Spanned<Fleet>,
-    /// The app servers' kind.
-    #[serde(default = "unplaced")]
+    /// What the app servers are like.
+    #[serde(default = "without_span")]
     pub server: Spanned<ServerKind>,
-    /// What clients ask for.
-    #[serde(default = "unplaced")]
+    /// How much clients send.
+    #[serde(default = "without_span")]
     pub load: Spanned<Load>,
     /// The classes of requests.
-    #[serde(default = "classes", rename = "class")]
+    #[serde(default = "default_classes", rename = "class")]
     pub classes: Spanned<Vec<Class>>,
     /// How clients behave.
-    #[serde(default = "unplaced")]
+    #[serde(default = "without_span")]
     pub clients: Spanned<Clients>,
     /// The network between zones.
     #[serde(default)]
     pub network: Network,
-    /// How the list reaches the nodes.
+    /// How the list of servers reaches the nodes.
     #[serde(default)]
     pub discovery: Discovery,
-    /// The figures of the rules.
+    /// The limits of the referee's rules.
     #[serde(default)]
     pub rules: Rules,
-    /// What a node may take.
+    /// The resources that a node may use.
     #[serde(default)]
     pub node: NodeLimits,
-    /// The group that the nodes' policy is agreed by; without it nodes keep their settings.
+    /// The control group that agrees on the nodes' policy; without it nodes keep their settings.
     #[serde(default)]
     pub control: Option<Spanned<ControlGroup>>,
-    /// What goes wrong.
+    /// The faults of the timeline.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Spanned<Fault>>,
     /// What must hold.
-    #[serde(default = "unplaced", rename = "hold")]
+    #[serde(default = "without_span", rename = "hold")]
     pub expectations: Spanned<Expectations>,
 }
 
-/// What a file leaves out stands nowhere in it.
-fn unplaced<T: Default>() -> Spanned<T> {
+/// The default of a table that a file leaves out: it has no place in the text.
+fn without_span<T: Default>() -> Spanned<T> {
     Spanned::new(0..0, T::default())
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-/// Parties and places.
+/// Zones, nodes and app servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
@@ -166,9 +167,10 @@
     pub nodes: Range,
     /// How many app servers.
     pub servers: Range,
-    /// By how much zones differ in app servers: 0 alike, 1 from none to twice the mean.
+    /// How unevenly app servers are spread over zones: 0 evenly, 1 from none to twice the mean.
     pub server_skew: Range,
-    /// How long a front goes on sending to a dead node, in seconds.
+    /// How long the front of a zone, which spreads clients over the zone's nodes, goes on sending to a dead node, in
+    /// seconds.
     pub front_notice_s: Range,
 }
 
@@ -184,7 +186,7 @@
     }
 }
 
-/// A kind of app server. Work is in milliseconds of one core at speed 1.
+/// What the app servers are like. Work is in milliseconds of one core at speed 1.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServerKind {
@@ -192,44 +194,44 @@
     pub cores: usize,
     /// The mean speed of the draw's servers.
     pub speed: Range,
-    /// How the servers' speeds differ: standard deviation over mean.
+    /// The coefficient of variation of the servers' speeds: standard deviation over mean.
     pub speed_cv: Range,
-    /// Requests that may wait, for each core; one more is turned away.
+    /// The length of the request queue for each core; a request that finds it full is turned away.
     pub queue_per_core: Range,
-    /// Held requests for each core from which on it works less well ...
+    /// The number of running and queued requests for each core above which a server works less efficiently ...
     pub thrash_at: Range,
-    /// ... by this much of its time for each further one.
+    /// ... by this share of its time for each further request.
     pub thrash: Range,
-    /// The capacity that it starts with, as a share ...
+    /// The capacity of a cold server at its start, as a share of its warm capacity ...
     pub cold_from: Range,
-    /// ... which grows evenly to 1 in this time.
+    /// ... which grows linearly to 1 in this time.
     pub cold_s: Range,
     /// The share of requests that fail.
     pub error_rate: Range,
-    /// The share of draws in which a cancelled request that waits is dropped.
+    /// The share of draws in which servers drop a queued request that is cancelled.
     pub drops_cancelled: Range,
-    /// The connections that it accepts, for each core.
+    /// The connections that a server accepts, for each core.
     pub connections_per_core: Range,
-    /// The share of capacity that a full table of connections takes.
+    /// The share of capacity that a full connection table costs.
     pub full_tax: Range,
     /// The work of a new connection, in ms.
     pub handshake_ms: Range,
     /// The round trips of a new connection.
     pub handshake_trips: Range,
-    /// A connection that is idle for so long is closed.
-    #[serde(deserialize_with = "figure")]
+    /// A connection that is idle for this long is closed, in seconds.
+    #[serde(deserialize_with = "bounded")]
     pub idle_s: f64,
-    /// Crowding: held requests for each core ...
+    /// Congestion collapse of an overfull server: more running and queued requests for each core than this ...
     pub choke_at: Range,
     /// ... for this long ...
     pub choke_over_s: Range,
-    /// ... make it slower by this factor ...
+    /// ... make the server slower by this factor ...
     pub choke_slower: Range,
-    /// ... until it held fewer than this for each core ...
+    /// ... until it has fewer than this for each core ...
     pub choke_below: Range,
     /// ... for this long ...
     pub choke_rest_s: Range,
-    /// ... or this has passed.
+    /// ... or until this time has passed since it became slow.
     pub choke_most_s: Range,
 }
 
@@ -261,19 +263,19 @@
     }
 }
 
-/// What clients ask for.
+/// How much clients send, and how it is spread.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// First tries, as a share of what the warm fleet can do.
+    /// The work of first tries, as a share of the capacity of the warm fleet.
     pub of_capacity: Range,
-    /// First tries a second, in place of that.
+    /// First tries a second, in place of `of_capacity`.
     pub per_s: Option<Range>,
-    /// Over the run the rate rises by this share of itself and falls again.
+    /// The rate rises by this share of itself until the middle of the run and falls again until its end.
     pub swing: Range,
-    /// By how much zones differ in traffic.
+    /// How unevenly traffic is spread over zones, as `server_skew`.
     pub zone_skew: Range,
-    /// Standard deviation over mean of what clients guess a request's work at, over what it is.
+    /// The coefficient of variation of the clients' estimates of a request's work, relative to its real work.
     pub guess_cv: Range,
 }
 
@@ -289,7 +291,7 @@
     }
 }
 
-/// How the work of a class is spread.
+/// The probability distribution of the work of a class's requests.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkDistribution {
@@ -300,15 +302,15 @@
     Lognormal,
 }
 
-/// May a request run again?
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum Idempotency {
-    /// Any number of times.
+    /// It may run any number of times.
     Safe,
-    /// Repeats are dropped by all servers, for a while.
+    /// It carries an idempotency key by which all servers drop repeats, for a while.
     Keyed,
-    /// Never.
+    /// It must run once at most.
     Unsafe,
 }
 
@@ -316,45 +318,45 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name, the first part of the path.
+    /// The class's name, the first segment of the request path.
     pub name: String,
-    /// Its share of the first tries.
-    #[serde(deserialize_with = "figure")]
+    /// The class's share of the first tries.
+    #[serde(deserialize_with = "bounded")]
     pub share: f64,
-    /// Mean work, in ms.
+    /// Mean work of a request, in ms.
     pub work_ms: Range,
-    /// How work is spread.
+    /// The distribution of the work.
     pub dist: WorkDistribution,
-    /// Standard deviation over mean, for a lognormal one.
-    #[serde(default = "unit")]
+    /// The coefficient of variation of the work, for a lognormal distribution.
+    #[serde(default = "default_cv")]
     pub cv: Range,
-    /// Wanted within.
-    #[serde(deserialize_with = "figure")]
+    /// The target for the time to an answer, in ms.
+    #[serde(deserialize_with = "bounded")]
     pub aim_ms: f64,
-    /// Given up after, all tries together.
-    #[serde(deserialize_with = "figure")]
+    /// The client gives up after this, all tries together, in ms.
+    #[serde(deserialize_with = "bounded")]
     pub deadline_ms: f64,
-    /// Worth of an answer within the aim, for a unit of work.
-    #[serde(deserialize_with = "figure")]
+    /// The worth of an answer within the target, for a unit of work.
+    #[serde(deserialize_with = "bounded")]
     pub worth: f64,
-    /// May it run again?
+    /// Whether a request may run more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// How long repeats are dropped, where it is keyed.
-    #[serde(default, deserialize_with = "figure")]
+    /// How long servers drop repeats of a keyed request, in ms.
+    #[serde(default, deserialize_with = "bounded")]
     pub window_ms: f64,
 }
 
-fn unit() -> Range {
+fn default_cv() -> Range {
     Range::Fixed(1.0)
 }
 
-fn classes() -> Spanned<Vec<Class>> {
-    let class = |name: &str, share, work, cv, deadline_ms, worth, effect, window_ms| Class {
+fn default_classes() -> Spanned<Vec<Class>> {
+    let class = |name: &str, share, work, cv, deadline_ms, worth, idempotency, window_ms| Class {
         name: name.into(),
         share,
         work_ms: Range::Between(work),
-        dist: if effect == Idempotency::Safe {
+        dist: if idempotency == Idempotency::Safe {
             WorkDistribution::Exponential
         } else {
             WorkDistribution::Lognormal
@@ -363,31 +365,32 @@
         aim_ms: 300.0,
         deadline_ms,
         worth,
-        idempotency: effect,
+        idempotency,
         window_ms,
     };
     let lookup = class("lot-lookup", 0.55, [41.0, 73.0], [0.94, 1.4], 600.0, 3.0, Idempotency::Safe, 0.0);
-    let file =
+    let request =
         class("cert-request", 0.45, [33.0, 59.0], [0.73, 1.2], 1000.0, 2.0, Idempotency::Keyed, 5000.0);
-    Spanned::new(0..0, vec![lookup, file])
+    Spanned::new(0..0, vec![lookup, request])
 }
 
 /// How clients behave.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Further tries of a request.
+    /// How often a client retries a request.
     pub retries: Range,
-    /// A try is given up after this share of the class's time.
+    /// The timeout of one try, as a share of the class's deadline.
     pub try_share: Range,
-    /// The wait before the first further try, doubled for each next one; each wait is between half and all of it.
+    /// The backoff before the first retry, doubled for each further one; a random wait between half of it and all of
+    /// it is taken.
     pub backoff_ms: Range,
-    /// The share of clients that stay away for as long as a refusal says.
+    /// The share of clients that honour the `Retry-After` of a refusal.
     pub honour: Range,
-    /// The longest that they do.
-    #[serde(deserialize_with = "figure")]
+    /// The longest time for which they do.
+    #[serde(deserialize_with = "bounded")]
     pub max_retry_after_ms: f64,
-    /// The share of tries whose client leaves early.
+    /// The share of requests whose client closes the connection early.
     pub impatient: Range,
 }
 
@@ -404,17 +407,17 @@
     }
 }
 
-/// The network between zones; each message also has a jitter of its own.
+/// The network between zones. Each message has an exponential jitter on top of the delay.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// One way within a zone, in ms.
+    /// The one-way delay within a zone, in ms.
     pub same_ms: Range,
-    /// One way between zones, in ms.
+    /// The one-way delay between zones, in ms.
     pub cross_ms: Range,
-    /// One way between a client and its zone's nodes, in ms.
+    /// The one-way delay between a client and the nodes of its zone, in ms.
     pub client_ms: Range,
-    /// Mean of the jitter, as a share of the delay.
+    /// The mean of the jitter, as a share of the delay.
     pub jitter: Range,
 }
 
@@ -429,17 +432,17 @@
     }
 }
 
-/// How the list reaches the nodes.
+/// How the list of servers reaches the nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// A drain, or an end in order, is listed after this.
+    /// The delay until a drain, or a server that shut down in order, is listed as such.
     pub notice_s: Range,
-    /// A server that vanished is listed as gone after this.
+    /// The delay until a server that vanished is listed as gone.
     pub silent_notice_s: Range,
-    /// A server that started is listed after this.
+    /// The delay until a server that started is listed.
     pub add_s: Range,
-    /// Nodes hear of a version within this of each other.
+    /// All nodes receive a version of the list within this time of each other.
     pub spread_ms: Range,
 }
 
@@ -454,26 +457,26 @@
     }
 }
 
-/// The figures of the rules.
+/// The limits of the referee's rules.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Nothing new to a server later than this after its drain was told.
-    #[serde(deserialize_with = "figure")]
+    /// A node sends nothing new to a server later than this after it was notified of the server's drain.
+    #[serde(deserialize_with = "bounded")]
     pub drain_grace_ms: f64,
-    /// A cold server falls over when sent more than this many times what it can do ...
-    #[serde(deserialize_with = "figure")]
+    /// A cold server fails when it is sent more than this many times its current capacity ...
+    #[serde(deserialize_with = "bounded")]
     pub fall_multiple: f64,
-    /// ... for this long.
-    #[serde(deserialize_with = "figure")]
+    /// ... within a window of this length.
+    #[serde(deserialize_with = "bounded")]
     pub fall_ms: f64,
-    /// Attempts at a request.
+    /// The most attempts for one try of a client.
     pub attempts: usize,
-    /// Every time limit on sockets is longer by this.
-    #[serde(deserialize_with = "figure")]
+    /// Added to each time limit, for delays of sockets and the scheduler.
+    #[serde(deserialize_with = "bounded")]
     pub slack_ms: f64,
-    /// A final answer may come this much after its time.
-    #[serde(deserialize_with = "figure")]
+    /// How long after its deadline a final answer may come.
+    #[serde(deserialize_with = "bounded")]
     pub answer_slack_ms: f64,
 }
 
@@ -490,17 +493,17 @@
     }
 }
 
-/// What a node may take.
+/// The resources that a node may use.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodeLimits {
-    /// Resident memory.
-    #[serde(deserialize_with = "figure")]
+    /// The most resident memory, in MiB.
+    #[serde(deserialize_with = "bounded")]
     pub memory_mb: f64,
-    /// Descriptors.
+    /// The most open file descriptors.
     pub sockets: u64,
-    /// How long it may take until it is ready.
-    #[serde(deserialize_with = "figure")]
+    /// How long a node may take until it is ready, in seconds.
+    #[serde(deserialize_with = "bounded")]
     pub ready_s: f64,
 }
 
@@ -510,20 +513,20 @@
     }
 }
 
-/// The control group: real replicas, with a relay on each link between them and from each node to each.
+/// The control group: real replicas, with a relay on each link between replicas and from each node to each replica.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ControlGroup {
-    /// How many replicas.
+    /// The number of replicas.
     pub replicas: usize,
-    /// What becomes of a change while a node can't be reached.
+    /// What happens to a change of policy while a node can't be reached.
     pub unreachable: UnreachablePolicy,
-    /// How nodes come to their first epoch.
+    /// How nodes get their first epoch.
     pub start: StartMode,
-    /// Where that is by what was saved: after how long without an answer of the group.
-    #[serde(deserialize_with = "figure")]
+    /// With `start = "saved"`: how long a node waits for the group before it uses its saved epoch, in ms.
+    #[serde(deserialize_with = "bounded")]
     pub saved_after_ms: f64,
-    /// What else stands in the `terms` of the replicas' configuration.
+    /// Further keys for `[terms]` of the replicas' configuration.
     pub terms: toml::Table,
 }
 
@@ -540,111 +543,111 @@
 }
 
 impl ControlGroup {
-    /// For how long two policies can be in force at once, in milliseconds: a promise, as the replicas' terms have it, by
-    /// clocks that differ in rate.
+    /// The longest time for which two policies can be in force at once, in milliseconds: the length of a promise by the
+    /// replicas' terms, plus the drift of the clocks at both ends.
     pub fn max_mixed_ms(&self) -> f64 {
-        let told = self.terms.get("promise_ms").and_then(toml::Value::as_integer);
-        let promise = told.map_or(control::leader::Terms::default().promise_ms, |ms| ms as f64);
+        let configured = self.terms.get("promise_ms").and_then(toml::Value::as_integer);
+        let promise = configured.map_or(control::leader::Terms::default().promise_ms, |ms| ms as f64);
         promise * (1.0 + 2.0 * member::MAX_CLOCK_DRIFT)
     }
 }
 
-/// What becomes of a change while a node can't be reached.
+/// What happens to a change of policy while a node can't be reached.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum UnreachablePolicy {
-    /// It is aborted.
+    /// The change is aborted.
     Abort,
-    /// The node stops taking requests, and the change goes on without it.
+    /// The change goes on without the node, which is fenced: it takes no more requests.
     Fence,
 }
 
-/// How nodes come to their first epoch.
+/// How nodes get their first epoch.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum StartMode {
-    /// They wait for the group.
+    /// They wait for the control group.
     Wait,
-    /// After a while without the group, by the one that they saved.
+    /// They use the epoch that they saved, after a while without an answer from the group.
     Saved,
 }
 
-/// What a fault does.
+/// The kinds of faults. `for_s`, `factor` and other keys are those of [`Fault`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
     /// Nodes are killed, and started again after `for_s`.
     Kill,
-    /// Nodes are told to end, and started again once they have.
+    /// Nodes get a SIGTERM, and are started again once they have ended.
     Restart,
-    /// Nodes stand still for `for_s`.
+    /// Nodes are stopped for `for_s` by SIGSTOP.
     #[serde(rename = "stop")]
     Pause,
-    /// `factor` connections to each node that never say a word, for `for_s`.
+    /// `factor` connections are opened to each node for `for_s`; nothing is sent over them.
     #[serde(rename = "crowd")]
     IdleConnections,
-    /// App servers vanish without a word for `for_s` and come back cold.
+    /// App servers become unreachable for `for_s`, with no reset of their connections, and come back cold.
     #[serde(rename = "lose")]
     Vanish,
-    /// App servers end at once, resetting what they had, and come back cold after `for_s`.
+    /// App servers end at once, which resets their connections, and come back cold after `for_s`.
     Crash,
     /// App servers are slower by `factor`.
     Slow,
-    /// Another program takes the share `factor` of app servers, on and off.
+    /// Another program takes the share `factor` of the app servers' capacity, on and off.
     #[serde(rename = "neighbour")]
     NoisyNeighbour,
     /// The share `factor` of requests at app servers fails.
     Errors,
-    /// The share `factor` of answers is sent `slower_ms` late, and the share `garbled` breaks off.
+    /// The share `factor` of answers is sent `slower_ms` late, and the share `garbled` is cut short.
     #[serde(rename = "gray")]
     GrayFailure,
-    /// The share `factor` of answers is lost with its connection.
+    /// The share `factor` of answers is lost, as the connection is reset.
     #[serde(rename = "reset")]
     ResetConnections,
-    /// App servers are drained, ended and started anew, in `steps` over `for_s`. What they start as fails the share
-    /// `factor` of requests, until the next release.
+    /// Rolling release: app servers are drained, ended and restarted, in `steps` over `for_s`. The new version fails the
+    /// share `factor` of requests, until the next release.
     Release,
-    /// App servers are drained and others started in their place, in `steps` over `for_s`; with `factor` as a release.
+    /// App servers are drained and others are started in their place, in `steps` over `for_s`; `factor` as in a release.
     Replace,
-    /// Nothing passes between a zone and the others, or the one that it is cut from; connections stay up.
+    /// Nothing passes between a zone and the others, or the zone `to` alone; connections stay up.
     #[serde(rename = "cut")]
     Partition,
-    /// All connections between a zone and the others break, once.
+    /// All connections between a zone and the others break once.
     #[serde(rename = "break-links")]
     BreakConnections,
-    /// `factor` bytes a second pass each way between a zone and each other; messages wait in turn.
+    /// The bandwidth between a zone and each other zone is `factor` bytes a second each way; messages queue.
     #[serde(rename = "narrow")]
     LimitBandwidth,
-    /// The list is silent.
+    /// Discovery sends no updates.
     ListOutage,
-    /// The list ends its watches and knows only what it knew `factor` versions ago; then it has all again.
+    /// Discovery ends its watches and serves the list of `factor` versions ago; after `for_s` the newest again.
     StaleList,
-    /// Each second line of the list overtakes the one before.
+    /// Discovery sends each pair of updates in reverse order.
     ReorderedList,
-    /// The share `factor` of what nodes send to app servers is lost; of half of that the connection breaks.
+    /// The share `factor` of the requests from nodes to app servers is lost; half of the losses break the connection.
     #[serde(rename = "uplink")]
     UplinkLoss,
-    /// Load grows by `factor`.
+    /// The rate of first tries is multiplied by `factor`.
     Burst,
-    /// Operators ask for the `policy`; they go on asking for `for_s` while nobody says what became of it.
+    /// An operator proposes `policy`, and repeats the proposal for `for_s` while its outcome is unknown.
     Policy,
     /// Replicas are killed, and started again after `for_s`.
     ReplicaKill,
-    /// Replicas stand still for `for_s`.
+    /// Replicas are stopped for `for_s` by SIGSTOP.
     #[serde(rename = "replica-stop")]
     ReplicaPause,
-    /// Replicas are told to end, and started again once they have.
+    /// Replicas get a SIGTERM, and are started again once they have ended.
     ReplicaRestart,
     /// All replicas are killed, and started again after `for_s`.
     #[serde(rename = "group-lost")]
     GroupOutage,
-    /// Nothing passes between nodes and the replicas, both ways or one (`out` of the nodes, `in`to them).
+    /// Nothing passes between nodes and the replicas, both ways or one (`out`: from the nodes, `in`: to them).
     #[serde(rename = "cut-control")]
     PartitionControl,
-    /// Nothing passes between replicas and all others, nodes too, both ways or one.
+    /// Nothing passes between replicas and all other replicas and nodes, both ways or one.
     #[serde(rename = "cut-replica")]
     PartitionReplica,
-    /// So many members as `factor` says, in the zones in turn, serve nothing and vote for the removal of app servers.
+    /// `factor` members, spread over the zones in turn, serve nothing and vote for the removal of app servers.
     #[serde(rename = "liar")]
     FaultyVoters,
 }
@@ -685,12 +688,12 @@
         }
     }
 
-    /// It strikes replicas, by number from 1 on.
+    /// Whether the fault's targets are replicas, which are numbered from 1.
     pub fn targets_replicas(self) -> bool {
         matches!(self, Self::ReplicaKill | Self::ReplicaPause | Self::ReplicaRestart | Self::PartitionReplica)
     }
 
-    /// It strikes nodes.
+    /// Whether the fault's targets are nodes.
     pub fn targets_nodes(self) -> bool {
         matches!(
             self,
@@ -703,152 +706,152 @@
         )
     }
 
-    /// It needs a control group.
+    /// Whether the fault needs a control group.
     pub fn needs_control_group(self) -> bool {
         self.targets_replicas()
             || matches!(self, Self::Policy | Self::GroupOutage | Self::PartitionControl | Self::FaultyVoters)
     }
 }
 
-/// One line of the timeline.
+/// One fault of the timeline.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What happens.
+    /// The kind.
     pub kind: FaultKind,
-    /// When, in seconds from the first client on.
-    #[serde(deserialize_with = "figure")]
+    /// When the fault begins, in seconds from the start of the run.
+    #[serde(deserialize_with = "bounded")]
     pub at_s: f64,
-    /// For how long.
-    #[serde(default, deserialize_with = "figure")]
+    /// How long the fault lasts, in seconds.
+    #[serde(default, deserialize_with = "bounded")]
     pub for_s: f64,
-    /// To whom: those of a zone ...
+    /// Only targets in this zone.
     pub zone: Option<String>,
-    /// ... a share of them ...
+    /// Only this share of the targets, chosen at random.
     pub share: Option<f64>,
-    /// ... or certain ones, by number.
+    /// Only targets with these numbers.
     pub ids: Option<Vec<usize>>,
-    /// How strongly.
-    #[serde(default, deserialize_with = "figure_or_none")]
+    /// The strength; its meaning depends on the kind.
+    #[serde(default, deserialize_with = "bounded_option")]
     pub factor: Option<f64>,
-    /// In how many steps.
+    /// The number of steps of a release.
     pub steps: Option<usize>,
-    /// How late a gray server answers.
-    #[serde(default, deserialize_with = "figure_or_none")]
+    /// The added delay of answers in a gray failure.
+    #[serde(default, deserialize_with = "bounded_option")]
     pub slower_ms: Option<f64>,
-    /// The share of answers that break off.
-    #[serde(default, deserialize_with = "figure_or_none")]
+    /// The share of answers that are cut short in a gray failure.
+    #[serde(default, deserialize_with = "bounded_option")]
     pub garbled: Option<f64>,
-    /// Of a cut: only what goes `out` of the zone, or `in`to it; both where absent.
+    /// The direction of a partition: `out` of the zone or `in`to it; both where absent.
     #[serde(rename = "way")]
     pub direction: Option<Direction>,
-    /// The other zone of a cut, or of narrow links; all others where absent.
+    /// The other zone of a partition or of links with limited bandwidth; all others where absent.
     #[serde(rename = "to")]
     pub peer_zone: Option<String>,
-    /// The policy that is asked for: settings' fields with their new values.
+    /// The proposed policy: settings with their new values.
     pub policy: Option<serde_json::Map<String, serde_json::Value>>,
-    /// The replica that leads when the fault begins, in place of `ids`.
+    /// The replica with this role when the fault begins, in place of `ids`.
     #[serde(rename = "which")]
     pub role: Option<ReplicaRole>,
 }
 
-/// A replica by its part.
+/// The role of a replica.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum ReplicaRole {
-    /// The one that leads.
+    /// The leader.
     Leader,
 }
 
-/// One way of a link.
+/// A direction between a zone, a node or a replica and all others.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum Direction {
-    /// From the zone to the others.
+    /// From it to the others.
     Out,
-    /// From the others to the zone.
+    /// From the others to it.
     In,
 }
 
-/// What must hold; what is absent is not asked for. No rule may be broken in any case.
+/// The conditions that a run must meet. A key that is absent is not checked. No rule may be broken in any case.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expectations {
-    /// Share of the worth that is served within the aim, at least.
+    /// The least share of the worth that is served within the target.
     pub served: Option<f64>,
     /// The same for the class that is served worst.
     pub worst_class: Option<f64>,
     /// The same for the worst 10 s.
     pub worst_window: Option<f64>,
-    /// The same, as a share of what the oracle serves on this draw.
+    /// The same, relative to what the oracle serves on this draw.
     pub of_oracle: Option<f64>,
-    /// The 99th percentile of the time to an answer that is served, at most.
+    /// The most for the 99th percentile of the time to a served answer, in ms.
     pub p99_ms: Option<f64>,
-    /// Attempts for each first try, at most.
+    /// The most attempts for each first try.
     pub attempts: Option<f64>,
-    /// Share of attempts that cross zones, at most.
+    /// The largest share of attempts that cross zones.
     pub cross_zone: Option<f64>,
-    /// The longest time from a fault's end until service is back.
+    /// The longest time from a fault's end until service has recovered, in seconds.
     pub recover_s: Option<f64>,
-    /// Attempts at the server that gets most of them, over the mean, in any 5 s, at most.
+    /// The most attempts at the busiest server, relative to the mean, in any 5 s.
     pub spread: Option<f64>,
-    /// Changes of policy that are committed: so many at least.
+    /// The least number of policy changes that are committed.
     pub committed: Option<f64>,
-    /// Changes of policy that are aborted: just so many.
+    /// The exact number of policy changes that are aborted.
     pub aborted: Option<f64>,
-    /// The longest time from asking for a change until it is active at each node, at most.
+    /// The longest time from a proposal until the change is active at each node, in ms.
     pub active_ms: Option<f64>,
-    /// The longest time for which two policies were in force, at most.
+    /// The longest time for which two policies are in force, in ms.
     pub mixed_ms: Option<f64>,
-    /// The share of answers that refused for want of an agreed policy, at most.
+    /// The largest share of answers that are refusals because the node has no agreed policy.
     pub held: Option<f64>,
-    /// The longest time for which nothing could be written after the leader was struck, at most.
+    /// The longest time without a successful write after a fault of the leader, in ms.
     pub write_gap_ms: Option<f64>,
-    /// Servers that votes removed while something was wrong with them: so many at least.
+    /// The least number of servers that votes removed while they were faulty.
     pub removed: Option<f64>,
-    /// Removals by votes of servers that nothing was wrong with, at most.
+    /// The most removals by votes of servers that were not faulty.
     pub wrong_removals: Option<f64>,
-    /// The longest time from when something was wrong with a server until votes removed it, at most.
+    /// The longest time from when a server became faulty until votes removed it, in ms.
     pub remove_ms: Option<f64>,
-    /// The longest time from when a removed server was mended until it was back, at most.
+    /// The longest time from when a removed server was healthy again until it was back, in ms.
     pub return_ms: Option<f64>,
-    /// Attempts that failed at servers that something was wrong with, at most.
+    /// The most attempts that failed at faulty servers.
     pub paid: Option<f64>,
 }
 
-/// Why a file can't be played: one line.
+/// Why an experiment file can't be played. Each message is one line.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{file}: can't be read: {source}")]
     Read {
         /// The file.
         file: String,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is no experiment: a key or a value that has no place in one.
+    /// The text is not TOML, or has an unknown key or a value of the wrong type.
     #[error("{file}:{line}: {field}: {reason}")]
     Format {
         /// The file.
         file: String,
-        /// The line, from 1.
+        /// The line, counted from 1.
         line: usize,
         /// The field's path.
         field: String,
-        /// What is wrong.
+        /// What is wrong with it.
         reason: String,
     },
-    /// A figure or a name that can't be played.
+    /// A value out of its bounds, or an unknown name.
     #[error("{file}:{line}: {field}: {reason}")]
     InvalidValue {
         /// The file.
         file: String,
-        /// The line, from 1.
+        /// The line, counted from 1.
         line: usize,
         /// The field's path.
         field: String,
-        /// What is wrong.
+        /// What is wrong with it.
         reason: String,
     },
 }
@@ -864,19 +867,19 @@
     }
 }
 
-/// What can't be played: where it stands in the text, its field, and what is wrong.
-struct Bad {
-    at: usize,
+/// An invalid value: its byte offset in the text, its field, and what is wrong.
+struct InvalidField {
+    offset: usize,
     field: String,
     reason: String,
 }
 
-fn bad<T>(at: usize, field: impl Into<String>, reason: impl Into<String>) -> Result<T, Bad> {
-    Err(Bad { at, field: field.into(), reason: reason.into() })
+fn invalid<T>(offset: usize, field: impl Into<String>, reason: impl Into<String>) -> Result<T, InvalidField> {
+    Err(InvalidField { offset, field: field.into(), reason: reason.into() })
 }
 
-/// A field's path, without the names that a [`Spanned`] is read under.
-fn field_of(path: &serde_path_to_error::Path) -> String {
+/// The path of a field, without the internal names under which [`Spanned`] is deserialized.
+fn field_path(path: &serde_path_to_error::Path) -> String {
     let mut field = String::new();
     for segment in path.iter() {
         let name = segment.to_string();
@@ -895,10 +898,10 @@
 }
 
 impl Plan {
-    /// Reads a file.
+    /// Reads and checks an experiment file.
     ///
     /// # Errors
-    /// One line that names what can't be played.
+    /// The file can't be read, is not an experiment, or has a value that can't be played.
     pub fn load(path: &Path) -> Result<Self, PlanError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -907,59 +910,60 @@
         }
     }
 
-    /// The same without the faults of some kinds.
+    /// The same plan without the faults of these kinds.
     pub fn without(mut self, kinds: &[FaultKind]) -> Self {
         self.faults.retain(|fault| !kinds.contains(&fault.get_ref().kind));
         self
     }
 
-    /// Reads a file's text.
+    /// Parses and checks the text of an experiment; `file` is the name for error messages.
     ///
     /// # Errors
     /// As [`Plan::load`].
     pub fn read(file: &str, text: &str) -> Result<Self, PlanError> {
-        let line = |at: usize| text.as_bytes().iter().take(at).filter(|b| **b == b'\n').count() + 1;
-        let form = |field: String, e: &toml::de::Error| PlanError::Format {
+        let line = |offset: usize| text.as_bytes().iter().take(offset).filter(|b| **b == b'\n').count() + 1;
+        let format_error = |field: String, e: &toml::de::Error| PlanError::Format {
             file: file.into(),
             line: line(e.span().map_or(0, |s| s.start)),
             field,
             reason: e.message().replace('\n', " "),
         };
-        let from = toml::Deserializer::parse(text).map_err(|e| form("the file".into(), &e))?;
-        let plan: Self =
-            serde_path_to_error::deserialize(from).map_err(|e| form(field_of(e.path()), e.inner()))?;
-        plan.check().map_err(|Bad { at, field, reason }| PlanError::InvalidValue {
+        let deserializer =
+            toml::Deserializer::parse(text).map_err(|e| format_error("the file".into(), &e))?;
+        let plan: Self = serde_path_to_error::deserialize(deserializer)
+            .map_err(|e| format_error(field_path(e.path()), e.inner()))?;
+        plan.check().map_err(|InvalidField { offset, field, reason }| PlanError::InvalidValue {
             file: file.into(),
-            line: line(at),
+            line: line(offset),
             field,
             reason,
         })?;
         Ok(plan)
     }
 
-    /// The first thing that can't be played.
-    fn check(&self) -> Result<(), Bad> {
+    /// Checks what types can't express; the error names the first invalid value.
+    fn check(&self) -> Result<(), InvalidField> {
         if self.schema != SCHEMA {
-            return bad(0, "schema", format!("{SCHEMA} is known, not {}", self.schema));
+            return invalid(0, "schema", format!("{SCHEMA} is known, not {}", self.schema));
         }
         let length = *self.length_s.get_ref();
         if !(length > 0.0 && length <= MAX_LENGTH_S) {
             let reason = format!("{length} is not in 0 to {MAX_LENGTH_S}");
-            return bad(self.length_s.span().start, "length_s", reason);
+            return invalid(self.length_s.span().start, "length_s", reason);
         }
         self.check_fleet(self.fleet.span().start)?;
-        self.check_figures()?;
+        self.check_values()?;
         if let Some(control) = &self.control {
             let replicas = control.get_ref().replicas;
             if !(1..=MAX_REPLICAS).contains(&replicas) {
                 let reason = format!("1 to {MAX_REPLICAS} are possible, not {replicas}");
-                return bad(control.span().start, "control.replicas", reason);
+                return invalid(control.span().start, "control.replicas", reason);
             }
         }
         for (n, fault) in self.faults.iter().enumerate() {
             let kind = fault.get_ref().kind.name();
-            self.check_fault(fault.get_ref()).map_err(|(key, reason)| Bad {
-                at: fault.span().start,
+            self.check_fault(fault.get_ref()).map_err(|(key, reason)| InvalidField {
+                offset: fault.span().start,
                 field: format!("fault[{n}].{key}"),
                 reason: format!("{kind}: {reason}"),
             })?;
@@ -967,28 +971,28 @@
         Ok(())
     }
 
-    fn check_fleet(&self, at: usize) -> Result<(), Bad> {
+    fn check_fleet(&self, offset: usize) -> Result<(), InvalidField> {
         let fleet = self.fleet.get_ref();
         if fleet.zones.is_empty() || fleet.zones.len() > MAX_ZONES {
             let reason = format!("1 to {MAX_ZONES} are possible, not {}", fleet.zones.len());
-            return bad(at, "fleet.zones", reason);
+            return invalid(offset, "fleet.zones", reason);
         }
-        for (key, range, most) in
+        for (key, range, limit) in
             [("fleet.nodes", fleet.nodes, MAX_NODES), ("fleet.servers", fleet.servers, MAX_SERVERS)]
         {
-            let (least, largest) = range.bounds();
-            if !(least >= 1.0 && largest <= most as f64) {
-                return bad(at, key, format!("1 to {most} are possible"));
+            let (min, max) = range.bounds();
+            if !(min >= 1.0 && max <= limit as f64) {
+                return invalid(offset, key, format!("1 to {limit} are possible"));
             }
         }
-        share(at, "fleet.server_skew", fleet.server_skew)
+        check_share(offset, "fleet.server_skew", fleet.server_skew)
     }
 
-    fn check_figures(&self) -> Result<(), Bad> {
+    fn check_values(&self) -> Result<(), InvalidField> {
         let kind = self.server.get_ref();
-        let at = self.server.span().start;
+        let offset = self.server.span().start;
         if kind.cores == 0 || kind.cores > 256 {
-            return bad(at, "server.cores", "1 to 256 are possible");
+            return invalid(offset, "server.cores", "1 to 256 are possible");
         }
         for (key, range) in [
             ("server.speed", kind.speed),
@@ -997,7 +1001,7 @@
             ("server.connections_per_core", kind.connections_per_core),
         ] {
             if !(range.bounds().0 > 0.0 && range.bounds().1.is_finite()) {
-                return bad(at, key, "must be above 0");
+                return invalid(offset, key, "must be above 0");
             }
         }
         for (key, range) in [
@@ -1006,45 +1010,45 @@
             ("server.drops_cancelled", kind.drops_cancelled),
             ("server.full_tax", kind.full_tax),
         ] {
-            share(at, key, range)?;
+            check_share(offset, key, range)?;
         }
         let load = self.load.get_ref();
-        let at = self.load.span().start;
-        share(at, "load.zone_skew", load.zone_skew)?;
-        share(at, "load.swing", load.swing)?;
-        share(at, "load.guess_cv", load.guess_cv)?;
+        let offset = self.load.span().start;
+        check_share(offset, "load.zone_skew", load.zone_skew)?;
+        check_share(offset, "load.swing", load.swing)?;
+        check_share(offset, "load.guess_cv", load.guess_cv)?;
         let rate = load.per_s.unwrap_or(load.of_capacity).bounds();
         if !(rate.0 >= 0.0 && rate.1 <= 1e5) {
-            return bad(at, "load", "the rate must be within 0 and 100000");
+            return invalid(offset, "load", "the rate must be within 0 and 100000");
         }
-        let at = self.classes.span().start;
+        let offset = self.classes.span().start;
         if self.classes.get_ref().is_empty() {
-            return bad(at, "class", "one is needed at least");
+            return invalid(offset, "class", "one is needed at least");
         }
         for class in self.classes.get_ref() {
             let name = &class.name;
-            let figures = [class.work_ms.bounds().0, class.aim_ms, class.deadline_ms, class.worth];
-            if figures.iter().any(|v| !(*v > 0.0 && v.is_finite())) || class.share < 0.0 {
+            let values = [class.work_ms.bounds().0, class.aim_ms, class.deadline_ms, class.worth];
+            if values.iter().any(|v| !(*v > 0.0 && v.is_finite())) || class.share < 0.0 {
                 let reason = "work_ms, aim_ms, deadline_ms, worth must be above 0";
-                return bad(at, format!("class {name}"), reason);
+                return invalid(offset, format!("class {name}"), reason);
             }
         }
         let clients = self.clients.get_ref();
-        let at = self.clients.span().start;
+        let offset = self.clients.span().start;
         for (key, range) in [
             ("clients.try_share", clients.try_share),
             ("clients.honour", clients.honour),
             ("clients.impatient", clients.impatient),
         ] {
-            share(at, key, range)?;
+            check_share(offset, key, range)?;
         }
         if !(0.0..=10.0).contains(&clients.retries.bounds().1) {
-            return bad(at, "clients.retries", "0 to 10 are possible");
+            return invalid(offset, "clients.retries", "0 to 10 are possible");
         }
         Ok(())
     }
 
-    /// The key of a fault that can't be played, and why.
+    /// Checks a fault; the error has its invalid key and the reason.
     fn check_fault(&self, fault: &Fault) -> Result<(), (&'static str, String)> {
         let length = *self.length_s.get_ref();
         let fail = |key: &'static str, reason: String| Err((key, reason));
@@ -1075,18 +1079,18 @@
             return fail("garbled", "a share from 0 to 1 expected".into());
         }
         let Some(replicas) = self.control.as_ref().map(|c| c.get_ref().replicas).or_else(|| {
-            let without = !fault.kind.needs_control_group();
-            without.then_some(0)
+            let independent = !fault.kind.needs_control_group();
+            independent.then_some(0)
         }) else {
-            return fail("kind", "[control] is missing: there is no group that it could strike".into());
+            return fail("kind", "[control] is missing: the fault needs a control group".into());
         };
-        let (least, most) = match fault.kind {
+        let (first, last) = match fault.kind {
             kind if kind.targets_nodes() => (0, fleet.nodes.bounds().0 as usize - 1),
             kind if kind.targets_replicas() => (1, replicas),
             _ => (0, fleet.servers.bounds().0 as usize - 1),
         };
-        if let Some(id) = fault.ids.iter().flatten().find(|id| !(least..=most).contains(*id)) {
-            return fail("ids", format!("{id} is not there; they count from {least} to {most}"));
+        if let Some(id) = fault.ids.iter().flatten().find(|id| !(first..=last).contains(*id)) {
+            return fail("ids", format!("{id} does not exist; numbers go from {first} to {last}"));
         }
         if fault.role.is_some() && (!fault.kind.targets_replicas() || fault.ids.is_some()) {
             return fail("which", "only for a replica, in place of ids".into());
@@ -1111,7 +1115,7 @@
                     .factor
                     .is_some_and(|f| f.fract() == 0.0 && (1.0..=MAX_FAULTY_VOTERS).contains(&f)) =>
             {
-                fail("factor", format!("a whole number of liars expected, 1 to {MAX_FAULTY_VOTERS}"))
+                fail("factor", format!("a whole number of faulty voters expected, 1 to {MAX_FAULTY_VOTERS}"))
             }
             FaultKind::Release | FaultKind::Replace if fault.factor.is_some_and(|f| f > 1.0) => {
                 fail("factor", "a share from 0 to 1 expected".into())
@@ -1120,7 +1124,7 @@
                 fail("factor", "a whole number of versions expected, 1 at least".into())
             }
             FaultKind::Slow | FaultKind::Burst if !fault.factor.is_some_and(|f| f > 0.0 && f <= 1000.0) => {
-                fail("factor", "a figure above 0 expected".into())
+                fail("factor", "a number above 0 and up to 1000 expected".into())
             }
             FaultKind::NoisyNeighbour
             | FaultKind::Errors
@@ -1136,12 +1140,12 @@
     }
 }
 
-fn share(at: usize, key: &str, range: Range) -> Result<(), Bad> {
-    let (least, most) = range.bounds();
-    if least >= 0.0 && most <= 1.0 {
+fn check_share(offset: usize, key: &str, range: Range) -> Result<(), InvalidField> {
+    let (min, max) = range.bounds();
+    if min >= 0.0 && max <= 1.0 {
         Ok(())
     } else {
-        bad(at, key, "a share from 0 to 1 expected")
+        invalid(offset, key, "a share from 0 to 1 expected")
     }
 }
 
@@ -1149,7 +1153,8 @@
 mod tests {
     use super::*;
 
-    fn reason(text: &str) -> String {
+    /// The message for an experiment with an error in this text.
+    fn error_of(text: &str) -> String {
         Plan::read("x.toml", &format!("schema = 1\nname = \"x\"\nlength_s = 10\n{text}"))
             .expect_err("can't be played")
             .to_string()
@@ -1195,7 +1200,7 @@
     }
 
     #[test]
-    fn the_experiments_can_be_played_and_hold_mixed_policies_to_what_their_replicas_promise() {
+    fn all_experiments_load_and_expect_mixed_policies_no_longer_than_a_promise() {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments");
         let files: Vec<_> =
             std::fs::read_dir(folder).expect("there").map(|f| f.expect("a file").path()).collect();
@@ -1203,44 +1208,45 @@
         for file in files {
             let plan = Plan::load(&file).unwrap_or_else(|e| panic!("{e}"));
             let promised = plan.control.as_ref().map(|c| c.get_ref().max_mixed_ms());
-            if let Some(held) = plan.expectations.get_ref().mixed_ms {
-                assert_eq!(Some(held), promised, "{}", file.display());
+            if let Some(expected) = plan.expectations.get_ref().mixed_ms {
+                assert_eq!(Some(expected), promised, "{}", file.display());
             }
         }
     }
 
     #[test]
-    fn what_can_t_be_played_is_told_with_file_line_and_key() {
-        assert!(reason("[load]\nrats = 3\n").starts_with("x.toml:5: load.rats: unknown field `rats`"));
-        let fault = |rest: &str| reason(&format!("[[fault]]\nkind = \"cut\"\nat_s = 2\n{rest}"));
+    fn an_invalid_experiment_gives_an_error_with_file_line_and_key() {
+        assert!(error_of("[load]\nrats = 3\n").starts_with("x.toml:5: load.rats: unknown field `rats`"));
+        let fault = |rest: &str| error_of(&format!("[[fault]]\nkind = \"cut\"\nat_s = 2\n{rest}"));
         assert_eq!(
             fault("zone = \"nowhere\"\n"),
             "x.toml:4: fault[0].zone: cut: nowhere is not in fleet.zones"
         );
         assert_eq!(fault("for_s = 9\n"), "x.toml:4: fault[0].for_s: cut: it ends after the 10 s of the run");
-        assert!(reason("[server]\ncores = 0\n").contains("server.cores"));
-        assert!(reason("[server]\nspeed = inf\n")
+        assert!(error_of("[server]\ncores = 0\n").contains("server.cores"));
+        assert!(error_of("[server]\nspeed = inf\n")
             .contains("x.toml:5: server.speed: inf is not within 0 and 1000000"));
-        assert!(reason("[server]\nspeed = [2, 1]\n").contains("the least comes first"));
-        assert!(reason("[clients]\nmax_retry_after_ms = -1\n")
+        assert!(error_of("[server]\nspeed = [2, 1]\n").contains("the least comes first"));
+        assert!(error_of("[clients]\nmax_retry_after_ms = -1\n")
             .contains("x.toml:5: clients.max_retry_after_ms: -1 is not within"));
-        assert!(reason("[server]\nspeed = \"fast\"\n").contains("a number or [least, most] expected"));
-        assert!(reason("[fleet]\nnodes = 4000\n").contains("fleet.nodes: 1 to 400"));
-        assert!(reason("[[fault]]\nkind = \"slow\"\nat_s = 1\n").contains("factor"));
-        assert!(reason("[[fault]]\nkind = \"stop\"\nids = [7]\nat_s = 1\n")
-            .contains("fault[0].ids: stop: 7 is not there"));
-        assert!(reason("[control]\nreplicas = 9\n").contains("x.toml:4: control.replicas: 1 to 7"));
-        let lost = "[[fault]]\nkind = \"group-lost\"\nat_s = 1\n";
-        assert!(reason(lost).contains("fault[0].kind: group-lost: [control] is missing"));
-        let of = |more: &str| reason(&format!("[control]\n[[fault]]\nat_s = 1\n{more}"));
-        assert!(of("kind = \"replica-kill\"\nids = [0]\n").contains("they count from 1 to 3"));
-        assert!(of("kind = \"kill\"\nwhich = \"leader\"\n").contains("fault[0].which: kill: only for"));
+        assert!(error_of("[server]\nspeed = \"fast\"\n").contains("a number or [least, most] expected"));
+        assert!(error_of("[fleet]\nnodes = 4000\n").contains("fleet.nodes: 1 to 400"));
+        assert!(error_of("[[fault]]\nkind = \"slow\"\nat_s = 1\n").contains("factor"));
+        assert!(error_of("[[fault]]\nkind = \"stop\"\nids = [7]\nat_s = 1\n")
+            .contains("fault[0].ids: stop: 7 does not exist"));
+        assert!(error_of("[control]\nreplicas = 9\n").contains("x.toml:4: control.replicas: 1 to 7"));
+        let group_lost = "[[fault]]\nkind = \"group-lost\"\nat_s = 1\n";
+        assert!(error_of(group_lost).contains("fault[0].kind: group-lost: [control] is missing"));
+        let with_group = |more: &str| error_of(&format!("[control]\n[[fault]]\nat_s = 1\n{more}"));
+        assert!(with_group("kind = \"replica-kill\"\nids = [0]\n").contains("numbers go from 1 to 3"));
         assert!(
-            of("kind = \"liar\"\nfactor = 99\n").contains("fault[0].factor: liar: a whole number of liars")
+            with_group("kind = \"kill\"\nwhich = \"leader\"\n").contains("fault[0].which: kill: only for")
         );
-        assert!(of("kind = \"cut\"\nzone = \"maipu\"\nto = \"maipu\"\n")
+        assert!(with_group("kind = \"liar\"\nfactor = 99\n")
+            .contains("fault[0].factor: liar: a whole number of faulty voters"));
+        assert!(with_group("kind = \"cut\"\nzone = \"maipu\"\nto = \"maipu\"\n")
             .contains("fault[0].to: cut: maipu is not"));
-        assert!(of("kind = \"policy\"\n").contains("fault[0].policy: policy: is missing"));
+        assert!(with_group("kind = \"policy\"\n").contains("fault[0].policy: policy: is missing"));
         assert!(Plan::read("x.toml", "schema = 2\nname = \"x\"\nlength_s = 1").is_err());
     }
 }
--- a/crates/lab/src/referee.rs
+++ b/crates/lab/src/referee.rs
@@ -1,5 +1,5 @@
-//! Watches what nodes are told and do, and notes each breach of a rule. It sees every message, as the lab plays all
-//! other parties, and it decides nothing.
+//! The referee: checks what nodes do against the rules, and records each breach. It sees every message, as the lab
+//! plays all other parties, and it never changes what happens.
 
 use std::fmt;
 
@@ -11,41 +11,41 @@
 use crate::server::Us;
 use crate::server_list::ServerList;
 
-/// What an agent has counts as told at once, whether or not a watch is open. What does not come over a watch that
-/// stands counts this long after.
-const TOLD_WITHIN: Us = 6_000_000;
-/// Breaches that are kept with their words; further ones are counted.
-const KEPT: usize = 200;
+/// A node counts as notified of a version as soon as its agent has it, whether or not a watch is open. If the agent's
+/// updates to an open watch are held up, the node counts as notified this long after.
+const HELD_UPDATE_TIMEOUT: Us = 6_000_000;
+/// Breaches that are kept with their descriptions; further ones are only counted.
+const MAX_KEPT_BREACHES: usize = 200;
 
-/// A rule.
+/// The rules that nodes and the control group must keep.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each request that a node takes has its final answer, in time.
+    /// Each request that a node accepts gets its final answer in time.
     Answer,
-    /// A served request carries what an app server answered to it.
+    /// A served request gets what an app server answered to it.
     Genuine,
-    /// A request runs again only as its class allows, and so often.
+    /// A request runs again only as its class allows, and with at most the allowed number of attempts.
     Repeat,
-    /// Nothing new to a server after its drain was told.
+    /// A node sends nothing new to a server after it was notified of the server's drain.
     Drain,
-    /// A cold server is not pushed over.
+    /// A cold server is not overloaded until it fails.
     Cold,
-    /// Nothing to a server that the node's list never named.
+    /// A node sends nothing to a server that its list never named.
     Unlisted,
-    /// Nothing that no client sent.
+    /// A node sends nothing that no client sent.
     Unknown,
-    /// No more memory and descriptors than a node may have.
+    /// A node uses no more memory and descriptors than it may.
     Limits,
-    /// A node does not end by itself.
+    /// A node's process does not end by itself.
     Alive,
-    /// Nothing is admitted under an epoch for longer than the bound once a newer one is in force.
+    /// After a newer epoch is in force, nothing is admitted under an older one for longer than allowed.
     Mixed,
-    /// Nothing is admitted under an epoch that no change has become.
+    /// Nothing is admitted under an epoch that is not the result of a change.
     Aborted,
     /// A change that was acknowledged is never lost.
     Lost,
-    /// A node does not go back to an older epoch.
+    /// A node does not return to an older epoch.
     Backward,
 }
 
@@ -69,18 +69,18 @@
     }
 }
 
-/// A broken rule.
+/// A breach of a rule.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When, in ms from the run's start.
+    /// When it was broken, in ms from the start of the run.
     pub at_ms: f64,
-    /// The node.
+    /// The node's name.
     pub node: Option<String>,
-    /// The server.
+    /// The server's name.
     pub server: Option<String>,
-    /// The request, by its `X-Txn`.
+    /// The client's try, by its `X-Txn` header.
     pub request: Option<String>,
     /// What happened.
     #[serde(rename = "words")]
@@ -99,131 +99,147 @@
     }
 }
 
-/// Who and what a breach is about.
+/// The node, server and request that a breach is about.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BreachSubject {
-    /// The node.
+    /// The node's number.
     pub node: Option<usize>,
-    /// The server.
+    /// The server's number.
     pub server: Option<usize>,
-    /// The client's try.
+    /// The number of the client's try.
     pub request: Option<usize>,
 }
 
-/// What a node knows of a server by what it was told.
+/// What a node knows of a server from the updates that it was sent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
-    /// Since when it has been told to send nothing new.
-    off: Option<Us>,
+struct ServerKnowledge {
+    /// Since when the node knows that it must send nothing new.
+    unavailable_since: Option<Us>,
+    /// The node's list has named the server.
     named: bool,
     born_ms: f64,
 }
 
+/// What a node knows of the list.
 #[derive(Debug, Default)]
-struct Node {
-    told: u64,
-    /// Versions that its agent has and it may not have read, with the time from when on they count as told.
+struct NodeKnowledge {
+    /// The newest version that the node was notified of.
+    version: u64,
+    /// Versions that the node's agent has but the node may not have read, with the time from which they count as read.
     pending: Vec<(Us, u64)>,
-    servers: Vec<Known>,
+    servers: Vec<ServerKnowledge>,
 }
 
-/// An attempt as the rules see it.
+/// An attempt at a server.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct Attempt {
     at: Us,
-    /// The node was shown that it never ran.
-    never_ran: bool,
+    /// The node could see that the attempt did not run.
+    not_executed: bool,
 }
 
+/// A client's try.
 #[derive(Debug)]
-struct Asked {
+struct Try {
     node: usize,
-    effect: Idempotency,
-    window: Us,
+    idempotency: Idempotency,
+    dedup_window: Us,
     answered: Option<Us>,
-    attempts: Vec<Sent>,
+    attempts: Vec<Attempt>,
 }
 
-/// The referee.
+/// Checks the rules on requests and servers, and collects the breaches of all rules.
 #[derive(Debug)]
 pub struct Referee {
     rules: Rules,
-    nodes: Vec<Node>,
-    asked: Vec<Asked>,
+    nodes: Vec<NodeKnowledge>,
+    tries: Vec<Try>,
     breaches: Vec<(Rule, Us, BreachSubject, String)>,
-    count: usize,
+    breach_count: usize,
 }
 
 impl Referee {
-    /// Nothing has happened yet.
+    /// A referee for this number of nodes, at the start of a run.
     pub fn new(rules: Rules, nodes: usize) -> Self {
-        let nodes = (0..nodes).map(|_| Node::default()).collect();
-        Self { rules, nodes, asked: Vec::new(), breaches: Vec::new(), count: 0 }
+        let nodes = (0..nodes).map(|_| NodeKnowledge::default()).collect();
+        Self { rules, nodes, tries: Vec::new(), breaches: Vec::new(), breach_count: 0 }
     }
 
     fn slack(&self) -> Us {
         crate::draw::us_from_ms(self.rules.slack_ms)
     }
 
-    /// How long after its time a final answer may come.
+    /// How long after its deadline a final answer may come.
     pub fn answer_slack(&self) -> Us {
         crate::draw::us_from_ms(self.rules.answer_slack_ms) + self.slack()
     }
 
-    /// Notes a breach.
-    pub fn record_breach(&mut self, rule: Rule, at: Us, about: BreachSubject, words: impl Into<String>) {
-        self.count += 1;
-        if self.breaches.len() < KEPT {
-            self.breaches.push((rule, at, about, words.into()));
+    /// Records a breach.
+    pub fn record_breach(
+        &mut self,
+        rule: Rule,
+        at: Us,
+        subject: BreachSubject,
+        description: impl Into<String>,
+    ) {
+        self.breach_count += 1;
+        if self.breaches.len() < MAX_KEPT_BREACHES {
+            self.breaches.push((rule, at, subject, description.into()));
         }
     }
 
-    /// How many rules were broken, and the first of them.
+    /// The number of breaches, and the first of them.
     pub fn breaches(&self) -> (usize, &[(Rule, Us, BreachSubject, String)]) {
-        (self.count, &self.breaches)
+        (self.breach_count, &self.breaches)
     }
 
-    /// A node started anew knows what its configuration names: this version.
-    pub fn node_started(&mut self, now: Us, node: usize, known: u64, list: &ServerList) {
-        self.nodes[node] = Node::default();
-        self.node_notified(now, node, known, list);
+    /// Records that a node was started, with this version of the list in its configuration.
+    pub fn node_started(&mut self, now: Us, node: usize, version: u64, list: &ServerList) {
+        self.nodes[node] = NodeKnowledge::default();
+        self.node_notified(now, node, version, list);
     }
 
-    /// The node's agent has a version. `held`: its line is held up.
+    /// Records that the node's agent has a version. `held`: its update to the node is held up.
     pub fn agent_received(&mut self, now: Us, node: usize, version: u64, held: bool) {
-        let after = if held { TOLD_WITHIN } else { 0 };
-        self.nodes[node].pending.push((now + after, version));
+        let delay = if held { HELD_UPDATE_TIMEOUT } else { 0 };
+        self.nodes[node].pending.push((now + delay, version));
     }
 
-    /// A version was written to the node.
+    /// Records that an update to a version was written to the node.
     pub fn node_notified(&mut self, now: Us, node: usize, version: u64, list: &ServerList) {
         let node = &mut self.nodes[node];
-        for (server, entry) in list.changes_between(node.told, version) {
+        for (server, entry) in list.changes_between(node.version, version) {
             if node.servers.len() <= server {
-                node.servers.resize(server + 1, Known::default());
+                node.servers.resize(server + 1, ServerKnowledge::default());
             }
             let known = &mut node.servers[server];
-            let off = entry.health != Health::Active;
-            known.off = if off { known.off.or(Some(now)) } else { None };
+            let unavailable = entry.health != Health::Active;
+            known.unavailable_since = if unavailable { known.unavailable_since.or(Some(now)) } else { None };
             known.named |= entry.health != Health::Left;
             known.born_ms = entry.born_ms;
         }
-        node.told = node.told.max(version);
+        node.version = node.version.max(version);
         node.pending.retain(|(_, v)| *v > version);
     }
 
-    /// Was the node told of this start of the server?
+    /// Whether the node was notified of this start of the server, or of a later one.
     pub fn node_knows_start(&self, node: usize, server: usize, born_ms: f64) -> bool {
         self.nodes[node].servers.get(server).is_some_and(|k| k.born_ms >= born_ms)
     }
 
-    /// A client's try goes to a node. Tries are numbered in the order of these calls.
+    /// Records that a client sends a try to a node. Tries are numbered in the order of these calls.
     pub fn request_sent(&mut self, node: usize, class: &ClassSpec) {
-        let (effect, window) = (class.idempotency, class.dedup_window);
-        self.asked.push(Asked { node, effect, window, answered: None, attempts: Vec::new() });
+        self.tries.push(Try {
+            node,
+            idempotency: class.idempotency,
+            dedup_window: class.dedup_window,
+            answered: None,
+            attempts: Vec::new(),
+        });
     }
 
-    /// An attempt at a try began to reach a server at `first`; its place among the try's attempts.
+    /// Records an attempt that began to reach the server at `first`, and checks the rules on it. Returns its index
+    /// among the attempts of the try.
     pub fn attempt_sent(
         &mut self,
         now: Us,
@@ -232,63 +248,74 @@
         first: Us,
         list: &ServerList,
     ) -> usize {
-        let node = self.asked[request].node;
+        let node = self.tries[request].node;
         let mut due: Vec<_> = self.nodes[node].pending.iter().filter(|(at, _)| *at <= now).copied().collect();
         due.sort_unstable();
         for (at, version) in due {
             self.node_notified(at, node, version, list);
         }
-        let about = BreachSubject { node: Some(node), server: Some(server), request: Some(request) };
+        let subject = BreachSubject { node: Some(node), server: Some(server), request: Some(request) };
         let known = self.nodes[node].servers.get(server).copied().unwrap_or_default();
         if !known.named {
-            self.record_breach(Rule::Unlisted, now, about, "the node's list never named this server");
+            self.record_breach(Rule::Unlisted, now, subject, "the node's list never named this server");
         }
         let grace = crate::draw::us_from_ms(self.rules.drain_grace_ms) + self.slack();
-        if let Some(off) = known.off.filter(|off| first > off + grace) {
-            let words = format!("sent {:.0} ms after its drain was told", (first - off) as f64 / 1e3);
-            self.record_breach(Rule::Drain, first, about, words);
+        if let Some(since) = known.unavailable_since.filter(|since| first > since + grace) {
+            let description = format!(
+                "sent {:.0} ms after the node was notified of the drain",
+                (first - since) as f64 / 1e3
+            );
+            self.record_breach(Rule::Drain, first, subject, description);
         }
         let slack = self.slack();
-        let asked = &self.asked[request];
-        let mut ran = asked.attempts.iter().filter(|a| !a.never_ran);
-        let fault = if asked.attempts.len() >= self.rules.attempts {
-            Some(format!("attempt {} of {}", asked.attempts.len() + 1, self.rules.attempts))
-        } else if asked.answered.is_some_and(|at| first > at + slack) {
+        let current = &self.tries[request];
+        let mut executed = current.attempts.iter().filter(|a| !a.not_executed);
+        let violation = if current.attempts.len() >= self.rules.attempts {
+            Some(format!("attempt {} of {}", current.attempts.len() + 1, self.rules.attempts))
+        } else if current.answered.is_some_and(|at| first > at + slack) {
             Some("sent after its final answer".to_string())
         } else {
-            match asked.effect {
+            match current.idempotency {
                 Idempotency::Safe => None,
                 Idempotency::Keyed => {
-                    let late = ran.any(|a| first > a.at + asked.window + slack);
-                    late.then(|| "sent again after its key was forgotten".to_string())
+                    let late = executed.any(|a| first > a.at + current.dedup_window + slack);
+                    late.then(|| "sent again after its key had expired".to_string())
+                }
+                Idempotency::Unsafe => {
+                    executed.next().map(|_| "sent again though it may have run".to_string())
                 }
-                Idempotency::Unsafe => ran.next().map(|_| "sent again though it may have run".to_string()),
             }
         };
-        if let Some(words) = fault {
-            self.record_breach(Rule::Repeat, now, about, words);
+        if let Some(description) = violation {
+            self.record_breach(Rule::Repeat, now, subject, description);
         }
-        let attempts = &mut self.asked[request].attempts;
-        attempts.push(Sent { at: now, never_ran: false });
+        let attempts = &mut self.tries[request].attempts;
+        attempts.push(Attempt { at: now, not_executed: false });
         attempts.len() - 1
     }
 
-    /// The node was shown that this attempt never ran.
+    /// Records that the node could see that this attempt did not run.
     pub fn attempt_not_executed(&mut self, request: usize, attempt: usize) {
-        self.asked[request].attempts[attempt].never_ran = true;
+        self.tries[request].attempts[attempt].not_executed = true;
     }
 
-    /// A node answered a client. `genuine`: what it passed on was an app server's answer to this try.
+    /// Records a node's answer to a client. `genuine`: the answer is that of an app server to this try.
     pub fn request_answered(&mut self, now: Us, request: usize, status: u16, genuine: bool) {
-        let asked = &mut self.asked[request];
-        asked.answered.get_or_insert(now);
-        let about = BreachSubject { node: Some(asked.node), server: None, request: Some(request) };
-        let ran = asked.effect == Idempotency::Unsafe && asked.attempts.iter().any(|a| !a.never_ran);
+        let current = &mut self.tries[request];
+        current.answered.get_or_insert(now);
+        let subject = BreachSubject { node: Some(current.node), server: None, request: Some(request) };
+        let may_have_run =
+            current.idempotency == Idempotency::Unsafe && current.attempts.iter().any(|a| !a.not_executed);
         if status == 200 && !genuine {
-            self.record_breach(Rule::Genuine, now, about, "served with what no app server answered to it");
+            self.record_breach(
+                Rule::Genuine,
+                now,
+                subject,
+                "served with an answer that no app server gave to it",
+            );
         }
-        if matches!(status, 429 | 503) && ran {
-            self.record_breach(Rule::Repeat, now, about, "refused though it may have run");
+        if matches!(status, 429 | 503) && may_have_run {
+            self.record_breach(Rule::Repeat, now, subject, "refused though it may have run");
         }
     }
 }
@@ -309,22 +336,23 @@
         ServerList::new(vec![entry("s0"), entry("s1")])
     }
 
-    fn class(effect: Idempotency) -> ClassSpec {
+    fn class(idempotency: Idempotency) -> ClassSpec {
         ClassSpec {
             name: "c".into(),
             mean_work: 1.0,
             aim: 1,
             deadline: 1,
             worth: 1.0,
-            idempotency: effect,
+            idempotency,
             dedup_window: 5_000_000,
         }
     }
 
-    fn referee(list: &ServerList, effect: Idempotency) -> Referee {
+    /// A referee of one node that knows the list and has one request of a class.
+    fn referee(list: &ServerList, idempotency: Idempotency) -> Referee {
         let mut referee = Referee::new(Rules::default(), 1);
         referee.node_notified(0, 0, 1, list);
-        referee.request_sent(0, &class(effect));
+        referee.request_sent(0, &class(idempotency));
         referee
     }
 
@@ -333,7 +361,7 @@
     }
 
     #[test]
-    fn a_send_after_a_drain_is_seen_once_the_grace_has_passed() {
+    fn sending_to_a_draining_server_is_a_breach_after_the_grace() {
         let mut list = list();
         let mut referee = referee(&list, Idempotency::Safe);
         let gone = ServerEntry { health: Health::Leaving, ..list.newest_entry(1).expect("listed").clone() };
@@ -346,7 +374,7 @@
     }
 
     #[test]
-    fn what_the_agent_has_counts_as_told_at_once_and_6_s_later_where_its_line_is_held_up() {
+    fn the_drain_grace_starts_when_the_agent_has_the_version_and_6_s_later_if_its_update_is_held() {
         for (held, after) in [(false, 0), (true, 6_000_000)] {
             let mut list = list();
             let mut referee = referee(&list, Idempotency::Safe);
@@ -362,27 +390,27 @@
     }
 
     #[test]
-    fn repeats_are_held_to_the_class() {
+    fn a_class_limits_when_a_request_may_be_sent_again() {
         let list = list();
-        for (effect, shown, at, broken) in [
+        for (idempotency, not_executed, at, broken) in [
             (Idempotency::Unsafe, false, 1, vec![Rule::Repeat]),
             (Idempotency::Unsafe, true, 1, vec![]),
             (Idempotency::Keyed, false, 4_000_000, vec![]),
             (Idempotency::Keyed, false, 5_100_000, vec![Rule::Repeat]),
             (Idempotency::Safe, false, 9_000_000, vec![]),
         ] {
-            let mut referee = referee(&list, effect);
+            let mut referee = referee(&list, idempotency);
             let first = referee.attempt_sent(0, 0, 0, 0, &list);
-            if shown {
+            if not_executed {
                 referee.attempt_not_executed(0, first);
             }
             referee.attempt_sent(at, 0, 1, at, &list);
-            assert_eq!(rules(&referee), broken, "{effect:?} {shown} {at}");
+            assert_eq!(rules(&referee), broken, "{idempotency:?} {not_executed} {at}");
         }
     }
 
     #[test]
-    fn too_many_attempts_late_ones_and_strangers_are_seen() {
+    fn too_many_or_late_attempts_and_unlisted_servers_are_breaches() {
         let list = list();
         let mut referee = referee(&list, Idempotency::Safe);
         for _ in 0..6 {
--- a/crates/lab/src/result.rs
+++ b/crates/lab/src/result.rs
@@ -1,7 +1,7 @@
-//! What came of a run: figures, whether what must hold did, and the file that keeps both.
+//! The result of a run: its metrics, whether the expectations of the plan hold, and the file for both.
 //!
-//! `result.json` has [`SCHEMA`] as its version: fields may be added under one version, never renamed or given another
-//! meaning. Times are in the unit that their name ends with; shares go from 0 to 1.
+//! `result.json` has [`SCHEMA`] as its version: within one version fields may be added, but never renamed or given
+//! another meaning. Times are in the unit that their name ends with; shares go from 0 to 1.
 
 use std::fmt;
 use std::path::Path;
@@ -19,128 +19,128 @@
 use crate::tally::Tally;
 use crate::world::World;
 
-/// The version of the file's form.
+/// The version of the file format.
 pub const SCHEMA: u32 = 1;
-/// The lab's own lateness from which on a run does not count: its 99th percentile, in ms.
+/// A run does not count where the 99th percentile of the lab's own lateness is above this, in ms.
 pub const MAX_LAB_LATENESS_MS: f64 = 5.0;
-/// The worst stretch that counts, in seconds.
-const STRETCH: usize = 10;
-/// The windows in which the spread of attempts is looked at, in seconds.
-const SPREAD_OVER: usize = 5;
-/// Service is back when it has this share of what it had in the seconds before a fault ...
-const BACK: f64 = 0.95;
-/// ... so many seconds before ...
-const BEFORE: usize = 5;
-/// ... for so many seconds in a row.
-const IN_A_ROW: usize = 2;
-
-/// A run's result.
+/// The length of [`Service::worst_window`].
+const WORST_WINDOW_S: usize = 10;
+/// The length of the windows for [`Cost::spread`].
+const SPREAD_WINDOW_S: usize = 5;
+/// Service has recovered from a fault when the served share is this part of its value before the fault ...
+const RECOVERED_SHARE: f64 = 0.95;
+/// ... which is the mean of this many seconds ...
+const REFERENCE_S: usize = 5;
+/// ... for this many consecutive seconds.
+const RECOVERED_FOR_S: usize = 2;
+
+/// The result of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RunResult {
-    /// The form's version.
+    /// The version of the file format.
     pub schema: u32,
-    /// The experiment.
+    /// The experiment's name.
     pub name: String,
-    /// The draw.
+    /// The seed of the draw.
     pub seed: u64,
-    /// How long clients came.
+    /// How long clients sent requests.
     pub length_s: f64,
-    /// Nodes, servers and zones.
+    /// The number of nodes, servers and zones.
     pub fleet: FleetSize,
-    /// What was served.
+    /// How much was served.
     pub service: Service,
-    /// What the policies of the virtual clock serve on this draw.
+    /// How much the baseline policies serve on this draw.
     pub baselines: Baselines,
-    /// By class.
+    /// The results of each class.
     pub classes: Vec<ClassResult>,
-    /// What it cost.
+    /// The resources used.
     pub cost: Cost,
-    /// By second of asking.
+    /// The results of each second, by the second of the first try.
     pub seconds: Vec<SecondResult>,
-    /// Attempts a second, by server and second.
+    /// Attempts by server and second.
     pub server_load: Vec<Vec<u32>>,
-    /// The faults, and how long service took to be back.
+    /// The faults, and how long service took to recover.
     pub faults: Vec<FaultResult>,
-    /// What came of the changes of policy, where a control group agrees on them.
+    /// What policy changes came to, where there is a control group.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub control: Option<ControlMetrics>,
-    /// What came of votes on servers, where the group was heard of them.
+    /// What votes on servers came to, where a replica reported removals.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub votes: Option<VoteMetrics>,
-    /// How many rules were broken, and the first of them.
+    /// The number of breaches of rules.
     pub breaches: usize,
-    /// Their words.
+    /// The first breaches.
     #[serde(rename = "broken")]
     pub first_breaches: Vec<Breach>,
     /// The lab's own lateness and load.
     pub lab: LabMetrics,
-    /// What had to hold.
+    /// The expectations of the plan, and whether each holds.
     #[serde(rename = "held")]
     pub expectations: Vec<ExpectationResult>,
     /// The verdict.
     pub verdict: Verdict,
 }
 
-/// How large the fleet was.
+/// The size of the fleet.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct FleetSize {
-    /// Nodes.
+    /// The number of nodes.
     pub nodes: usize,
-    /// App servers at the start.
+    /// The number of app servers at the start.
     pub servers: usize,
-    /// Zones.
+    /// The number of zones.
     pub zones: usize,
 }
 
-/// Shares of the worth asked for that was served within the aim.
+/// Shares of the worth of all requests that was served within the target time.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Service {
     /// Over the run.
     pub served: f64,
-    /// Of the class that was served worst.
+    /// For the class that was served worst.
     pub worst_class: f64,
-    /// Of the worst 10 s.
+    /// For the worst 10 s.
     pub worst_window: f64,
-    /// The mix of these three that counts, less what the run cost.
+    /// The weighted sum of these three less the price of the resources used; see [`service`].
     pub g: f64,
 }
 
-/// What policies serve in the virtual clock.
+/// What the baseline policies serve in the virtual clock.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Baselines {
     /// Random choice among the listed servers.
     pub random: Service,
-    /// One that sees the true state of every server.
+    /// A policy that sees the true state of every server.
     pub oracle: Service,
 }
 
-/// One class.
+/// The result of one class.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ClassResult {
-    /// Its name.
+    /// The class's name.
     pub name: String,
-    /// First tries.
+    /// The number of requests, each counted once.
     pub requests: u64,
-    /// Share of its worth that was served in time.
+    /// The share of the class's worth that was served in time.
     pub served: f64,
-    /// Requests served in time, late, refused, failed, unanswered.
+    /// The number of requests by outcome.
     pub ends: Ends,
-    /// Percentiles of the time to an answer, from the first try on.
+    /// Percentiles of the time from the first try to a served answer.
     pub took_ms: Percentiles,
 }
 
-/// How requests ended.
+/// The number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Ends {
-    /// Served within the aim.
+    /// Served within the target time.
     pub in_time: u64,
     /// Served later.
     pub late: u64,
-    /// Refused at last.
+    /// Refused, and not retried further.
     pub refused: u64,
-    /// Failed at last.
+    /// Failed, and not retried further.
     pub failed: u64,
-    /// Given up without an answer.
+    /// The client gave up or left without an answer.
     pub unanswered: u64,
 }
 
@@ -149,129 +149,129 @@
 pub struct Percentiles {
     /// The median.
     pub p50: f64,
-    /// The 90th.
+    /// The 90th percentile.
     pub p90: f64,
-    /// The 99th.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The largest.
+    /// The maximum.
     pub max: f64,
 }
 
-/// What it cost.
+/// The resources that a run used.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Cost {
-    /// First tries.
+    /// The number of requests, each counted once.
     pub requests: u64,
-    /// Tries of clients for each first one.
+    /// Clients' tries for each request.
     pub tries: f64,
-    /// Attempts for each first try.
+    /// Attempts at servers for each request.
     pub attempts: f64,
-    /// Attempts that were turned away, as a share.
+    /// The share of attempts that servers turned away.
     pub turned_away: f64,
-    /// New connections for each first try.
+    /// New connections to servers for each request.
     pub connections: f64,
-    /// Attempts that crossed zones, for each first try.
+    /// Attempts that crossed zones, for each request.
     pub cross_zone: f64,
-    /// Work of servers that no client had anything of, over the work asked for.
+    /// Work of servers that served no client, over the work of all requests.
     pub wasted: f64,
-    /// Worth that ended unserved only after its aim, over the worth asked for.
+    /// The worth of requests that ended unserved after their target time, over the worth of all requests.
     pub failed_late: f64,
-    /// The share of servers that crowding choked.
+    /// The share of servers that were in congestion collapse at some time.
     pub overdriven: f64,
-    /// Attempts at the server that got most of them, over the mean, in the worst 5 s.
+    /// Attempts at the busiest server over the mean, in the worst 5 s.
     #[serde(default)]
     pub spread: f64,
-    /// Work that a cold server was sent in its worst window, as a part of what pushes it over.
+    /// The most work that a cold server was sent in a window, as a share of the work at which it fails.
     #[serde(default)]
     pub cold_most: f64,
-    /// Work that all servers were sent while cold, over what they could have done meanwhile.
+    /// The work that all servers were sent while cold, over their capacity in that time.
     #[serde(default)]
     pub cold_sent: f64,
-    /// The most memory that a node held, in MiB.
+    /// The most memory that a node used, in MiB.
     pub node_memory_mb: f64,
-    /// The most descriptors that a node held.
+    /// The most descriptors that a node had open.
     pub node_descriptors: u64,
-    /// Answers that came later than their time and its slack, and within half a second.
+    /// Answers that came after their deadline and its slack, but within half a second.
     pub overdue: u64,
-    /// Attempts that failed, or were given up, at servers that something was wrong with. Connections that never came up
-    /// are not among them: the lab does not see those.
+    /// Attempts that failed or were cancelled at faulty servers. Failed connects are not counted, as the lab does not see
+    /// them.
     #[serde(default, rename = "paid")]
     pub failures_at_faulty: u64,
-    /// The same at servers that nothing was wrong with.
+    /// Attempts that failed or were cancelled at healthy servers.
     #[serde(default, rename = "failures")]
     pub failures_at_healthy: u64,
 }
 
-/// One second.
+/// The result of one second.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct SecondResult {
-    /// How its requests ended.
+    /// The number of requests by outcome.
     pub ends: Ends,
-    /// Share of the worth that was served in time.
+    /// The share of the worth that was served in time.
     pub served: f64,
-    /// Percentiles of the time to an answer.
+    /// Percentiles of the time from the first try to a served answer.
     pub took_ms: Percentiles,
-    /// Tries of clients.
+    /// Clients' tries.
     pub tries: u64,
     /// Attempts at servers.
     pub attempts: u64,
 }
 
-/// One fault.
+/// A fault, and the recovery from it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FaultResult {
-    /// Its kind.
+    /// The kind, as in the experiment file.
     pub kind: String,
-    /// From when ...
+    /// When the fault began.
     pub at_s: f64,
-    /// ... until when.
+    /// When the fault ended.
     pub until_s: f64,
-    /// How many parties it struck.
+    /// The number of targets.
     pub targets: usize,
-    /// From its end until service was back; `None` where it was not before the run's end.
+    /// The time from the fault's end until service had recovered; `None` where it had not by the end of the run.
     pub recover_s: Option<f64>,
 }
 
-/// The lab's own figures.
+/// Metrics of the lab itself.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct LabMetrics {
-    /// How late things that were due were done.
+    /// How late the lab handled due events.
     pub late_ms: Percentiles,
-    /// Processor time of the lab, as a share of one core.
+    /// The CPU time of the lab, as a share of one core.
     pub busy: f64,
-    /// Requests a second that went through, client tries and attempts alike.
+    /// Clients' tries and attempts at servers, together, a second.
     pub messages_per_s: f64,
 }
 
-/// Something that had to hold.
+/// An expectation of the plan, and whether it holds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ExpectationResult {
-    /// The key in the file.
+    /// The key in `[hold]` of the experiment file.
     pub key: String,
-    /// What was asked for.
+    /// The expected value or bound.
     pub wanted: f64,
-    /// What it was; `None` where it can't be told, which does not hold.
+    /// The measured value; `None` where there is none, in which case the expectation does not expected.
     pub got: Option<f64>,
-    /// Did it hold?
+    /// Whether the expectation holds.
     pub held: bool,
 }
 
-/// The verdict.
+/// The verdict on a run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// All held, and no rule was broken.
+    /// All expectations hold, and no rule was broken.
     Held,
-    /// A rule was broken, or something did not hold.
+    /// A rule was broken, or an expectation does not expected.
     NotHeld,
     /// The lab itself ran late: the run does not count.
     LabLate,
-    /// It was broken off.
+    /// The run was interrupted: it does not count.
     Interrupted,
 }
 
 impl Verdict {
-    /// A lab that is late may see rules broken that were not, and what does not hold: such a run says nothing.
+    /// A late lab may report breaches that did not happen and metrics that are wrong, so such a run does not count.
     fn of(interrupted: bool, late_ms: f64, held: bool) -> Self {
         if interrupted {
             Self::Interrupted
@@ -296,23 +296,25 @@
     }
 }
 
-/// Percentiles of microseconds, in ms.
-fn percentiles(of: impl Iterator<Item = u32>) -> Percentiles {
-    // Three digits from a microsecond to beyond all that a u32 holds: such bounds are always accepted.
+/// The percentiles, in ms, of times in microseconds.
+fn percentiles(times: impl Iterator<Item = u32>) -> Percentiles {
+    // Three significant digits, from 1 us to more than the largest u32: such bounds are always accepted.
     let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, 1 << 33, 3) else {
         return Percentiles::default();
     };
-    for us in of {
+    for us in times {
         histogram.saturating_record(u64::from(us));
     }
     if histogram.is_empty() {
         return Percentiles::default();
     }
-    let at = |q: f64| histogram.value_at_quantile(q) as f64 / 1e3;
-    Percentiles { p50: at(0.5), p90: at(0.9), p99: at(0.99), max: histogram.max() as f64 / 1e3 }
+    let quantile = |q: f64| histogram.value_at_quantile(q) as f64 / 1e3;
+    let max = histogram.max() as f64 / 1e3;
+    Percentiles { p50: quantile(0.5), p90: quantile(0.9), p99: quantile(0.99), max }
 }
 
-fn ends(counts: impl Iterator<Item = [u64; 5]>) -> Ends {
+/// The sum of the counts by outcome.
+fn sum_outcomes(counts: impl Iterator<Item = [u64; 5]>) -> Ends {
     counts.fold(Ends::default(), |sum, [in_time, late, refused, failed, unanswered]| Ends {
         in_time: sum.in_time + in_time,
         late: sum.late + late,
@@ -323,23 +325,24 @@
 }
 
 impl Ends {
-    /// All requests.
+    /// The number of all requests.
     pub fn all(&self) -> u64 {
         self.in_time + self.late + self.refused + self.failed + self.unanswered
     }
 }
 
-fn seconds_of(draw: &Draw) -> usize {
+/// The length of a run in seconds, rounded up.
+fn length_in_seconds(draw: &Draw) -> usize {
     (draw.length.div_ceil(1_000_000)) as usize
 }
 
-/// What a world has served, by the agency's count: prices are those of its brief.
+/// How much of the worth was served in a run. The weights and prices of `g` are those of the agency's brief.
 pub fn service(world: &World) -> Service {
     let (tally, draw) = (world.tally(), world.draw());
-    let (classes, seconds) = (draw.classes.len(), seconds_of(draw));
+    let (classes, seconds) = (draw.classes.len(), length_in_seconds(draw));
     let served = tally.served_share(0..classes, 0..seconds);
     let worst_class = (0..classes).map(|c| tally.served_share(c..c + 1, 0..seconds)).fold(1.0, f64::min);
-    let worst_window = tally.worst_served_share(STRETCH, seconds);
+    let worst_window = tally.worst_served_share(WORST_WINDOW_S, seconds);
     let cost = cost(world, (0.0, 0));
     let price = 0.036 * cost.wasted
         + 0.032 * cost.connections
@@ -350,52 +353,56 @@
     Service { served, worst_class, worst_window, g }
 }
 
-fn cost(world: &World, held: (f64, u64)) -> Cost {
+/// The resources used. `node_usage` has the most memory in MiB and the most descriptors of a node.
+fn cost(world: &World, node_usage: (f64, u64)) -> Cost {
     let tally = world.tally();
     let requests = world.draw().arrivals.len() as u64;
     let sum = |of: fn(&crate::tally::SecondCounts) -> u64| tally.seconds.iter().map(of).sum::<u64>() as f64;
-    let each = |count: f64| count / requests.max(1) as f64;
+    let per_request = |count: f64| count / requests.max(1) as f64;
     let attempts = sum(|s| s.attempts);
-    let asked: f64 = tally.windows.iter().flatten().map(|w| w.offered_worth).sum();
+    let offered_worth: f64 = tally.windows.iter().flatten().map(|w| w.offered_worth).sum();
     let (cold_most, cold_sent) = world.cold_use();
     Cost {
         requests,
-        tries: each(sum(|s| s.tries)),
-        attempts: each(attempts),
+        tries: per_request(sum(|s| s.tries)),
+        attempts: per_request(attempts),
         turned_away: sum(|s| s.turned_away) / attempts.max(1.0),
-        connections: each(sum(|s| s.connections)),
-        cross_zone: each(tally.cross_zone_attempts as f64),
+        connections: per_request(sum(|s| s.connections)),
+        cross_zone: per_request(tally.cross_zone_attempts as f64),
         wasted: world.wasted(),
-        failed_late: tally.failed_late / asked.max(f64::MIN_POSITIVE),
+        failed_late: tally.failed_late / offered_worth.max(f64::MIN_POSITIVE),
         overdriven: world.overdriven(),
-        spread: tally.load_imbalance(SPREAD_OVER, seconds_of(world.draw())),
+        spread: tally.load_imbalance(SPREAD_WINDOW_S, length_in_seconds(world.draw())),
         cold_most,
         cold_sent,
-        node_memory_mb: held.0,
-        node_descriptors: held.1,
+        node_memory_mb: node_usage.0,
+        node_descriptors: node_usage.1,
         overdue: tally.overdue_answers,
         failures_at_faulty: tally.failed_attempts[0],
         failures_at_healthy: tally.failed_attempts[1],
     }
 }
 
-/// From a fault's end until service was back, in seconds.
+/// The seconds from the end of a fault until service had recovered; `None` where it had not within `length` seconds. The
+/// fault lasts from the second `at` to the second `until`.
 pub fn recovery(tally: &Tally, at: usize, until: usize, length: usize) -> Option<f64> {
     let classes = tally.windows.len();
-    let before = tally.served_share(0..classes, at.saturating_sub(BEFORE)..at.max(1));
-    let back = |second: usize| tally.served_share(0..classes, second..second + 1) >= BACK * before;
-    let from = (until..length.saturating_sub(IN_A_ROW - 1)).find(|s| (*s..*s + IN_A_ROW).all(back))?;
+    let before = tally.served_share(0..classes, at.saturating_sub(REFERENCE_S)..at.max(1));
+    let recovered =
+        |second: usize| tally.served_share(0..classes, second..second + 1) >= RECOVERED_SHARE * before;
+    let from = (until..length.saturating_sub(RECOVERED_FOR_S - 1))
+        .find(|s| (*s..*s + RECOVERED_FOR_S).all(recovered))?;
     Some((from - until) as f64)
 }
 
 impl RunResult {
-    /// What came of a run.
+    /// The result of a run, with those of the baseline policies on the same draw.
     pub fn new(plan: &Plan, played: &Played, random: &World, oracle: &World) -> Self {
         let world = &played.world;
         let (tally, draw) = (world.tally(), world.draw());
-        let length = seconds_of(draw);
+        let length = length_in_seconds(draw);
         let classes = draw.classes.iter().zip(&tally.windows).enumerate().map(|(n, (class, windows))| {
-            let ends = ends(windows.iter().map(|w| w.outcomes));
+            let ends = sum_outcomes(windows.iter().map(|w| w.outcomes));
             ClassResult {
                 name: class.name.clone(),
                 requests: ends.all(),
@@ -408,14 +415,14 @@
             let windows = || tally.windows.iter().filter_map(move |of| of.get(s));
             let counts = tally.seconds.get(s).cloned().unwrap_or_default();
             SecondResult {
-                ends: ends(windows().map(|w| w.outcomes)),
+                ends: sum_outcomes(windows().map(|w| w.outcomes)),
                 served: tally.served_share(0..draw.classes.len(), s..s + 1),
                 took_ms: percentiles(windows().flat_map(|w| w.latencies_us.iter().copied())),
                 tries: counts.tries,
                 attempts: counts.attempts,
             }
         });
-        // What came of policies is told apart.
+        // Policy changes are reported in `control`.
         let faults = draw.faults.iter().filter(|f| f.kind != FaultKind::Policy).map(|f| {
             let (at, until) = (f.at / 1_000_000, f.until.div_ceil(1_000_000));
             FaultResult {
@@ -426,7 +433,7 @@
                 recover_s: recovery(tally, at as usize, until as usize, length),
             }
         });
-        let (breaches, broken) = world.breaches();
+        let (breaches, first_breaches) = world.breaches();
         let late_ms = percentiles(world.lateness().iter().copied());
         let messages: u64 = tally.seconds.iter().map(|s| s.tries + s.attempts).sum();
         let mut result = Self {
@@ -449,7 +456,7 @@
             control: world.control(),
             votes: world.votes(),
             breaches,
-            first_breaches: broken,
+            first_breaches,
             lab: LabMetrics {
                 late_ms,
                 busy: played.busy,
@@ -458,13 +465,14 @@
             expectations: Vec::new(),
             verdict: Verdict::Held,
         };
-        result.judge(plan, played.interrupted);
+        result.evaluate(plan, played.interrupted);
         result
     }
 
-    fn judge(&mut self, plan: &Plan, interrupted: bool) {
-        let hold = plan.expectations.get_ref();
-        let least = |key: &str, wanted: Option<f64>, got: f64| {
+    /// Compares the metrics with the expectations of the plan, and sets the verdict.
+    fn evaluate(&mut self, plan: &Plan, interrupted: bool) {
+        let expected = plan.expectations.get_ref();
+        let at_least = |key: &str, wanted: Option<f64>, got: f64| {
             wanted.map(|wanted| ExpectationResult {
                 key: key.into(),
                 wanted,
@@ -472,7 +480,7 @@
                 held: got >= wanted,
             })
         };
-        let most = |key: &str, wanted: Option<f64>, got: Option<f64>| {
+        let at_most = |key: &str, wanted: Option<f64>, got: Option<f64>| {
             let held = |wanted: f64| got.is_some_and(|got| got <= wanted);
             wanted.map(|wanted| ExpectationResult { key: key.into(), wanted, got, held: held(wanted) })
         };
@@ -484,60 +492,71 @@
             control.map(|c| c.changes.iter().filter(|change| of(&change.outcome)).count() as f64)
         };
         let committed = count(|o| matches!(o, Outcome::Committed(_))).unwrap_or(0.0);
-        // Of the changes that were committed.
+        // The longest of some time of the committed changes.
         let longest = |of: fn(&ChangeMetrics) -> Option<f64>| {
             let committed = |c: &&ChangeMetrics| matches!(c.outcome, Outcome::Committed(_));
             let all: Option<Vec<f64>> = control?.changes.iter().filter(committed).map(of).collect();
             all.map(|all| all.into_iter().fold(0.0, f64::max))
         };
         let gap = control.and_then(|c| {
-            c.write_gaps_ms.iter().copied().try_fold(0.0, |most, gap| gap.map(|gap| f64::max(most, gap)))
+            c.write_gaps_ms
+                .iter()
+                .copied()
+                .try_fold(0.0, |longest, gap| gap.map(|gap| f64::max(longest, gap)))
         });
         let votes = self.votes.as_ref();
-        let s = self.service;
+        let service = self.service;
         let recovered: Option<Vec<f64>> = self.faults.iter().map(|f| f.recover_s).collect();
         let recovered = recovered.map(|all| all.into_iter().fold(0.0, f64::max));
         let p99 = self.classes.iter().map(|c| c.took_ms.p99).fold(0.0, f64::max);
-        let held = [
-            least("served", hold.served, s.served),
-            least("worst_class", hold.worst_class, s.worst_class),
-            least("worst_window", hold.worst_window, s.worst_window),
-            least("of_oracle", hold.of_oracle, s.served / self.baselines.oracle.served.max(1e-9)),
-            most("p99_ms", hold.p99_ms, Some(p99)),
-            most("attempts", hold.attempts, Some(self.cost.attempts)),
-            most("cross_zone", hold.cross_zone, Some(self.cost.cross_zone / self.cost.attempts.max(1e-9))),
-            most("recover_s", hold.recover_s, recovered),
-            most("spread", hold.spread, Some(self.cost.spread)),
-            least("committed", hold.committed, committed),
-            exactly("aborted", hold.aborted, count(|o| matches!(o, Outcome::Aborted(_)))),
-            most("active_ms", hold.active_ms, longest(|c| c.active_ms)),
-            most("mixed_ms", hold.mixed_ms, longest(|c| c.mixed_ms)),
-            most("held", hold.held, control.map(|c| c.refused_share)),
-            most("write_gap_ms", hold.write_gap_ms, gap),
-            least("removed", hold.removed, votes.map_or(0.0, |v| v.removed as f64)),
-            most("wrong_removals", hold.wrong_removals, votes.map(|v| v.wrong_removals as f64)),
-            most("remove_ms", hold.remove_ms, votes.and_then(VoteMetrics::remove_ms)),
-            most("return_ms", hold.return_ms, votes.and_then(VoteMetrics::return_ms)),
-            most("paid", hold.paid, Some(self.cost.failures_at_faulty as f64)),
+        let expectations = [
+            at_least("served", expected.served, service.served),
+            at_least("worst_class", expected.worst_class, service.worst_class),
+            at_least("worst_window", expected.worst_window, service.worst_window),
+            at_least(
+                "of_oracle",
+                expected.of_oracle,
+                service.served / self.baselines.oracle.served.max(1e-9),
+            ),
+            at_most("p99_ms", expected.p99_ms, Some(p99)),
+            at_most("attempts", expected.attempts, Some(self.cost.attempts)),
+            at_most(
+                "cross_zone",
+                expected.cross_zone,
+                Some(self.cost.cross_zone / self.cost.attempts.max(1e-9)),
+            ),
+            at_most("recover_s", expected.recover_s, recovered),
+            at_most("spread", expected.spread, Some(self.cost.spread)),
+            at_least("committed", expected.committed, committed),
+            exactly("aborted", expected.aborted, count(|o| matches!(o, Outcome::Aborted(_)))),
+            at_most("active_ms", expected.active_ms, longest(|c| c.active_ms)),
+            at_most("mixed_ms", expected.mixed_ms, longest(|c| c.mixed_ms)),
+            at_most("held", expected.held, control.map(|c| c.refused_share)),
+            at_most("write_gap_ms", expected.write_gap_ms, gap),
+            at_least("removed", expected.removed, votes.map_or(0.0, |v| v.removed as f64)),
+            at_most("wrong_removals", expected.wrong_removals, votes.map(|v| v.wrong_removals as f64)),
+            at_most("remove_ms", expected.remove_ms, votes.and_then(VoteMetrics::remove_ms)),
+            at_most("return_ms", expected.return_ms, votes.and_then(VoteMetrics::return_ms)),
+            at_most("paid", expected.paid, Some(self.cost.failures_at_faulty as f64)),
         ];
-        self.expectations = held.into_iter().flatten().collect();
+        self.expectations = expectations.into_iter().flatten().collect();
         let held = self.breaches == 0 && self.expectations.iter().all(|h| h.held);
         self.verdict = Verdict::of(interrupted, self.lab.late_ms.p99, held);
     }
 
-    /// Writes the file.
+    /// Writes the result as JSON.
     ///
     /// # Errors
-    /// Where it can't be written.
+    /// The file can't be written.
     pub fn write(&self, path: &Path) -> Result<(), FileError> {
         let text = serde_json::to_string_pretty(self).map_err(FileError::write(path))?;
         std::fs::write(path, text + "\n").map_err(FileError::write(path))
     }
 
-    /// Reads the file.
+    /// Reads a result from JSON.
     ///
     /// # Errors
-    /// Names the file and the field that is wrong.
+    /// The file can't be read, has another version, or has a wrong field, which the error names.
     pub fn read(path: &Path) -> Result<Self, FileError> {
         read_json(path, SCHEMA, |result: &Self| result.schema)
     }
@@ -548,7 +567,7 @@
     use super::*;
 
     #[test]
-    fn a_run_counts_only_where_it_was_whole_and_the_lab_in_time() {
+    fn an_interrupted_run_or_a_late_lab_does_not_count() {
         assert_eq!(Verdict::of(false, 5.0, true), Verdict::Held);
         assert_eq!(Verdict::of(false, 5.0, false), Verdict::NotHeld);
         assert_eq!(Verdict::of(false, 5.1, false), Verdict::LabLate);
--- a/crates/lab/src/server_list.rs
+++ b/crates/lab/src/server_list.rs
@@ -1,42 +1,42 @@
-//! The list of app servers and its versions: what discovery has to tell, and to whom it was told.
+//! The list of app servers and its versions, as discovery serves it to nodes.
 
 use std::net::SocketAddr;
 
 use endpoints::{Health, Host, Update};
 
-/// One server as the list has it.
+/// One server in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Its name.
+    /// The server's name.
     pub name: String,
-    /// Its zone's name.
+    /// The zone's name.
     pub zone: String,
-    /// Its cell.
+    /// The cell's number.
     pub cell: u64,
-    /// Its state.
+    /// The server's state.
     pub health: Health,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// When the server last started, Unix time in milliseconds; 0: long ago.
     pub born_ms: f64,
 }
 
-/// A change of one server, which makes one version.
+/// A change of one server; each change makes a new version.
 #[derive(Clone, Debug, PartialEq)]
 struct Change {
     server: usize,
     entry: ServerEntry,
 }
 
-/// The list: version 1 is the first whole list, and each change makes the next.
+/// The list of servers. Version 1 is the initial list, and each change makes the next version.
 #[derive(Debug, Default)]
 pub struct ServerList {
-    first: Vec<ServerEntry>,
+    initial: Vec<ServerEntry>,
     changes: Vec<Change>,
 }
 
 impl ServerList {
-    /// The list at the start.
-    pub fn new(first: Vec<ServerEntry>) -> Self {
-        Self { first, changes: Vec::new() }
+    /// A list with these servers as version 1.
+    pub fn new(initial: Vec<ServerEntry>) -> Self {
+        Self { initial, changes: Vec::new() }
     }
 
     /// The newest version.
@@ -44,39 +44,39 @@
         1 + self.changes.len() as u64
     }
 
-    /// Notes that a server is so from now on; the version that says so.
+    /// Changes or adds the entry of a server. Returns the new version.
     pub fn record_change(&mut self, server: usize, entry: ServerEntry) -> u64 {
         self.changes.push(Change { server, entry });
         self.version()
     }
 
-    /// The newest entry of a server, if it was ever listed.
+    /// The newest entry of a server; `None` if it was never listed.
     pub fn newest_entry(&self, server: usize) -> Option<&ServerEntry> {
         let changed = self.changes.iter().rev().find(|c| c.server == server).map(|c| &c.entry);
-        changed.or_else(|| self.first.get(server))
+        changed.or_else(|| self.initial.get(server))
     }
 
-    /// The servers that changed after one version and up to another, with what they are by then. Those of the
-    /// first list count as changes too, from version 0.
+    /// The changes after version `from` and up to version `to`, in order. From version 0 on, the servers of the initial
+    /// list count as changes too.
     pub fn changes_between(&self, from: u64, to: u64) -> impl Iterator<Item = (usize, &ServerEntry)> {
-        let first = self.first.iter().enumerate().filter(move |_| from == 0);
+        let initial = self.initial.iter().enumerate().filter(move |_| from == 0);
         let skip = from.saturating_sub(1) as usize;
         let changed = self.changes.iter().take(to.saturating_sub(1) as usize).skip(skip);
-        first.chain(changed.map(|c| (c.server, &c.entry)))
+        initial.chain(changed.map(|c| (c.server, &c.entry)))
     }
 
-    /// The line with the changes between two versions; servers are dialled where `dial` says.
+    /// The update with the changes between two versions; `dial` has the address of each server.
     pub fn delta(&self, from: u64, to: u64, dial: impl Fn(usize) -> SocketAddr) -> Update {
         let hosts = self.changes_between(from, to).map(|(server, entry)| host(entry, dial(server))).collect();
         Update { version: to, whole: false, hosts }
     }
 
-    /// The whole list at a version.
-    pub fn full(&self, at: u64, dial: impl Fn(usize) -> SocketAddr) -> Update {
+    /// The update with the full list at a version; `dial` has the address of each server.
+    pub fn full(&self, version: u64, dial: impl Fn(usize) -> SocketAddr) -> Update {
         let mut newest: std::collections::BTreeMap<usize, &ServerEntry> = std::collections::BTreeMap::new();
-        newest.extend(self.changes_between(0, at));
+        newest.extend(self.changes_between(0, version));
         let listed = newest.into_iter().filter(|(_, e)| e.health != Health::Left);
-        Update { version: at, whole: true, hosts: listed.map(|(s, e)| host(e, dial(s))).collect() }
+        Update { version, whole: true, hosts: listed.map(|(s, e)| host(e, dial(s))).collect() }
     }
 }
 
@@ -102,7 +102,7 @@
     }
 
     #[test]
-    fn a_version_holds_what_changed_up_to_it() {
+    fn a_full_list_has_all_changes_up_to_its_version_and_a_delta_those_between_two() {
         let mut list = ServerList::new(vec![entry("s0", Health::Active), entry("s1", Health::Active)]);
         assert_eq!(list.record_change(1, entry("s1", Health::Leaving)), 2);
         assert_eq!(list.record_change(1, entry("s1", Health::Left)), 3);
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -1,16 +1,17 @@
-//! What nodes are told at their start, on sockets and in the virtual clock alike.
+//! The settings and seeds that nodes start with, in live runs and in the virtual clock alike.
 
 use serde_json::{json, Value};
 
 use crate::draw::Draw;
 use crate::plan::{Idempotency, Plan};
 
-/// The seed of a node's start: each has numbers of its own, and the same ones in each play.
+/// The seed of a node's random numbers: different for each node and each of its starts, and the same in each run of a
+/// draw. `life` counts the node's starts.
 pub fn node_seed(draw: &Draw, node: usize, life: u32) -> u64 {
     draw.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ((node as u64) << 32) ^ u64::from(life)
 }
 
-/// The settings with a node's own number and zone.
+/// The settings of one node: those of the fleet with the node's number and zone.
 pub fn node_settings(settings: &Value, draw: &Draw, node: usize) -> Value {
     let mut settings = settings.clone();
     settings["Me"] = json!(node);
@@ -18,7 +19,7 @@
     settings
 }
 
-/// The settings that nodes are told, but for their own number and zone.
+/// The settings that all nodes share: all but a node's number and zone.
 pub fn fleet_settings(plan: &Plan, draw: &Draw) -> Value {
     let ms = |us: u64| us as f64 / 1e3;
     let classes = draw.classes.iter().map(|c| {
