--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -1,5 +1,5 @@
-//! Plays the same draw in the virtual clock with plain policies in the nodes' place: what random choice serves, and
-//! what an oracle serves that sees the true state of every server. Their connections cost nothing.
+//! Baselines: plays a draw in the virtual clock with simple policies in place of the nodes. One chooses servers at
+//! random, the other is an oracle that sees the true state of every server. Their connections cost nothing.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -14,44 +14,42 @@
 use crate::server::Us;
 use crate::world::{Ask, Got, Out, Reach, Reply, World};
 
-/// A connection that does not come up has failed after this.
-const CONNECT: Us = 150_000;
+const CONNECT_TIMEOUT: Us = 150_000;
 
-/// How a server is chosen.
+/// How a baseline chooses a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BaselinePolicy {
-    /// Any of the listed servers, with up to five attempts.
+    /// Any of the listed servers; failed attempts are retried up to the limit of the rules.
     Random,
-    /// The server that will be done first by its true state; refused at once where none can be in time without being
-    /// crowded.
+    /// The server that will finish first by its true state; the request is refused at once where none can finish in time.
     Oracle,
 }
 
-/// What a policy waits for.
+/// What a try waits for.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Wait {
     /// A connect that fails.
     Connect,
-    /// The end of a try's time.
-    Time,
+    /// The client's timeout.
+    Timeout,
 }
 
 struct Player {
     world: World,
     policy: BaselinePolicy,
     rng: Pcg64,
-    /// Attempts made at each try, and whether it has been answered.
-    asked: Vec<(usize, bool)>,
-    /// The newest attempt at each try.
-    last: Vec<Option<usize>>,
-    /// What the policy waits for: when, and for which try.
+    /// The number of attempts of each try, and whether it has ended.
+    tries: Vec<(usize, bool)>,
+    /// The newest attempt of each try.
+    last_attempt: Vec<Option<usize>>,
+    /// The times of what tries wait for, with the number of the try.
     waits: BinaryHeap<Reverse<(Us, usize, Wait)>>,
-    /// Nodes that are gone.
+    /// Nodes that are down.
     down: BTreeSet<usize>,
-    attempts_most: usize,
+    max_attempts: usize,
 }
 
-/// Plays a draw to its end.
+/// Plays a draw to its end with a policy in place of the nodes.
 pub fn play(draw: &Rc<Draw>, rules: &Rules, policy: BaselinePolicy) -> World {
     let dial =
         Rc::new(|server: usize, zone: usize| SocketAddr::from(([127, 0, zone as u8, 1], 1 + server as u16)));
@@ -59,11 +57,11 @@
         world: World::new(draw.clone(), rules.clone(), 0.0, dial),
         policy,
         rng: Pcg64::new(u128::from(draw.seed), 0xba5e),
-        asked: Vec::new(),
-        last: Vec::new(),
+        tries: Vec::new(),
+        last_attempt: Vec::new(),
         waits: BinaryHeap::new(),
         down: BTreeSet::new(),
-        attempts_most: rules.attempts,
+        max_attempts: rules.attempts,
     };
     player.run();
     player.world
@@ -78,13 +76,13 @@
             while let Some(out) = self.world.take() {
                 self.carry_out(due, out);
             }
-            while let Some(Reverse((at, ask, wait))) =
+            while let Some(Reverse((at, request, wait))) =
                 self.waits.peek().copied().filter(|Reverse(w)| w.0 <= due)
             {
                 self.waits.pop();
                 match wait {
-                    Wait::Connect => self.attempt(at, ask),
-                    Wait::Time => self.end(at, ask, 504, None),
+                    Wait::Connect => self.attempt(at, request),
+                    Wait::Timeout => self.end(at, request, 504, None),
                 }
             }
         }
@@ -93,20 +91,20 @@
     fn carry_out(&mut self, now: Us, out: Out) {
         match out {
             Out::Ask(ask) => {
-                if self.asked.len() <= ask {
-                    self.asked.resize(ask + 1, (0, false));
-                    self.last.resize(ask + 1, None);
+                if self.tries.len() <= ask {
+                    self.tries.resize(ask + 1, (0, false));
+                    self.last_attempt.resize(ask + 1, None);
                 }
                 if self.down.contains(&self.world.asked(ask).node) {
                     self.world.ask_ended(now, ask, Got::NotTaken);
                 } else {
                     let asked = self.world.asked(ask);
-                    self.waits.push(Reverse((asked.at + asked.wait, ask, Wait::Time)));
+                    self.waits.push(Reverse((asked.at + asked.wait, ask, Wait::Timeout)));
                     self.attempt(now, ask);
                 }
             }
             Out::Leave(ask) => {
-                self.asked[ask].1 = true;
+                self.tries[ask].1 = true;
                 self.close(now, ask);
             }
             Out::Reply { attempt, reply } => {
@@ -144,45 +142,45 @@
     }
 
     fn end(&mut self, now: Us, ask: usize, status: u16, attempt: Option<usize>) {
-        if !std::mem::replace(&mut self.asked[ask].1, true) {
+        if !std::mem::replace(&mut self.tries[ask].1, true) {
             self.world.ask_ended(now, ask, Got::Answer { status, retry_after: None, attempt });
             self.close(now, ask);
         }
     }
 
-    /// What is still out for a try is no longer waited for.
+    /// Cancels the attempt that a try still has in flight.
     fn close(&mut self, now: Us, ask: usize) {
-        if let Some(attempt) = self.last[ask] {
+        if let Some(attempt) = self.last_attempt[ask] {
             self.world.attempt_closed(now, attempt);
         }
     }
 
-    /// The next attempt at a try, or its final answer.
+    /// Makes the next attempt of a try, or gives its final answer.
     fn attempt(&mut self, now: Us, ask: usize) {
-        let (made, over) = self.asked[ask];
-        if over {
+        let (attempts, ended) = self.tries[ask];
+        if ended {
             return;
         }
         let asked = self.world.asked(ask);
         let left = (asked.at + asked.wait).saturating_sub(now);
-        let server = if made >= self.attempts_most || left < us_from_ms(10.0) {
+        let server = if attempts >= self.max_attempts || left < us_from_ms(10.0) {
             None
         } else {
             self.choose(now, &asked)
         };
         let Some(server) = server else { return self.end(now, ask, 503, None) };
-        self.asked[ask].0 += 1;
+        self.tries[ask].0 += 1;
         let zone = self.world.node_zone(asked.node);
         match self.world.reach(server, zone) {
             Reach::Refused => {
-                let heard = now + 2 * self.world.delay(asked.node, server);
-                self.waits.push(Reverse((heard, ask, Wait::Connect)));
+                let refused_at = now + 2 * self.world.delay(asked.node, server);
+                self.waits.push(Reverse((refused_at, ask, Wait::Connect)));
             }
-            Reach::Dark => self.waits.push(Reverse((now + CONNECT, ask, Wait::Connect))),
+            Reach::Dark => self.waits.push(Reverse((now + CONNECT_TIMEOUT, ask, Wait::Connect))),
             Reach::Open => {
                 let txn = self.world.txn(ask);
                 if let Some(attempt) = self.world.attempt(now, server, zone, &txn, false) {
-                    self.last[ask] = Some(attempt);
+                    self.last_attempt[ask] = Some(attempt);
                 }
             }
         }
@@ -201,15 +199,15 @@
             BaselinePolicy::Oracle => {
                 let zone = self.world.node_zone(asked.node);
                 let listed = self.world.listed(asked.node);
-                let reached = listed.into_iter().filter(|s| self.world.reach(*s, zone) == Reach::Open);
-                let done = |server: usize| {
+                let reachable = listed.into_iter().filter(|s| self.world.reach(*s, zone) == Reach::Open);
+                let expected_time = |server: usize| {
                     let (capacity, backlog) = self.world.truth(server)?;
                     let cores = self.world.draw().servers.first()?.parameters.cores as f64;
-                    // What it holds is spread over its cores; a request runs on one.
+                    // The server's backlog is spread over its cores, but a request runs on one core.
                     let wait = (backlog / capacity).max(0.0) + asked.work * cores / capacity;
                     Some((wait + 2.0 * self.world.delay(asked.node, server) as f64, server))
                 };
-                let first = reached.filter_map(done).min_by(|a, b| a.0.total_cmp(&b.0));
+                let first = reachable.filter_map(expected_time).min_by(|a, b| a.0.total_cmp(&b.0));
                 let aim = self.world.draw().classes[asked.class].aim;
                 let left = (asked.at + aim.min(asked.wait)).saturating_sub(now) as f64;
                 first.filter(|(wait, _)| *wait < left).map(|(_, server)| server)
@@ -228,7 +226,7 @@
         let text = format!("schema = 1\nname = \"x\"\nlength_s = 30\n{more}");
         let plan = Plan::read("x.toml", &text).expect("it can be played");
         let world = play(&Rc::new(Draw::new(&plan, 5)), &plan.rules, policy);
-        // Chance knows nothing of cold servers, and may push them over; all other rules it keeps.
+        // Random choice may overload cold servers; it keeps all other rules.
         let allowed = |b: &Breach| policy == BaselinePolicy::Random && b.rule == Rule::Cold;
         assert_eq!(world.breaches().1.iter().find(|b| !allowed(b)), None);
         let ended: u64 = world.tally().windows.iter().flatten().flat_map(|w| w.outcomes).sum();
@@ -241,13 +239,14 @@
     }
 
     #[test]
-    fn the_oracle_serves_nearly_all_on_a_calm_day_and_more_than_chance_under_faults() {
-        // Worth goes by work, and one request in 170 or so is more work than its aim has time for.
+    fn the_oracle_serves_nearly_all_without_faults_and_more_than_random_choice_under_faults() {
+        // Worth goes by work, and about one request in 170 has more work than fits its target time.
         let calm = served("[load]\nof_capacity = 0.4\n", BaselinePolicy::Oracle);
         assert!(calm > 0.9, "{calm}");
-        let rough = "[[fault]]\nkind = \"slow\"\nat_s = 5\nfor_s = 20\nshare = 0.3\nfactor = 6\n\
+        let faults = "[[fault]]\nkind = \"slow\"\nat_s = 5\nfor_s = 20\nshare = 0.3\nfactor = 6\n\
             [[fault]]\nkind = \"lose\"\nat_s = 12\nfor_s = 5\nzone = \"maipu\"\n";
-        let (oracle, random) = (served(rough, BaselinePolicy::Oracle), served(rough, BaselinePolicy::Random));
+        let (oracle, random) =
+            (served(faults, BaselinePolicy::Oracle), served(faults, BaselinePolicy::Random));
         assert!(oracle > random + 0.1, "{oracle} {random}");
     }
 
@@ -260,16 +259,17 @@
     }
 
     #[test]
-    fn a_narrow_link_makes_what_crosses_it_wait_and_a_cut_one_swallows_it() {
+    fn a_link_with_limited_bandwidth_delays_messages_and_a_cut_one_loses_them() {
         let fault = |kind: &str| {
             format!(
                 "[fleet]\nserver_skew = 0\n[load]\nof_capacity = 0.4\n\
                 [[fault]]\nkind = \"{kind}\"\nzone = \"maipu\"\nat_s = 0\nfor_s = 30\nfactor = 9000\n"
             )
         };
-        let free = served("[fleet]\nserver_skew = 0\n[load]\nof_capacity = 0.4\n", BaselinePolicy::Random);
+        let baseline =
+            served("[fleet]\nserver_skew = 0\n[load]\nof_capacity = 0.4\n", BaselinePolicy::Random);
         let (narrow, cut) =
             (served(&fault("narrow"), BaselinePolicy::Random), served(&fault("cut"), BaselinePolicy::Random));
-        assert!(narrow < free - 0.1 && cut < free, "{free} {narrow} {cut}");
+        assert!(narrow < baseline - 0.1 && cut < baseline, "{baseline} {narrow} {cut}");
     }
 }
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,4 +1,4 @@
-//! Two runs, or two sets of plays of one experiment, side by side: medians, spread, and what moved beyond the spread.
+//! Compares two runs, or two sets of runs of one experiment: medians, ranges, and which metrics moved beyond the range.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,61 +7,61 @@
 use crate::error::FileError;
 use crate::result::RunResult;
 
-/// How deep a folder is searched for results.
-const DEPTH: usize = 3;
+/// How many levels of folders are searched for results.
+const MAX_DEPTH: usize = 3;
 
-/// A figure of one set.
+/// The range of a metric in one set of runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
-    /// The least.
-    pub least: f64,
+    /// The minimum.
+    pub min: f64,
     /// The median.
     pub median: f64,
-    /// The most.
-    pub most: f64,
-    /// Of how many plays.
-    pub plays: usize,
+    /// The maximum.
+    pub max: f64,
+    /// The number of runs.
+    pub runs: usize,
 }
 
-/// A figure of both sets.
+/// A metric in both sets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// The figure's name.
+    /// The metric's name.
     pub name: String,
-    /// In the first set.
+    /// The range in the first set.
     pub a: Spread,
-    /// In the second.
+    /// The range in the second set.
     pub b: Spread,
 }
 
 impl Row {
-    /// Do all plays of one set lie beyond all of the other? One play has no spread, so it says nothing.
+    /// Whether the ranges of the two sets do not overlap. A single run has no range, so it never shows a move.
     pub fn moved(&self) -> bool {
-        let apart = self.a.most < self.b.least || self.b.most < self.a.least;
-        apart && self.a.plays > 1 && self.b.plays > 1
+        let disjoint = self.a.max < self.b.min || self.b.max < self.a.min;
+        disjoint && self.a.runs > 1 && self.b.runs > 1
     }
 }
 
-/// Two sets.
+/// The comparison of two sets.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// The experiments that the sets hold, where they differ: the figures then are of different things.
-    pub unlike: Option<String>,
-    /// The figures.
+    /// The draws of each set, where they differ: then the metrics can't be compared directly.
+    pub different_draws: Option<String>,
+    /// The metrics that both sets have.
     pub rows: Vec<Row>,
 }
 
-fn spread(mut of: Vec<f64>) -> Option<Spread> {
-    of.sort_by(f64::total_cmp);
-    let (least, most) = (*of.first()?, *of.last()?);
-    let half = of.len() / 2;
-    let median = if of.len() % 2 == 1 { of[half] } else { (of[half - 1] + of[half]) / 2.0 };
-    Some(Spread { least, median, most, plays: of.len() })
+fn spread(mut values: Vec<f64>) -> Option<Spread> {
+    values.sort_by(f64::total_cmp);
+    let (min, max) = (*values.first()?, *values.last()?);
+    let half = values.len() / 2;
+    let median = if values.len() % 2 == 1 { values[half] } else { (values[half - 1] + values[half]) / 2.0 };
+    Some(Spread { min, median, max, runs: values.len() })
 }
 
-/// The figures of a run that are compared, in their order.
-fn figures(run: &RunResult) -> Vec<(String, f64)> {
-    let mut figures = vec![
+/// The metrics of a run that are compared, in the order of the rows.
+fn metrics(run: &RunResult) -> Vec<(String, f64)> {
+    let mut metrics = vec![
         ("served".to_string(), run.service.served),
         ("worst class".into(), run.service.worst_class),
         ("worst window".into(), run.service.worst_window),
@@ -81,30 +81,30 @@
         ("breaches".into(), run.breaches as f64),
     ];
     if let Some(votes) = &run.votes {
-        figures.push(("wrong removals".into(), votes.wrong_removals as f64));
+        metrics.push(("wrong removals".into(), votes.wrong_removals as f64));
         let times = [("removed after, ms", votes.remove_ms()), ("returned after, ms", votes.return_ms())];
-        figures.extend(times.into_iter().filter_map(|(name, ms)| Some((name.to_string(), ms?))));
+        metrics.extend(times.into_iter().filter_map(|(name, ms)| Some((name.to_string(), ms?))));
     }
     for class in &run.classes {
-        figures.push((format!("{} served", class.name), class.served));
-        figures.push((format!("{} p99 ms", class.name), class.took_ms.p99));
+        metrics.push((format!("{} served", class.name), class.served));
+        metrics.push((format!("{} p99 ms", class.name), class.took_ms.p99));
     }
     for (n, fault) in run.faults.iter().enumerate() {
-        // What was not back in time was away for the rest of the run at least.
-        let back = fault.recover_s.unwrap_or(run.length_s - fault.until_s);
-        figures.push((format!("back after {} {n}, s", fault.kind), back));
+        // Without a recovery, the time is at least the rest of the run.
+        let recovery_s = fault.recover_s.unwrap_or(run.length_s - fault.until_s);
+        metrics.push((format!("back after {} {n}, s", fault.kind), recovery_s));
     }
-    figures
+    metrics
 }
 
-/// The results below a file or folder.
+/// Loads a result file, or all `result.json` below a folder.
 ///
 /// # Errors
-/// One line that says what can't be read, or that nothing is there.
+/// A file or folder can't be read, or the folder has no result in it.
 pub fn load(path: &Path) -> Result<Vec<RunResult>, FileError> {
     let mut files = Vec::new();
     if path.is_dir() {
-        search(path, DEPTH, &mut files).map_err(FileError::read(path))?;
+        search(path, MAX_DEPTH, &mut files).map_err(FileError::read(path))?;
     } else {
         files.push(path.to_path_buf());
     }
@@ -127,12 +127,12 @@
     Ok(())
 }
 
-/// Compares two sets of plays.
+/// Compares two sets of runs.
 pub fn compare(a: &[RunResult], b: &[RunResult]) -> Comparison {
     let mut names = Vec::new();
     let mut sets: [BTreeMap<String, Vec<f64>>; 2] = Default::default();
     for (set, runs) in sets.iter_mut().zip([a, b]) {
-        for (name, value) in runs.iter().flat_map(figures) {
+        for (name, value) in runs.iter().flat_map(metrics) {
             if !names.contains(&name) {
                 names.push(name.clone());
             }
@@ -144,32 +144,32 @@
         let (a, b) = (spread(first.remove(&name)?)?, spread(second.remove(&name)?)?);
         Some(Row { name, a, b })
     });
-    let what = |runs: &[RunResult]| {
+    let draws_of = |runs: &[RunResult]| {
         let mut draws: Vec<String> = runs.iter().map(|r| format!("{} seed {}", r.name, r.seed)).collect();
         draws.sort();
         draws.dedup();
         draws.join(", ")
     };
-    let (one, other) = (what(a), what(b));
-    let unlike = (one != other).then(|| format!("{one} against {other}"));
-    Comparison { unlike, rows: rows.collect() }
+    let (one, other) = (draws_of(a), draws_of(b));
+    let different_draws = (one != other).then(|| format!("{one} against {other}"));
+    Comparison { different_draws, rows: rows.collect() }
 }
 
 impl fmt::Display for Comparison {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if let Some(unlike) = &self.unlike {
-            writeln!(f, "different draws: {unlike}")?;
+        if let Some(draws) = &self.different_draws {
+            writeln!(f, "different draws: {draws}")?;
         }
-        let plays = self.rows.first().map_or((0, 0), |r| (r.a.plays, r.b.plays));
-        writeln!(f, "A: {} plays, B: {} plays; medians, with the least and the most", plays.0, plays.1)?;
+        let runs = self.rows.first().map_or((0, 0), |r| (r.a.runs, r.b.runs));
+        writeln!(f, "A: {} plays, B: {} plays; medians, with the least and the most", runs.0, runs.1)?;
         writeln!(f, "{:<28}{:>28}{:>28}{:>11}", "", "A", "B", "B - A")?;
-        let words = |s: &Spread| format!("{:.3} ({:.3} to {:.3})", s.median, s.least, s.most);
+        let range = |s: &Spread| format!("{:.3} ({:.3} to {:.3})", s.median, s.min, s.max);
         for row in &self.rows {
             let mark = if row.moved() { "  moved" } else { "" };
             let by = row.b.median - row.a.median;
-            writeln!(f, "{:<28}{:>28}{:>28}{by:>+11.3}{mark}", row.name, words(&row.a), words(&row.b))?;
+            writeln!(f, "{:<28}{:>28}{:>28}{by:>+11.3}{mark}", row.name, range(&row.a), range(&row.b))?;
         }
-        if plays.0 < 2 || plays.1 < 2 {
+        if runs.0 < 2 || runs.1 < 2 {
             writeln!(f, "one play has no spread: nothing can be said to have moved")?;
         }
         Ok(())
@@ -181,16 +181,16 @@
     use super::*;
 
     #[test]
-    fn a_figure_has_moved_where_the_plays_do_not_overlap() {
+    fn a_metric_has_moved_when_the_ranges_do_not_overlap() {
         let row = |a: &[f64], b: &[f64]| Row {
             name: "x".into(),
-            a: spread(a.to_vec()).expect("plays"),
-            b: spread(b.to_vec()).expect("plays"),
+            a: spread(a.to_vec()).expect("runs"),
+            b: spread(b.to_vec()).expect("runs"),
         };
         assert!(row(&[1.0, 2.0, 3.0], &[4.0, 5.0]).moved());
         assert!(!row(&[1.0, 2.0, 4.5], &[4.0, 5.0]).moved());
-        assert!(!row(&[1.0], &[4.0, 5.0]).moved(), "one play has no spread");
-        let four = spread(vec![4.0, 1.0, 3.0, 2.0]).expect("plays");
-        assert_eq!((four.least, four.median, four.most, four.plays), (1.0, 2.5, 4.0, 4));
+        assert!(!row(&[1.0], &[4.0, 5.0]).moved(), "one run has no range");
+        let four = spread(vec![4.0, 1.0, 3.0, 2.0]).expect("runs");
+        assert_eq!((four.min, four.median, four.max, four.runs), (1.0, 2.5, 4.0, 4));
     }
 }
--- a/crates/lab/src/curve/mod.rs
+++ b/crates/lab/src/curve/mod.rs
@@ -1,9 +1,9 @@
-//! Goodput against offered load, and how long service takes to be back after an overload, in the virtual clock.
+//! Goodput against offered load, and the recovery time after an overload, in the virtual clock.
 //!
-//! Need: a fleet that sheds well does as much of use at three times its capacity as at one, and is back at once when
-//! the overload ends; one play at one load shows neither. Shape: an experiment's fleet without its faults is played
-//! at each load, with the modules, with random choice and with the oracle on the same draws. Rejected: real processes,
-//! as ninety plays of them take the better part of an hour and lie further apart than the curve's steps.
+//! A fleet that sheds load well keeps its goodput at three times its capacity, and recovers at once when an overload
+//! ends; a run at a single load shows neither. So the fleet of an experiment is played without faults at each load, with
+//! the decision modules, with random choice and with the oracle, on the same draws. Rejected: real processes, as ninety
+//! runs of them take most of an hour and their results differ by more than the steps of the curve.
 
 mod plot;
 
@@ -23,51 +23,50 @@
 
 pub use self::plot::write as write_plot;
 
-/// The version of the file's form.
+/// The version of the file format.
 pub const SCHEMA: u32 = 1;
 /// The load before and after an overload, as a share of capacity.
-const CALM: f64 = 0.5;
-/// The overload that service has to come back from: from when, and for how long, in seconds.
-const BURST: (f64, f64) = (8.0, 8.0);
-/// How long such a play is, in seconds.
-const LENGTH: f64 = 40.0;
+const NORMAL_LOAD: f64 = 0.5;
+/// The start and the length of the overload in a run that measures recovery, in seconds.
+const BURST_S: (f64, f64) = (8.0, 8.0);
+/// The length of each run, in seconds.
+const LENGTH_S: f64 = 40.0;
 
-/// One offered load.
+/// The results at one offered load.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Point {
-    /// First tries, as a share of what the warm fleet can do.
+    /// The work of first tries, as a share of the capacity of the warm fleet.
     pub load: f64,
-    /// Worth served in time, as a share of what would be with all capacity put to use: the least, the mean and the
-    /// most over the draws.
+    /// The worth served in time, as a share of the worth of all capacity: minimum, mean and maximum over the draws.
     pub goodput: [f64; 3],
-    /// The same of the class that is served worst, as a share of its worth: the mean.
+    /// The share served in time of the class that is served worst: the mean over the draws.
     pub worst_class: f64,
-    /// What random choice comes to: the mean.
+    /// The goodput of random choice: the mean over the draws.
     pub random: f64,
-    /// What the oracle comes to: the mean.
+    /// The goodput of the oracle: the mean over the draws.
     pub oracle: f64,
-    /// Seconds from the end of an overload of this load until service was back, by draw; `None` where it was not
-    /// before the play's end, or where the load is no overload.
+    /// Seconds from the end of an overload of this load until service had recovered, by draw in increasing order;
+    /// `None` where it had not by the end of the run. Empty for a load that is no overload.
     pub recover_s: Vec<Option<f64>>,
 }
 
-/// A curve.
+/// A measured curve.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Curve {
-    /// The form's version.
+    /// The version of the file format.
     pub schema: u32,
-    /// The experiment.
+    /// The experiment's name.
     pub name: String,
-    /// Nodes and servers of the first draw.
+    /// The number of nodes and of servers of the first draw.
     pub fleet: [usize; 2],
-    /// The draws.
+    /// The seeds of the draws.
     pub seeds: Vec<u64>,
-    /// By load.
+    /// The results, by load.
     pub points: Vec<Point>,
 }
 
-/// What one draw comes to at one load.
-struct Played {
+/// The results of one draw at one load.
+struct DrawResult {
     served: f64,
     worst_class: f64,
     random: f64,
@@ -75,39 +74,43 @@
     recover_s: Option<f64>,
 }
 
-/// The plan with another load and other faults.
-fn at(plan: &Plan, load: f64, more: &str) -> Result<Plan, PlanError> {
+/// The plan with a constant load, and with the faults of a text in place of its own.
+fn with_load(plan: &Plan, load: f64, faults: &str) -> Result<Plan, PlanError> {
     let mut plan = plan.clone();
-    let shape = plan.load.get_mut();
-    (shape.of_capacity, shape.per_s, shape.swing) = (Range::Fixed(load), None, Range::Fixed(0.0));
-    let faults = Plan::read("curve", &format!("schema = 1\nname = \"curve\"\nlength_s = {LENGTH}\n{more}"))?;
-    (plan.faults, plan.length_s) = (faults.faults, faults.length_s);
+    let offered = plan.load.get_mut();
+    (offered.of_capacity, offered.per_s, offered.swing) = (Range::Fixed(load), None, Range::Fixed(0.0));
+    let timeline =
+        Plan::read("curve", &format!("schema = 1\nname = \"curve\"\nlength_s = {LENGTH_S}\n{faults}"))?;
+    (plan.faults, plan.length_s) = (timeline.faults, timeline.length_s);
     Ok(plan)
 }
 
-fn play(plan: &Plan, load: f64, seed: u64) -> Result<Played, ModelError> {
-    let steady = at(plan, load, "")?;
+fn play(plan: &Plan, load: f64, seed: u64) -> Result<DrawResult, ModelError> {
+    let steady = with_load(plan, load, "")?;
     let draw = Rc::new(Draw::new(&steady, seed));
-    let own = service(&modules::play(&steady, &draw, None)?);
+    let modules = service(&modules::play(&steady, &draw, None)?);
     let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
         .map(|policy| service(&baseline::play(&draw, &steady.rules, policy)).served);
     let recover_s = if load > 1.0 {
-        let (from, span) = BURST;
-        let burst =
-            format!("[[fault]]\nkind = \"burst\"\nat_s = {from}\nfor_s = {span}\nfactor = {}\n", load / CALM);
-        let plan = at(plan, CALM, &burst)?;
+        let (from, span) = BURST_S;
+        let burst = format!(
+            "[[fault]]\nkind = \"burst\"\nat_s = {from}\nfor_s = {span}\nfactor = {}\n",
+            load / NORMAL_LOAD
+        );
+        let plan = with_load(plan, NORMAL_LOAD, &burst)?;
         let world = modules::play(&plan, &Rc::new(Draw::new(&plan, seed)), None)?;
-        recovery(world.tally(), from as usize, (from + span) as usize, LENGTH as usize)
+        recovery(world.tally(), from as usize, (from + span) as usize, LENGTH_S as usize)
     } else {
         None
     };
-    Ok(Played { served: own.served, worst_class: own.worst_class, random, oracle, recover_s })
+    Ok(DrawResult { served: modules.served, worst_class: modules.worst_class, random, oracle, recover_s })
 }
 
-/// Plays a plan's fleet at each load, on draws of these seeds. `progress` hears how many plays of how many are done.
+/// Plays a plan's fleet at each load, on draws of these seeds. `progress` is called with the number of jobs that are done
+/// and of all jobs.
 ///
 /// # Errors
-/// Where the plan can't be played so.
+/// The decision modules reject the plan's settings.
 pub fn measure(
     plan: &Plan,
     loads: &[f64],
@@ -117,39 +120,39 @@
     let jobs: Vec<(usize, u64)> =
         (0..loads.len()).flat_map(|l| seeds.iter().map(move |seed| (l, *seed))).collect();
     let (next, done) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    let results: Mutex<Vec<(usize, Result<Played, ModelError>)>> = Mutex::default();
+    let results: Mutex<Vec<(usize, Result<DrawResult, ModelError>)>> = Mutex::default();
     let work = || {
         while let Some((load, seed)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)).copied() {
-            let played = play(plan, loads[load], seed);
-            results.lock().unwrap_or_else(|e| e.into_inner()).push((load, played));
+            let result = play(plan, loads[load], seed);
+            results.lock().unwrap_or_else(|e| e.into_inner()).push((load, result));
             progress(done.fetch_add(1, Ordering::Relaxed) + 1, jobs.len());
         }
     };
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| (0..threads).for_each(|_| drop(scope.spawn(work))));
-    let mut by_load: Vec<Vec<Played>> = loads.iter().map(|_| Vec::new()).collect();
-    for (load, played) in results.into_inner().unwrap_or_else(|e| e.into_inner()) {
-        by_load[load].push(played?);
+    let mut by_load: Vec<Vec<DrawResult>> = loads.iter().map(|_| Vec::new()).collect();
+    for (load, result) in results.into_inner().unwrap_or_else(|e| e.into_inner()) {
+        by_load[load].push(result?);
     }
-    let draw = Draw::new(&at(plan, CALM, "")?, seeds.first().copied().unwrap_or(0));
+    let draw = Draw::new(&with_load(plan, NORMAL_LOAD, "")?, seeds.first().copied().unwrap_or(0));
     Ok(Curve {
         schema: SCHEMA,
         name: plan.name.clone(),
         fleet: [draw.nodes.len(), draw.servers.len()],
         seeds: seeds.to_vec(),
-        points: loads.iter().zip(by_load).map(|(load, played)| point(*load, &played)).collect(),
+        points: loads.iter().zip(by_load).map(|(load, results)| point(*load, &results)).collect(),
     })
 }
 
-fn point(load: f64, played: &[Played]) -> Point {
-    let mean = |of: fn(&Played) -> f64| played.iter().map(of).sum::<f64>() / played.len().max(1) as f64;
-    let least = played.iter().map(|p| p.served).fold(f64::INFINITY, f64::min);
-    let most = played.iter().map(|p| p.served).fold(0.0, f64::max);
-    let mut recover_s: Vec<Option<f64>> = played.iter().map(|p| p.recover_s).collect();
+fn point(load: f64, results: &[DrawResult]) -> Point {
+    let mean = |of: fn(&DrawResult) -> f64| results.iter().map(of).sum::<f64>() / results.len().max(1) as f64;
+    let min = results.iter().map(|p| p.served).fold(f64::INFINITY, f64::min);
+    let max = results.iter().map(|p| p.served).fold(0.0, f64::max);
+    let mut recover_s: Vec<Option<f64>> = results.iter().map(|p| p.recover_s).collect();
     recover_s.sort_by(|a, b| a.unwrap_or(f64::INFINITY).total_cmp(&b.unwrap_or(f64::INFINITY)));
     Point {
         load,
-        goodput: [least, mean(|p| p.served), most].map(|share| share * load),
+        goodput: [min, mean(|p| p.served), max].map(|share| share * load),
         worst_class: mean(|p| p.worst_class),
         random: mean(|p| p.random) * load,
         oracle: mean(|p| p.oracle) * load,
@@ -158,19 +161,19 @@
 }
 
 impl Curve {
-    /// Writes the file.
+    /// Writes the curve as JSON.
     ///
     /// # Errors
-    /// Where it can't be written.
+    /// The file can't be written.
     pub fn write(&self, path: &Path) -> Result<(), FileError> {
         let text = serde_json::to_string_pretty(self).map_err(FileError::write(path))?;
         std::fs::write(path, text + "\n").map_err(FileError::write(path))
     }
 
-    /// Reads the file.
+    /// Reads a curve from JSON.
     ///
     /// # Errors
-    /// Names the file and the field that is wrong.
+    /// The file can't be read, has another version, or has a wrong field, which the error names.
     pub fn read(path: &Path) -> Result<Self, FileError> {
         read_json(path, SCHEMA, |curve: &Self| curve.schema)
     }
@@ -181,14 +184,14 @@
     use super::*;
 
     #[test]
-    fn goodput_keeps_up_when_far_more_is_asked_for_than_can_be_done() {
+    fn goodput_does_not_collapse_under_overload() {
         let plan =
             Plan::read("x.toml", "schema = 1\nname = \"x\"\nlength_s = 5\n[fleet]\nnodes = 6\nservers = 9\n");
         let curve = measure(&plan.expect("it can be played"), &[1.0, 2.5], &[1], &|_, _| ()).expect("played");
-        let [at_one, beyond] = [0, 1].map(|n| curve.points[n].goodput[1]);
-        assert!(beyond > 0.8 * at_one, "{at_one} {beyond}");
-        assert!(beyond > 2.0 * curve.points[1].random);
-        let back = &curve.points[1].recover_s;
-        assert!(back.len() == 1 && back.iter().all(|s| s.is_some_and(|s| s <= 10.0)), "{back:?}");
+        let [at_capacity, overloaded] = [0, 1].map(|n| curve.points[n].goodput[1]);
+        assert!(overloaded > 0.8 * at_capacity, "{at_capacity} {overloaded}");
+        assert!(overloaded > 2.0 * curve.points[1].random);
+        let recovery = &curve.points[1].recover_s;
+        assert!(recovery.len() == 1 && recovery.iter().all(|s| s.is_some_and(|s| s <= 10.0)), "{recovery:?}");
     }
 }
--- a/crates/lab/src/curve/plot.rs
+++ b/crates/lab/src/curve/plot.rs
@@ -1,4 +1,4 @@
-//! Curves as a picture: goodput against offered load, and seconds until service is back after an overload.
+//! Plots curves as SVG: goodput against offered load, and the recovery time after an overload.
 
 use std::path::Path;
 
@@ -7,22 +7,22 @@
 use super::Curve;
 use crate::error::FileError;
 
-type Drawn = Result<(), DrawingAreaErrorKind<std::io::Error>>;
+type PlotResult = Result<(), DrawingAreaErrorKind<std::io::Error>>;
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-/// The picture's size.
+/// The size of the plot in pixels.
 const SIZE: (u32, u32) = (1000, 820);
-const NOW: RGBColor = RGBColor(38, 139, 84);
-const BEFORE: RGBColor = RGBColor(200, 60, 60);
+const CURRENT: RGBColor = RGBColor(38, 139, 84);
+const EARLIER: RGBColor = RGBColor(200, 60, 60);
 const RANDOM: RGBColor = RGBColor(150, 150, 150);
 const ORACLE: RGBColor = RGBColor(70, 110, 190);
 
-/// Writes the picture of a curve, over an earlier one where there is one.
+/// Writes the plot of a curve, with an earlier curve for comparison where there is one.
 ///
 /// # Errors
-/// Where the file can't be written.
-pub fn write(curve: &Curve, before: Option<&Curve>, path: &Path) -> Result<(), FileError> {
-    draw(curve, before, path).map_err(FileError::write(path))
+/// The file can't be written.
+pub fn write(curve: &Curve, earlier: Option<&Curve>, path: &Path) -> Result<(), FileError> {
+    draw(curve, earlier, path).map_err(FileError::write(path))
 }
 
 /// A line: its name, its colour and its points.
@@ -36,18 +36,18 @@
     name: &'static str,
     colour: RGBColor,
     curve: &Curve,
-    of: impl Fn(&super::Point) -> Option<f64>,
+    value: impl Fn(&super::Point) -> Option<f64>,
 ) -> Line {
-    let points = curve.points.iter().filter_map(|p| Some((p.load, of(p)?)));
+    let points = curve.points.iter().filter_map(|p| Some((p.load, value(p)?)));
     Line { name, colour, points: points.collect() }
 }
 
-/// The middle of the draws, where service was back in it.
-fn back(point: &super::Point) -> Option<f64> {
+/// The median recovery time of the draws; `None` where service had not recovered in the median draw.
+fn median_recovery(point: &super::Point) -> Option<f64> {
     point.recover_s.get(point.recover_s.len().checked_sub(1)? / 2).copied().flatten()
 }
 
-fn draw(curve: &Curve, before: Option<&Curve>, path: &Path) -> Drawn {
+fn draw(curve: &Curve, earlier: Option<&Curve>, path: &Path) -> PlotResult {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let [nodes, servers] = curve.fleet;
@@ -56,14 +56,14 @@
     let body = root.titled(&title, ("sans-serif", 20))?;
     let (top, bottom) = body.split_vertically(480);
     let mut goodput = vec![
-        line("now", NOW, curve, |p| Some(p.goodput[1])),
+        line("now", CURRENT, curve, |p| Some(p.goodput[1])),
         line("random choice", RANDOM, curve, |p| Some(p.random)),
         line("oracle", ORACLE, curve, |p| Some(p.oracle)),
     ];
-    let mut recovery = vec![line("now", NOW, curve, back)];
-    if let Some(before) = before {
-        goodput.push(line("before", BEFORE, before, |p| Some(p.goodput[1])));
-        recovery.push(line("before", BEFORE, before, back));
+    let mut recovery = vec![line("now", CURRENT, curve, median_recovery)];
+    if let Some(earlier) = earlier {
+        goodput.push(line("before", EARLIER, earlier, |p| Some(p.goodput[1])));
+        recovery.push(line("before", EARLIER, earlier, median_recovery));
     }
     panel(&top, "goodput, as a share of capacity", "offered load, as a share of capacity", &goodput)?;
     let caption = "seconds from an overload's end until service is back (median draw; none: not back)";
@@ -71,11 +71,11 @@
     root.present()
 }
 
-fn panel(area: &Area<'_>, caption: &str, x_axis: &str, lines: &[Line]) -> Drawn {
+fn panel(area: &Area<'_>, caption: &str, x_axis: &str, lines: &[Line]) -> PlotResult {
     let points = || lines.iter().flat_map(|l| &l.points);
-    let (least, most) = points().fold((f64::INFINITY, 0.0_f64), |(a, b), p| (a.min(p.0), b.max(p.0)));
+    let (min, max) = points().fold((f64::INFINITY, 0.0_f64), |(a, b), p| (a.min(p.0), b.max(p.0)));
     let height = points().map(|p| p.1).fold(0.0, f64::max).max(1.0);
-    let width = if least < most { least..most } else { 0.0..1.0 };
+    let width = if min < max { min..max } else { 0.0..1.0 };
     let mut chart = ChartBuilder::on(area)
         .margin(8)
         .caption(caption, ("sans-serif", 15))
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,15 +1,16 @@
 //! The fleet lab: real nodes between emulated clients, app servers, links and discovery, with faults on a timeline
 //! and a referee of the rules.
 //!
-//! Need: what a fleet does through failures has to be measured here, with one verdict, and the same draw must be
-//! playable again. Shape: [`plan`] is the experiment's file, [`draw`] takes every figure and every first try from a
-//! seed, [`world`] is all parties round the nodes as one pure state machine in virtual time (with [`server`],
-//! [`server_list`], [`referee`], [`removals`] and [`tally`] as its parts), and [`baseline`] plays the draw with plain policies
-//! in the nodes' place, for comparison. [`live`] carries the world on sockets round real nodes; [`result`] says what came
-//! of it, [`plot`] shows it, and [`compare`] sets two runs or sets of plays side by side.
+//! The lab measures what a fleet does through failures, gives one verdict, and can play the same draw again.
+//! [`plan`] is the experiment file, and [`draw`] generates every value and every first try from a seed. [`world`] is all
+//! parties around the nodes as one pure state machine in virtual time; its parts are [`server`], [`server_list`],
+//! [`referee`], [`epochs`], [`removals`] and [`tally`]. [`live`] runs the world on sockets with real nodes, [`modules`]
+//! runs it in virtual time with the nodes' decision modules, and [`baseline`] with simple policies for comparison.
+//! [`result`] evaluates a run, [`plot`] draws it, [`compare`] compares sets of runs, and [`curve`] measures goodput
+//! against offered load.
 //!
-//! Rejected: a thread or task for each emulated party with clocks of its own, as neither could be tested without
-//! waiting, nor played twice alike; and servers as processes, as two hundred of them take the cores from the nodes.
+//! Rejected: a thread or task with its own clock for each emulated party, as neither could be tested without waiting or
+//! played twice alike; and servers as processes, as two hundred of them take the cores from the nodes.
 
 pub mod baseline;
 pub mod compare;
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,4 +1,5 @@
-//! A result as a picture: what was served, how long it took, and each server's load over time, with faults shaded.
+//! Plots a result as SVG: outcomes of requests, times to an answer and the load of each server over time, with the
+//! faults shaded.
 
 use std::ops::Range;
 use std::path::Path;
@@ -12,13 +13,13 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Panel<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
-/// A line's name, and its height in a second.
+/// The name of a line, and its value for a second.
 type Series = (&'static str, fn(&SecondResult) -> f64);
-type Drawn = Result<(), DrawingAreaErrorKind<std::io::Error>>;
+type PlotResult = Result<(), DrawingAreaErrorKind<std::io::Error>>;
 
-/// The picture's size.
+/// The size of the plot in pixels.
 const SIZE: (u32, u32) = (1000, 1080);
-/// The lines of a panel, in their order.
+/// The colours of a panel's lines, in their order.
 const COLOURS: [RGBColor; 5] = [
     RGBColor(38, 139, 84),
     RGBColor(214, 150, 40),
@@ -27,15 +28,15 @@
     RGBColor(120, 120, 120),
 ];
 
-/// Writes the picture.
+/// Writes the plot of a result.
 ///
 /// # Errors
-/// Where the file can't be written.
+/// The file can't be written.
 pub fn write(result: &RunResult, path: &Path) -> Result<(), FileError> {
     draw(result, path).map_err(FileError::write(path))
 }
 
-fn draw(result: &RunResult, path: &Path) -> Drawn {
+fn draw(result: &RunResult, path: &Path) -> PlotResult {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let title = format!(
@@ -44,18 +45,18 @@
     );
     let body = root.titled(&title, ("sans-serif", 20))?;
     let panels = body.split_evenly((3, 1));
-    ends(result, &panels[0])?;
-    times(result, &panels[1])?;
-    load(result, &panels[2])?;
+    draw_outcomes(result, &panels[0])?;
+    draw_latencies(result, &panels[1])?;
+    draw_server_load(result, &panels[2])?;
     root.present()
 }
 
-/// A panel with its axes, and the faults shaded.
+/// Draws a panel with its axes, and the faults shaded.
 fn panel<'a, 'b>(
     result: &RunResult,
     area: &'a Area<'b>,
     caption: &str,
-    most: f64,
+    max_y: f64,
 ) -> Result<Panel<'a, 'b>, DrawingAreaErrorKind<std::io::Error>> {
     let x: Range<f64> = 0.0..result.length_s.max(1.0);
     let mut chart = ChartBuilder::on(area)
@@ -63,19 +64,23 @@
         .caption(caption, ("sans-serif", 15))
         .x_label_area_size(28)
         .y_label_area_size(52)
-        .build_cartesian_2d(x, 0.0..most.max(1.0))?;
+        .build_cartesian_2d(x, 0.0..max_y.max(1.0))?;
     chart.configure_mesh().x_desc("seconds").light_line_style(WHITE).draw()?;
     let shade = RGBColor(200, 60, 60).mix(0.10).filled();
     chart.draw_series(result.faults.iter().map(|fault| {
         let until = fault.until_s.max(fault.at_s + 0.2);
-        Rectangle::new([(fault.at_s, 0.0), (until, most.max(1.0))], shade)
+        Rectangle::new([(fault.at_s, 0.0), (until, max_y.max(1.0))], shade)
     }))?;
     Ok(chart)
 }
 
-fn lines<'a, 'b: 'a>(chart: &mut Panel<'a, 'b>, seconds: &[SecondResult], series: &[Series]) -> Drawn {
-    for ((name, of), colour) in series.iter().zip(COLOURS) {
-        let points = seconds.iter().enumerate().map(|(s, second)| (s as f64 + 0.5, of(second)));
+fn draw_lines<'a, 'b: 'a>(
+    chart: &mut Panel<'a, 'b>,
+    seconds: &[SecondResult],
+    series: &[Series],
+) -> PlotResult {
+    for ((name, value), colour) in series.iter().zip(COLOURS) {
+        let points = seconds.iter().enumerate().map(|(s, second)| (s as f64 + 0.5, value(second)));
         let drawn = chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
         drawn.label(*name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
     }
@@ -87,10 +92,10 @@
         .draw()
 }
 
-fn ends(result: &RunResult, area: &Area<'_>) -> Drawn {
-    let most = result.seconds.iter().map(|s| s.ends.all() as f64).fold(0.0, f64::max);
-    let mut chart = panel(result, area, "requests a second, by the second of asking", most * 1.1)?;
-    lines(
+fn draw_outcomes(result: &RunResult, area: &Area<'_>) -> PlotResult {
+    let max = result.seconds.iter().map(|s| s.ends.all() as f64).fold(0.0, f64::max);
+    let mut chart = panel(result, area, "requests a second, by the second of asking", max * 1.1)?;
+    draw_lines(
         &mut chart,
         &result.seconds,
         &[
@@ -103,24 +108,24 @@
     )
 }
 
-fn times(result: &RunResult, area: &Area<'_>) -> Drawn {
-    let most = result.seconds.iter().map(|s| s.took_ms.p99).fold(0.0, f64::max);
-    let mut chart = panel(result, area, "time to an answer, ms", most * 1.1)?;
-    lines(
+fn draw_latencies(result: &RunResult, area: &Area<'_>) -> PlotResult {
+    let max = result.seconds.iter().map(|s| s.took_ms.p99).fold(0.0, f64::max);
+    let mut chart = panel(result, area, "time to an answer, ms", max * 1.1)?;
+    draw_lines(
         &mut chart,
         &result.seconds,
         &[("p50", |s| s.took_ms.p50), ("p90", |s| s.took_ms.p90), ("p99", |s| s.took_ms.p99)],
     )
 }
 
-/// One line a server: those that lie far from the others are what one looks for.
-fn load(result: &RunResult, area: &Area<'_>) -> Drawn {
-    let most = result.server_load.iter().flatten().copied().max().unwrap_or(0);
-    let mut chart = panel(result, area, "attempts a second at each server", f64::from(most) * 1.1)?;
+/// Draws one line for each server, without names: the plot is to show outliers.
+fn draw_server_load(result: &RunResult, area: &Area<'_>) -> PlotResult {
+    let max = result.server_load.iter().flatten().copied().max().unwrap_or(0);
+    let mut chart = panel(result, area, "attempts a second at each server", f64::from(max) * 1.1)?;
     let servers = result.server_load.len().max(1);
     for (n, load) in result.server_load.iter().enumerate() {
         let colour = HSLColor(n as f64 / servers as f64, 0.6, 0.45);
-        // What is still sent after the last client has come is of no second of asking.
+        // Attempts after the last first try belong to no second of the result.
         let load = load.iter().take(result.seconds.len()).enumerate();
         let points = load.map(|(s, count)| (s as f64 + 0.5, f64::from(*count)));
         chart.draw_series(LineSeries::new(points, colour.mix(0.7)))?;
