--- a/crates/lab/tests/referee.rs
+++ b/crates/lab/tests/referee.rs
@@ -1,4 +1,4 @@
-//! Each rule, seen broken on real sockets by a node that is scripted to break it; and a fair one that breaks none.
+//! The referee on real sockets: it reports each rule that a scripted node or replica breaks, and none for fair ones.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -13,38 +13,40 @@
 use lab::result::RunResult;
 use lab::world::World;
 
-/// Two nodes and six servers, lightly loaded, with a class that may not run twice; times for busy cores.
+/// Two nodes and six servers with a light load, and a class whose requests may not run twice. The slack is long enough
+/// for busy cores.
 const FLEET: &str = "schema = 1\nname = \"x\"\nlength_s = 4\n\
     [fleet]\nzones = [\"a\"]\nnodes = 2\nservers = 6\n[load]\nper_s = 80\n\
     [discovery]\nnotice_s = 0.2\nadd_s = 0.3\n[clients]\nimpatient = 0\n\
     [server]\ncold_s = 8\n[node]\nmemory_mb = 96\n\
     [[class]]\nname = \"once\"\nshare = 1\nwork_ms = 10\ndist = \"exp\"\naim_ms = 2000\ndeadline_ms = 3000\n\
     worth = 1\neffect = \"unsafe\"\n[rules]\nslack_ms = 700\nanswer_slack_ms = 2000\n";
-/// How long a play is played again, as the lab itself was late in it.
-const PATIENCE: Duration = Duration::from_secs(240);
+/// Runs in which the lab itself was late are repeated for up to this time.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(240);
 
-/// Plays a script, with more in the experiment's file, until what is seen fits; again only where the lab was late.
-fn seen<T>(
+/// Runs a script, with more text in the experiment's file, and returns what `observe` makes of the run. The run is
+/// repeated only if the result is not as expected and the lab was late.
+fn observe_run<T>(
     script: &str,
     replica: &str,
     more: &str,
-    see: impl Fn(World) -> T,
-    fits: impl Fn(&T) -> bool,
+    observe: impl Fn(World) -> T,
+    as_expected: impl Fn(&T) -> bool,
 ) -> T {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let world = play(script, replica, more);
         let late =
             world.lateness().iter().filter(|late| **late > 5000).count() * 100 > world.lateness().len();
-        let seen = see(world);
-        if fits(&seen) || !late || begun.elapsed() > PATIENCE {
-            return seen;
+        let observed = observe(world);
+        if as_expected(&observed) || !late || started.elapsed() > RETRY_TIMEOUT {
+            return observed;
         }
     }
 }
 
-/// The rules that nodes break.
-fn rules(world: World) -> BTreeSet<Rule> {
+/// The rules that were broken, each by a node or at a server.
+fn broken_rules(world: World) -> BTreeSet<Rule> {
     let breaches = breaches(&world);
     for breach in &breaches {
         assert!(breach.node.is_some() || breach.server.is_some(), "{breach}");
@@ -52,18 +54,19 @@
     breaches.iter().map(|b| b.rule).collect()
 }
 
-/// A script breaks these rules and no others.
-fn breaks<const N: usize>(script: &str, more: &str, broken: [Rule; N]) {
+/// Checks that a node's script breaks these rules and no others.
+fn assert_breaks<const N: usize>(script: &str, more: &str, broken: [Rule; N]) {
     let broken = BTreeSet::from(broken);
-    assert_eq!(seen(script, "fair", more, rules, |rules| *rules == broken), broken);
+    assert_eq!(observe_run(script, "fair", more, broken_rules, |rules| *rules == broken), broken);
 }
 
-/// A script breaks this rule among others.
-fn breaks_at_least(script: &str, more: &str, broken: Rule) {
-    assert!(seen(script, "fair", more, rules, |rules| rules.contains(&broken)).contains(&broken));
+/// Checks that a node's script breaks this rule, and maybe others.
+fn assert_breaks_at_least(script: &str, more: &str, broken: Rule) {
+    let rules = observe_run(script, "fair", more, broken_rules, |rules| rules.contains(&broken));
+    assert!(rules.contains(&broken));
 }
 
-/// Plays the fleet with a node's and a replica's script.
+/// Runs the fleet with a node's and a replica's script.
 fn play(script: &str, replica: &str, more: &str) -> World {
     let folder = tempfile::tempdir().expect("a folder");
     let link = |name: String, program: &str| {
@@ -87,129 +90,136 @@
     breaches
 }
 
-/// A server is drained half a second in, and another started in its place, or the same one anew.
-fn fault(kind: &str) -> String {
+/// A fault of this kind at server 2, from 0.2 s on. With `release` the server is drained and restarted, with `replace`
+/// another one is started in its place.
+fn fault_at_server_2(kind: &str) -> String {
     format!("[[fault]]\nkind = \"{kind}\"\nat_s = 0.2\nids = [2]\n")
 }
 
 #[test]
-fn a_fair_node_breaks_none() {
-    breaks("fair", &fault("release"), []);
+fn a_fair_node_breaks_no_rule() {
+    assert_breaks("fair", &fault_at_server_2("release"), []);
 }
 
 #[test]
-fn answer_by_a_node_that_says_nothing() {
-    breaks("mute", "", [Rule::Answer]);
+fn a_node_that_never_answers_breaks_answer() {
+    assert_breaks("mute", "", [Rule::Answer]);
 }
 
 #[test]
-fn answer_by_a_node_that_closes_the_connection() {
-    breaks("close", "", [Rule::Answer]);
+fn a_node_that_closes_connections_breaks_answer() {
+    assert_breaks("close", "", [Rule::Answer]);
 }
 
 #[test]
-fn genuine_by_a_node_that_makes_up_an_answer() {
-    breaks("invent", "", [Rule::Genuine]);
+fn a_node_that_invents_an_answer_breaks_genuine() {
+    assert_breaks("invent", "", [Rule::Genuine]);
 }
 
 #[test]
-fn repeat_by_a_node_that_sends_twice() {
-    breaks("repeat", "", [Rule::Repeat]);
+fn a_node_that_sends_a_request_twice_breaks_repeat() {
+    assert_breaks("repeat", "", [Rule::Repeat]);
 }
 
 #[test]
-fn drain_by_a_node_that_goes_on_sending() {
-    breaks("drain", &fault("release"), [Rule::Drain]);
+fn a_node_that_sends_to_a_draining_server_breaks_drain() {
+    assert_breaks("drain", &fault_at_server_2("release"), [Rule::Drain]);
 }
 
 #[test]
-fn cold_by_nodes_that_send_all_to_the_youngest() {
-    // Work for 6.4 cores goes to the one that came back, which at its coldest has 0.6 to 1 and falls at three times
-    // that.
+fn nodes_that_send_all_requests_to_the_youngest_server_break_cold() {
+    // The restarted server gets work for 6.4 cores. While cold it has the capacity of 0.6 to 1 core, and fails at three
+    // times that.
     let load = "[[fault]]\nkind = \"crash\"\nat_s = 0.2\nfor_s = 0.1\nids = [2]\n\
         [[fault]]\nkind = \"burst\"\nat_s = 0.8\nfor_s = 3\nfactor = 8\n";
-    breaks_at_least("push", load, Rule::Cold);
+    assert_breaks_at_least("push", load, Rule::Cold);
 }
 
 #[test]
-fn unlisted_by_a_node_that_tries_its_luck() {
-    // The one that is started later listens before it is listed.
-    breaks_at_least("stray", &fault("replace"), Rule::Unlisted);
+fn a_node_that_sends_to_an_unlisted_server_breaks_unlisted() {
+    // The replacement listens before it is listed.
+    assert_breaks_at_least("stray", &fault_at_server_2("replace"), Rule::Unlisted);
 }
 
 #[test]
-fn unknown_by_a_node_that_asks_for_itself() {
-    breaks("babble", "", [Rule::Unknown]);
+fn a_node_that_sends_requests_of_its_own_breaks_unknown() {
+    assert_breaks("babble", "", [Rule::Unknown]);
 }
 
 #[test]
-fn limits_by_a_node_that_grows() {
-    breaks("grow", "", [Rule::Limits]);
+fn a_node_that_uses_too_much_memory_breaks_limits() {
+    assert_breaks("grow", "", [Rule::Limits]);
 }
 
 #[test]
-fn alive_by_a_node_that_ends() {
-    breaks("quit", "", [Rule::Alive]);
+fn a_node_that_exits_breaks_alive() {
+    assert_breaks("quit", "", [Rule::Alive]);
 }
 
-/// A policy is asked for half a second in, of a group of one whose nodes may lag by so much.
-fn asked(promise_ms: u64) -> String {
+/// A policy is proposed after half a second, to a group of one replica with promises of this length.
+fn policy_change(promise_ms: u64) -> String {
     format!(
         "[control]\nreplicas = 1\n[control.terms]\npromise_ms = {promise_ms}\n\
         [[fault]]\nkind = \"policy\"\nat_s = 0.5\nfor_s = 1\npolicy = {{ Retry = {{ BudgetMax = 3 }} }}\n"
     )
 }
 
-/// Nodes and a group break this rule with their scripts, and no other.
-fn breaks_agreed(node: &str, replica: &str, promise_ms: u64, broken: Rule) {
+/// Checks that nodes and a control group with these scripts break this rule and no other.
+fn assert_group_breaks(node: &str, replica: &str, promise_ms: u64, broken: Rule) {
     let rules = |world: World| breaches(&world).iter().map(|b| b.rule).collect::<BTreeSet<_>>();
     let broken = BTreeSet::from([broken]);
-    assert_eq!(seen(node, replica, &asked(promise_ms), rules, |rules| *rules == broken), broken);
+    let observed = observe_run(node, replica, &policy_change(promise_ms), rules, |rules| *rules == broken);
+    assert_eq!(observed, broken);
 }
 
 #[test]
-fn fair_nodes_under_an_agreed_policy_break_none() {
-    let see = |world: World| (breaches(&world), world.control().expect("a group"));
-    let fits = |(breaches, control): &(Vec<Breach>, ControlMetrics)| {
+fn fair_nodes_under_an_agreed_policy_break_no_rule() {
+    let observe = |world: World| (breaches(&world), world.control().expect("a group"));
+    let as_expected = |(breaches, control): &(Vec<Breach>, ControlMetrics)| {
         let change = &control.changes[0];
         breaches.is_empty()
             && (control.changes.len(), &change.outcome) == (1, &Outcome::Committed(1))
             && (change.active_ms > Some(0.0) && change.mixed_ms < Some(300.0))
             && control.refused_share == 0.0
     };
-    let seen = seen("fair", "fair", &asked(300), see, fits);
-    assert!(fits(&seen), "{seen:?}");
+    let observed = observe_run("fair", "fair", &policy_change(300), observe, as_expected);
+    assert!(as_expected(&observed), "{observed:?}");
 }
 
 #[test]
-fn mixed_by_a_node_that_never_hears_of_the_change() {
-    breaks_agreed("lag", "fair", 300, Rule::Mixed);
+fn a_node_that_ignores_the_change_breaks_mixed() {
+    assert_group_breaks("lag", "fair", 300, Rule::Mixed);
 }
 
 #[test]
-fn aborted_by_nodes_that_take_the_change_for_committed() {
-    breaks_agreed("early", "abort", 300, Rule::Aborted);
+fn nodes_that_apply_an_aborted_change_break_aborted() {
+    assert_group_breaks("early", "abort", 300, Rule::Aborted);
 }
 
 #[test]
-fn lost_by_a_group_that_forgets_what_it_acknowledged() {
-    breaks_agreed("fair", "forget", 300, Rule::Lost);
+fn a_group_that_forgets_an_acknowledged_change_breaks_lost() {
+    assert_group_breaks("fair", "forget", 300, Rule::Lost);
 }
 
 #[test]
-fn backward_by_nodes_that_go_to_and_fro() {
-    breaks_agreed("back", "fair", 60_000, Rule::Backward);
+fn nodes_that_switch_between_epochs_break_backward() {
+    assert_group_breaks("back", "fair", 60_000, Rule::Backward);
 }
 
-/// With a replica's script and a policy that lets nodes vote, just these holds fail, and just these removals are seen:
-/// whether they were wrong.
-fn fails<const N: usize, const M: usize>(replica: &str, more: &str, holds: [&str; N], removals: [bool; M]) {
+/// Runs fair nodes that may vote with a replica's script. Checks that exactly these expectations fail, and that the
+/// removals are exactly these: `true` for a wrong one.
+fn assert_fails<const N: usize, const M: usize>(
+    replica: &str,
+    more: &str,
+    failed_keys: [&str; N],
+    removals: [bool; M],
+) {
     let more = format!(
         "[control]\nreplicas = 1\n[control.terms]\npromise_ms = 300\n\
         [[fault]]\nkind = \"policy\"\nat_s = 0\nfor_s = 1\npolicy = {{ Votes = {{ Window = 1000, Ballot = 1000 }} }}\n{more}"
     );
-    let see = |world: World| {
-        let plan = Plan::read("x.toml", &format!("{FLEET}{more}")).expect("it was played");
+    let observe = |world: World| {
+        let plan = Plan::read("x.toml", &format!("{FLEET}{more}")).expect("it can be played");
         let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
             .map(|policy| baseline::play(world.draw(), &plan.rules, policy));
         let played = Played { world, interrupted: false, held: (0.0, 0), busy: 0.0 };
@@ -220,26 +230,27 @@
         wrong.sort_unstable();
         (failed, wrong)
     };
-    let expected = (holds.map(String::from).to_vec(), removals.to_vec());
-    assert_eq!(seen("fair", replica, &more, see, |seen| *seen == expected), expected);
+    let expected = (failed_keys.map(String::from).to_vec(), removals.to_vec());
+    let observed = observe_run("fair", replica, &more, observe, |observed| *observed == expected);
+    assert_eq!(observed, expected);
 }
 
 #[test]
-fn a_removal_of_a_server_with_nothing_wrong_does_not_hold() {
+fn a_removal_of_a_healthy_server_fails_the_expectations() {
     let hold = "[hold]\nwrong_removals = 0\nremoved = 1\nremove_ms = 9000\n";
-    fails("accuse", hold, ["removed", "wrong_removals", "remove_ms"], [true]);
+    assert_fails("accuse", hold, ["removed", "wrong_removals", "remove_ms"], [true]);
 }
 
 #[test]
-fn a_group_that_says_nothing_of_servers_does_not_hold() {
+fn a_group_that_reports_no_removals_fails_the_expectations_on_them() {
     let hold = "[hold]\nwrong_removals = 0\nreturn_ms = 9000\n";
-    fails("fair", hold, ["wrong_removals", "return_ms"], []);
+    assert_fails("fair", hold, ["wrong_removals", "return_ms"], []);
 }
 
 #[test]
-fn a_liar_has_a_gullible_group_remove_what_it_names_until_it_leaves() {
+fn a_faulty_voter_makes_a_gullible_group_remove_servers_until_the_voter_leaves() {
     let more = "[[fault]]\nkind = \"errors\"\nat_s = 0.5\nfor_s = 2\nids = [2]\nfactor = 1\n\
         [[fault]]\nkind = \"liar\"\nat_s = 0.7\nfor_s = 2.6\nids = [2, 4]\nfactor = 1\n\
         [hold]\nwrong_removals = 1\nremoved = 1\nremove_ms = 9000\nreturn_ms = 9000\npaid = 0\n";
-    fails("gullible", more, ["paid"], [false, true]);
+    assert_fails("gullible", more, ["paid"], [false, true]);
 }
