--- a/crates/stoneshift/src/curve.rs
+++ b/crates/stoneshift/src/curve.rs
@@ -1,4 +1,4 @@
-//! `stoneshift lab curve`: goodput against offered load, and the time back after an overload.
+//! `stoneshift lab curve`: goodput against offered load, and the recovery time after an overload.
 
 use std::path::PathBuf;
 
@@ -8,87 +8,88 @@
 use lab::plan::Plan;
 
 use crate::failure::Failure;
-use crate::{make_folder, style};
+use crate::{create_folder, progress_style};
 
-/// The largest load that is played, as a share of capacity.
-const LOAD_MOST: f64 = 10.0;
-/// The most loads, and the most draws of each.
-const PLAYS_MOST: usize = 100;
+/// The largest load, as a share of capacity.
+const MAX_LOAD: f64 = 10.0;
+/// The most loads, and the most draws of each load.
+const MAX_COUNT: usize = 100;
 
+/// The arguments of `stoneshift lab curve`.
 #[derive(Debug, Args)]
-pub struct Plays {
-    /// The experiment's file; its fleet, servers, classes and clients are taken, not its load and faults.
+pub struct CurveArgs {
+    /// The experiment's file; its fleet, servers, classes and clients are used, not its load and faults.
     file: PathBuf,
-    /// The first draw, in place of the file's.
+    /// The seed of the first draw, in place of the file's.
     #[arg(long)]
     seed: Option<u64>,
-    /// How many draws of each load.
+    /// The number of draws of each load.
     #[arg(long, default_value_t = 3)]
     draws: usize,
-    /// The least load, as a share of what the fleet can do.
+    /// The smallest load, as a share of the fleet's capacity.
     #[arg(long, default_value_t = 0.5)]
     from: f64,
     /// The largest load.
     #[arg(long, default_value_t = 3.0)]
     to: f64,
-    /// How many loads.
+    /// The number of loads.
     #[arg(long, default_value_t = 11)]
     loads: usize,
-    /// An earlier curve.json, drawn beside this one.
+    /// An earlier curve.json, plotted together with this one.
     #[arg(long)]
     before: Option<PathBuf>,
-    /// Where curve.json and curve.svg go; made where it is not there.
+    /// The folder for curve.json and curve.svg; created if it does not exist.
     #[arg(long, default_value = "target/lab")]
     out: PathBuf,
 }
 
-impl Plays {
-    /// Plays all and writes the curve.
+impl CurveArgs {
+    /// Plays all draws at all loads, and writes the curve and its plot.
     ///
     /// # Errors
-    /// Why it could not be played.
-    pub fn play(self) -> Result<bool, Failure> {
+    /// A flag or a file is wrong, the modules reject the experiment, or the output can't be written.
+    pub fn run(self) -> Result<bool, Failure> {
         let loads = self.loads()?;
-        if !(1..=PLAYS_MOST).contains(&self.draws) {
-            return flag("--draws", format!("1 to {PLAYS_MOST} expected, not {}", self.draws));
+        if !(1..=MAX_COUNT).contains(&self.draws) {
+            return flag_error("--draws", format!("1 to {MAX_COUNT} expected, not {}", self.draws));
         }
         let plan = Plan::load(&self.file)?;
-        let before = self.before.as_deref().map(Curve::read).transpose()?;
+        let earlier = self.before.as_deref().map(Curve::read).transpose()?;
         let first = self.seed.unwrap_or(plan.seed);
         let seeds: Vec<u64> = (0..self.draws as u64).map(|n| first.wrapping_add(n)).collect();
-        // Hidden where standard error is not a terminal.
+        // indicatif hides the bar where standard error is not a terminal.
         let bar = ProgressBar::new((loads.len() * seeds.len()) as u64);
-        bar.set_style(style("{bar:40} {pos} of {len} plays"));
+        bar.set_style(progress_style("{bar:40} {pos} of {len} plays"));
         let curve = curve::measure(&plan, &loads, &seeds, &|done, _| bar.set_position(done as u64));
         bar.finish_and_clear();
         let curve = curve?;
-        make_folder(&self.out)?;
+        create_folder(&self.out)?;
         curve.write(&self.out.join("curve.json")).map_err(Failure::Out)?;
-        curve::write_plot(&curve, before.as_ref(), &self.out.join("curve.svg")).map_err(Failure::Out)?;
-        table(&curve);
+        curve::write_plot(&curve, earlier.as_ref(), &self.out.join("curve.svg")).map_err(Failure::Out)?;
+        print_table(&curve);
         println!("wrote curve.json and curve.svg in {}", self.out.display());
         Ok(true)
     }
 
     fn loads(&self) -> Result<Vec<f64>, Failure> {
         for (name, load) in [("--from", self.from), ("--to", self.to)] {
-            if !(load > 0.0 && load <= LOAD_MOST) {
-                return flag(name, format!("a load above 0 and up to {LOAD_MOST} expected, not {load}"));
+            if !(load > 0.0 && load <= MAX_LOAD) {
+                return flag_error(name, format!("a load above 0 and up to {MAX_LOAD} expected, not {load}"));
             }
         }
-        if !(1..=PLAYS_MOST).contains(&self.loads) {
-            return flag("--loads", format!("1 to {PLAYS_MOST} expected, not {}", self.loads));
+        if !(1..=MAX_COUNT).contains(&self.loads) {
+            return flag_error("--loads", format!("1 to {MAX_COUNT} expected, not {}", self.loads));
         }
         let step = (self.to - self.from) / (self.loads.max(2) - 1) as f64;
         Ok((0..self.loads).map(|n| self.from + step * n as f64).collect())
     }
 }
 
-fn flag<T>(flag: &'static str, words: String) -> Result<T, Failure> {
-    Err(Failure::Flag { flag, words })
+fn flag_error<T>(flag: &'static str, reason: String) -> Result<T, Failure> {
+    Err(Failure::Flag { flag, reason })
 }
 
-fn table(curve: &Curve) {
+fn print_table(curve: &Curve) {
     let [nodes, servers] = curve.fleet;
     println!(
         "{}: {nodes} nodes, {servers} servers; shares of capacity, {} draws",
@@ -99,16 +100,16 @@
         "{:>6}{:>24}{:>14}{:>9}{:>9}  back after s",
         "load", "goodput", "worst class", "random", "oracle"
     );
-    for p in &curve.points {
-        let [least, mean, most] = p.goodput;
-        let back = p.recover_s.iter().map(|s| s.map_or("never".to_string(), |s| format!("{s:.0}")));
+    for point in &curve.points {
+        let [min, mean, max] = point.goodput;
+        let recovery = point.recover_s.iter().map(|s| s.map_or("never".to_string(), |s| format!("{s:.0}")));
         println!(
-            "{:>6.2}{mean:>9.3} ({least:.3}, {most:.3}){:>13.3}{:>9.3}{:>9.3}  {}",
-            p.load,
-            p.worst_class,
-            p.random,
-            p.oracle,
-            back.collect::<Vec<_>>().join(" ")
+            "{:>6.2}{mean:>9.3} ({min:.3}, {max:.3}){:>13.3}{:>9.3}{:>9.3}  {}",
+            point.load,
+            point.worst_class,
+            point.random,
+            point.oracle,
+            recovery.collect::<Vec<_>>().join(" ")
         );
     }
 }
--- a/crates/stoneshift/src/failure.rs
+++ b/crates/stoneshift/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a call could not be carried out: one line, and what to do about it.
+//! The errors of the program: each is one line, with advice on what to do.
 
 use std::path::PathBuf;
 
@@ -7,65 +7,65 @@
 use lab::plan::PlanError;
 use thiserror::Error;
 
-/// What ends the program with exit code 2.
+/// An error that ends the program with exit code 2.
 #[derive(Debug, Error)]
 pub enum Failure {
     /// An experiment's file can't be played.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// A run could not be played.
+    /// A live run failed.
     #[error(transparent)]
     Lab(#[from] LabError),
-    /// The decision modules could not be played.
+    /// The decision modules could not be run.
     #[error(transparent)]
     Model(#[from] ModelError),
-    /// A file that is read or written.
+    /// A file can't be read or written.
     #[error(transparent)]
     File(#[from] FileError),
-    /// Where results go can't be used.
+    /// The output folder can't be used.
     #[error("--out: {0}")]
     Out(FileError),
     /// A flag's value is out of its bounds.
-    #[error("{flag}: {words}")]
+    #[error("{flag}: {reason}")]
     Flag {
         /// The flag.
         flag: &'static str,
-        /// What is wrong.
-        words: String,
+        /// What is wrong with the value.
+        reason: String,
     },
-    /// An experiment asks for more than a run can hold.
-    #[error("{}: load: more than {most} requests", file.display())]
+    /// An experiment has more requests than a run can play.
+    #[error("{}: load: more than {max} requests", file.display())]
     Load {
         /// The experiment's file.
         file: PathBuf,
-        /// How many are possible.
-        most: usize,
+        /// The limit.
+        max: usize,
     },
-    /// A program that is to be started is not there.
-    #[error("{flag}: {} is not there", program.display())]
+    /// A program that has to be started does not exist.
+    #[error("{flag}: {} does not exist", program.display())]
     Program {
-        /// The flag that names it.
+        /// The flag that names the program.
         flag: &'static str,
         /// The program.
         program: PathBuf,
     },
-    /// This program can't find itself.
-    #[error("own program: {0}")]
-    Own(std::io::Error),
+    /// The path of this program can't be found.
+    #[error("path of this program: {0}")]
+    OwnPath(std::io::Error),
 }
 
 impl Failure {
-    /// What to do about it.
+    /// What to do about the error.
     pub fn advice(&self) -> &'static str {
         match self {
             Self::Plan(error) => error.advice(),
             Self::Lab(error) => error.advice(),
             Self::Model(error) => error.advice(),
             Self::File(error) | Self::Out(error) => error.advice(),
-            Self::Flag { .. } => "give a value within the bounds; --help tells them",
-            Self::Load { .. } => "ask for less in [load], or for a shorter length_s",
+            Self::Flag { .. } => "give a value within the bounds; see --help",
+            Self::Load { .. } => "lower [load] or length_s of the experiment",
             Self::Program { .. } => "build it with `cargo build --release --workspace`",
-            Self::Own(_) => "name the programs by their flags",
+            Self::OwnPath(_) => "name the programs by their flags",
         }
     }
 }
@@ -78,7 +78,7 @@
     fn every_failure_is_one_line_and_has_advice() {
         let io = || std::io::Error::from(std::io::ErrorKind::NotFound);
         let file = || FileError::NoResults { folder: "x".into() };
-        /// A variant that is left out does not compile.
+        /// All errors of the list; a missing variant does not compile.
         macro_rules! each {
             ($($variant:pat => $failure:expr),+ $(,)?) => {{
                 let all = [$($failure),+];
@@ -94,10 +94,10 @@
             Failure::Model(_) => Failure::Model(ModelError::Settings("no".into())),
             Failure::File(_) => Failure::File(file()),
             Failure::Out(_) => Failure::Out(file()),
-            Failure::Flag { .. } => Failure::Flag { flag: "--draws", words: "no".into() },
-            Failure::Load { .. } => Failure::Load { file: "x".into(), most: 1 },
+            Failure::Flag { .. } => Failure::Flag { flag: "--draws", reason: "no".into() },
+            Failure::Load { .. } => Failure::Load { file: "x".into(), max: 1 },
             Failure::Program { .. } => Failure::Program { flag: "--node", program: "x".into() },
-            Failure::Own(_) => Failure::Own(io()),
+            Failure::OwnPath(_) => Failure::OwnPath(io()),
         };
         for failure in all {
             let (line, advice) = (failure.to_string(), failure.advice());
--- a/crates/stoneshift/src/main.rs
+++ b/crates/stoneshift/src/main.rs
@@ -1,7 +1,7 @@
-//! The command line: experiments on real nodes.
+//! The command line of the lab, and of a control group's replicas.
 //!
-//! Exit codes: 0 what must hold held, 1 it did not or the run does not count, 2 the call or a file is wrong. Of a
-//! replica: 0 it was told to end, 1 it can't go on, 2 its configuration is wrong.
+//! Exit codes: 0 all expectations hold, 1 one does not or the run does not count, 2 a flag or a file is wrong. Of a
+//! replica: 0 it ended on a signal, 1 it can't go on, 2 its configuration is wrong.
 
 mod control;
 mod curve;
@@ -25,7 +25,7 @@
 
 use self::failure::Failure;
 
-/// Tools round the load-balancing node.
+/// Tools for the load-balancing node.
 #[derive(Debug, Parser)]
 #[command(
     name = "stoneshift",
@@ -33,20 +33,20 @@
     after_help = "Exit codes: 0 held, 1 did not hold, 2 usage or configuration."
 )]
 struct Cli {
-    /// How log lines look.
-    #[arg(long, global = true, value_enum, default_value_t = Form::Text)]
-    log_format: Form,
-    /// Which log lines are written: error, warn, info, debug or trace.
+    /// The format of log lines.
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    log_format: LogFormat,
+    /// The lowest level of log lines that are written: error, warn, info, debug or trace.
     #[arg(long, global = true, default_value = "warn")]
     log_level: LevelFilter,
     #[command(subcommand)]
     command: Command,
 }
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, ValueEnum)]
-enum Form {
-    /// key=value.
+enum LogFormat {
+    /// key=value pairs.
     Text,
     /// One JSON object a line.
     Json,
@@ -57,18 +57,18 @@
     /// The fleet lab: real nodes between emulated parties.
     Lab {
         #[command(subcommand)]
-        command: Lab,
+        command: LabCommand,
     },
-    /// One replica of the control group that a fleet agrees on its policy by; runs until SIGTERM.
+    /// Runs one replica of the control group that agrees on a fleet's policy, until SIGTERM.
     Control(control::Control),
-    /// Compares two runs, or two sets of plays: medians, spread, what moved beyond it.
+    /// Compares two runs, or two sets of runs: medians, ranges, and what moved beyond the range.
     Report {
         /// A result.json, or a folder with some below it.
         a: PathBuf,
-        /// What it is compared with.
+        /// The result.json or folder to compare with.
         b: PathBuf,
     },
-    /// Writes a shell's completions to standard output.
+    /// Writes the completion script of a shell to standard output.
     Completions {
         /// The shell.
         shell: Shell,
@@ -76,30 +76,30 @@
 }
 
 #[derive(Debug, Subcommand)]
-enum Lab {
-    /// Plays an experiment and says whether what must hold did.
-    Run(run::Run),
-    /// Plays an experiment's draw in the virtual clock with the decision modules alone, without processes.
-    Model(model::Model),
-    /// Goodput against offered load, and the time back after an overload, in the virtual clock.
-    Curve(curve::Plays),
+enum LabCommand {
+    /// Runs an experiment on real nodes and evaluates its expectations.
+    Run(run::RunArgs),
+    /// Plays draws of an experiment in the virtual clock with the decision modules alone, without processes.
+    Model(model::ModelArgs),
+    /// Measures goodput against offered load, and the recovery time after an overload, in the virtual clock.
+    Curve(curve::CurveArgs),
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let log = tracing_subscriber::fmt().with_writer(io::stderr).with_max_level(cli.log_level);
-    // The consensus library tells each of its steps at info: of use to who looks into the library alone.
-    let library = if cli.log_level > LevelFilter::INFO { cli.log_level } else { LevelFilter::WARN };
+    // openraft logs each of its steps at info. So its lines below warn are written only where debug or trace is set.
+    let library_level = if cli.log_level > LevelFilter::INFO { cli.log_level } else { LevelFilter::WARN };
     let targets =
-        Targets::new().with_default(cli.log_level).with_target("openraft", library.min(cli.log_level));
+        Targets::new().with_default(cli.log_level).with_target("openraft", library_level.min(cli.log_level));
     match cli.log_format {
-        Form::Text => log.finish().with(targets).init(),
-        Form::Json => log.json().finish().with(targets).init(),
+        LogFormat::Text => log.finish().with(targets).init(),
+        LogFormat::Json => log.json().finish().with(targets).init(),
     }
-    let done = match cli.command {
-        Command::Lab { command: Lab::Run(run) } => run.play(),
-        Command::Lab { command: Lab::Model(model) } => model.play(),
-        Command::Lab { command: Lab::Curve(plays) } => plays.play(),
+    let result = match cli.command {
+        Command::Lab { command: LabCommand::Run(args) } => args.run(),
+        Command::Lab { command: LabCommand::Model(args) } => args.run(),
+        Command::Lab { command: LabCommand::Curve(args) } => args.run(),
         Command::Control(replica) => return replica.run(),
         Command::Report { a, b } => report(&a, &b),
         Command::Completions { shell } => {
@@ -107,7 +107,7 @@
             Ok(true)
         }
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(failure) => {
@@ -123,40 +123,40 @@
     Ok(true)
 }
 
-/// The node's program: what was named, or the one beside this program.
-fn node_program(named: Option<PathBuf>) -> Result<PathBuf, Failure> {
-    let program = match named {
+/// The path of the node's program: the one that was given, or `glenwood` in the folder of this program.
+fn node_program(given: Option<PathBuf>) -> Result<PathBuf, Failure> {
+    let program = match given {
         Some(path) => path,
         None => {
-            let own = std::env::current_exe().map_err(Failure::Own)?;
+            let own = std::env::current_exe().map_err(Failure::OwnPath)?;
             own.with_file_name("glenwood")
         }
     };
-    whole("--node", program)
+    absolute_path("--node", program)
 }
 
-/// The replicas' program: what was named, or this one.
-fn control_program(named: Option<PathBuf>) -> Result<PathBuf, Failure> {
-    match named {
-        Some(program) => whole("--control", program),
-        None => std::env::current_exe().map_err(Failure::Own),
+/// The path of the replicas' program: the one that was given, or this program.
+fn control_program(given: Option<PathBuf>) -> Result<PathBuf, Failure> {
+    match given {
+        Some(program) => absolute_path("--control", program),
+        None => std::env::current_exe().map_err(Failure::OwnPath),
     }
 }
 
-/// A program's whole path: a name without a folder would be searched for elsewhere.
-fn whole(flag: &'static str, program: PathBuf) -> Result<PathBuf, Failure> {
+/// A program's absolute path: a name without a folder would be searched for in `PATH`.
+fn absolute_path(flag: &'static str, program: PathBuf) -> Result<PathBuf, Failure> {
     match program.canonicalize() {
         Ok(path) if path.is_file() => Ok(path),
         _ => Err(Failure::Program { flag, program }),
     }
 }
 
-/// Makes the folder that results go to.
-fn make_folder(out: &Path) -> Result<(), Failure> {
+/// Creates the output folder.
+fn create_folder(out: &Path) -> Result<(), Failure> {
     std::fs::create_dir_all(out).map_err(FileError::write(out)).map_err(Failure::Out)
 }
 
-/// How a progress bar looks; as ever where the template is not one.
-fn style(template: &str) -> ProgressStyle {
+/// The style of a progress bar; the default style where the template is invalid.
+fn progress_style(template: &str) -> ProgressStyle {
     ProgressStyle::with_template(template).unwrap_or_else(|_| ProgressStyle::default_bar())
 }
--- a/crates/stoneshift/src/model.rs
+++ b/crates/stoneshift/src/model.rs
@@ -1,4 +1,4 @@
-//! `stoneshift lab model`: an experiment's draw in the virtual clock, with the decision modules in the nodes' place.
+//! `stoneshift lab model`: draws of an experiment in the virtual clock, with the decision modules in place of nodes.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -16,44 +16,45 @@
 use tulipmount::Status;
 
 use crate::failure::Failure;
-use crate::{make_folder, table};
+use crate::{create_folder, table};
 
+/// The arguments of `stoneshift lab model`.
 #[derive(Debug, Args)]
-pub struct Model {
+pub struct ModelArgs {
     /// The experiment's file.
     file: PathBuf,
-    /// The draw, in place of the file's.
+    /// The seed of the first draw, in place of the file's.
     #[arg(long)]
     seed: Option<u64>,
-    /// How many draws, from that seed on.
+    /// The number of draws, with consecutive seeds.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     draws: u64,
-    /// Leaves out the faults of a kind, such as policy, to compare with; may be given again.
-    #[arg(long, value_name = "KIND", value_parser = crate::run::kind)]
+    /// Leaves out the faults of a kind, such as policy, for comparison; may be given several times.
+    #[arg(long, value_name = "KIND", value_parser = crate::run::parse_kind)]
     without: Vec<FaultKind>,
-    /// Nodes, in place of the file's.
+    /// The number of nodes, in place of the file's.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=1000))]
     nodes: Option<u32>,
-    /// Where each draw's result and plots go; without it, nowhere.
+    /// The folder for each draw's result and plot; without it they are not written.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Prints lines for each second: what servers can truly do, what the modules believe, what came of requests.
+    /// Prints lines for each second: the servers' real state, the modules' view of it, and the outcomes of requests.
     #[arg(long)]
     seconds: bool,
 }
 
-impl Model {
-    /// Plays it; true where all held.
+impl ModelArgs {
+    /// Plays the draws and prints their results; true where all expectations hold.
     ///
     /// # Errors
-    /// Why it could not be played.
-    pub fn play(self) -> Result<bool, Failure> {
+    /// The file is wrong, the modules reject the experiment, or the output can't be written.
+    pub fn run(self) -> Result<bool, Failure> {
         let mut plan = Plan::load(&self.file)?.without(&self.without);
         if let Some(nodes) = self.nodes {
             plan.fleet.get_mut().nodes = lab::plan::Range::Fixed(f64::from(nodes));
         }
         let first = self.seed.unwrap_or(plan.seed);
-        let mut held = true;
+        let mut all_held = true;
         for seed in first..first.saturating_add(self.draws) {
             let draw = Rc::new(Draw::new(&plan, seed));
             println!(
@@ -63,7 +64,7 @@
                 draw.servers.len(),
                 draw.arrivals.len()
             );
-            let mut show = |look: &Look<'_>| state(look);
+            let mut show = |look: &Look<'_>| print_state(look);
             let look: Option<Watcher<'_>> = if self.seconds { Some((1_000_000, &mut show)) } else { None };
             let world = modules::play(&plan, &draw, look)?;
             let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
@@ -72,22 +73,22 @@
             let result = RunResult::new(&plan, &played, &random, &oracle);
             if let Some(out) = &self.out {
                 let out = out.join(seed.to_string());
-                make_folder(&out)?;
+                create_folder(&out)?;
                 result.write(&out.join("result.json")).map_err(Failure::Out)?;
                 plot::write(&result, &out.join("run.svg")).map_err(Failure::Out)?;
             }
             if self.seconds {
-                ends(&result, &played.world);
+                print_seconds(&result, &played.world);
             }
-            print!("{}", table::of(&result));
-            held &= result.verdict == Verdict::Held;
+            print!("{}", table::format_result(&result));
+            all_held &= result.verdict == Verdict::Held;
         }
-        Ok(held)
+        Ok(all_held)
     }
 }
 
-/// A line of what there truly is, and of what the modules believe on average.
-fn state(look: &Look<'_>) {
+/// Prints the real state of the servers, and the mean of the modules' view of it.
+fn print_state(look: &Look<'_>) {
     let f = look.world.fleet_state();
     let mean =
         |of: fn(&Status) -> f64| look.nodes.iter().map(of).sum::<f64>() / look.nodes.len().max(1) as f64;
@@ -112,8 +113,8 @@
     );
 }
 
-/// A line of what was asked and came of it, for each second.
-fn ends(result: &RunResult, world: &World) {
+/// Prints the requests of each second and their outcomes.
+fn print_seconds(result: &RunResult, world: &World) {
     for (s, (second, counts)) in result.seconds.iter().zip(&world.tally().seconds).enumerate() {
         let Ends { in_time, late, refused, failed, unanswered } = second.ends;
         let SecondCounts { tries, attempts, turned_away, connections, refused_connections } = counts;
--- a/crates/stoneshift/src/run.rs
+++ b/crates/stoneshift/src/run.rs
@@ -1,4 +1,4 @@
-//! `stoneshift lab run`: one experiment, from its file to its verdict.
+//! `stoneshift lab run`: runs one experiment on real nodes.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -14,46 +14,47 @@
 use lab::result::{RunResult, Verdict};
 
 use crate::failure::Failure;
-use crate::{control_program, make_folder, node_program, style, table};
+use crate::{control_program, create_folder, node_program, progress_style, table};
 
+/// The arguments of `stoneshift lab run`.
 #[derive(Debug, Args)]
-pub struct Run {
+pub struct RunArgs {
     /// The experiment's file.
     file: PathBuf,
-    /// The draw, in place of the file's.
+    /// The seed of the draw, in place of the file's.
     #[arg(long)]
     seed: Option<u64>,
-    /// Where result, plots and the nodes' logs go; made where it is not there.
+    /// The folder for the result, the plot and the nodes' logs; created if it does not exist.
     #[arg(long, default_value = "target/lab")]
     out: PathBuf,
-    /// Leaves out the faults of a kind, such as policy, to compare with; may be given again.
-    #[arg(long, value_name = "KIND", value_parser = kind)]
+    /// Leaves out the faults of a kind, such as policy, for comparison; may be given several times.
+    #[arg(long, value_name = "KIND", value_parser = parse_kind)]
     without: Vec<FaultKind>,
-    /// The node's program; without it, the `glenwood` beside this program.
+    /// The node's program; by default `glenwood` in the folder of this program.
     #[arg(long)]
     node: Option<PathBuf>,
-    /// The replicas' program, for experiments with a control group; without it, this program.
+    /// The replicas' program, for experiments with a control group; by default this program.
     #[arg(long)]
     control: Option<PathBuf>,
 }
 
-impl Run {
-    /// Plays it; true where all held.
+impl RunArgs {
+    /// Runs the experiment and prints its result; true where all expectations hold.
     ///
     /// # Errors
-    /// Why it could not be played.
-    pub fn play(self) -> Result<bool, Failure> {
+    /// The file or a program is wrong, the run failed, or the output can't be written.
+    pub fn run(self) -> Result<bool, Failure> {
         let plan = Plan::load(&self.file)?.without(&self.without);
         let program = node_program(self.node)?;
         let control = control_program(self.control)?;
-        make_folder(&self.out)?;
+        create_folder(&self.out)?;
         let logs = self.out.join("logs");
         if logs.is_dir() {
             std::fs::remove_dir_all(&logs).map_err(FileError::write(&logs)).map_err(Failure::Out)?;
         }
         let draw = Rc::new(Draw::new(&plan, self.seed.unwrap_or(plan.seed)));
         if draw.arrivals.len() >= MAX_ARRIVALS {
-            return Err(Failure::Load { file: self.file, most: MAX_ARRIVALS });
+            return Err(Failure::Load { file: self.file, max: MAX_ARRIVALS });
         }
         println!(
             "{}: seed {}, {} nodes, {} servers in {} zones, {} requests in {} s",
@@ -67,9 +68,9 @@
         );
         let [random, oracle] = [BaselinePolicy::Random, BaselinePolicy::Oracle]
             .map(|policy| baseline::play(&draw, &plan.rules, policy));
-        // Hidden where standard error is not a terminal.
+        // indicatif hides the bar where standard error is not a terminal.
         let bar = ProgressBar::new(1000);
-        bar.set_style(style("{bar:40} {percent}% {msg}"));
+        bar.set_style(progress_style("{bar:40} {percent}% {msg}"));
         let progress = |share: f64, served: f64| {
             bar.set_position((share.min(1.0) * 1e3) as u64);
             bar.set_message(format!("served of late {served:.3}"));
@@ -80,14 +81,17 @@
         let result = RunResult::new(&plan, &played, &random, &oracle);
         result.write(&self.out.join("result.json")).map_err(Failure::Out)?;
         plot::write(&result, &self.out.join("run.svg")).map_err(Failure::Out)?;
-        print!("{}", table::of(&result));
+        print!("{}", table::format_result(&result));
         println!("wrote result.json and run.svg in {}", self.out.display());
         Ok(result.verdict == Verdict::Held)
     }
 }
 
-/// A fault's kind, as experiments' files word it.
-pub fn kind(word: &str) -> Result<FaultKind, serde::de::value::Error> {
+/// Parses a fault's kind, written as in experiment files.
+///
+/// # Errors
+/// There is no such kind; the error names all kinds.
+pub fn parse_kind(name: &str) -> Result<FaultKind, serde::de::value::Error> {
     use serde::de::IntoDeserializer;
-    serde::Deserialize::deserialize(word.into_deserializer())
+    serde::Deserialize::deserialize(name.into_deserializer())
 }
