--- a/crates/stoneshift/tests/control.rs
+++ b/crates/stoneshift/tests/control.rs
@@ -1,4 +1,4 @@
-//! A replica as a process: its exit codes and lines, its end by a signal, its disk.
+//! A replica as a process: its exit codes and messages, its end by a signal, and what it keeps on disk.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -9,12 +9,13 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::new(127, 3, 0, 1), 0)).expect("a free port");
     listener.local_addr().expect("it is bound")
 }
 
-fn file(folder: &Path, cluster: &str, id: u64, at: SocketAddr, more: &str) -> std::path::PathBuf {
+/// Writes a replica's configuration, for a group of this replica alone. All share one state folder.
+fn write_config(folder: &Path, cluster: &str, id: u64, at: SocketAddr, more: &str) -> std::path::PathBuf {
     let dir = folder.join("state");
     let text = format!(
         "cluster = \"{cluster}\"\nid = {id}\nlisten = \"{at}\"\ndir = {dir:?}\n[peers]\n{id} = \"{at}\"\n{more}"
@@ -30,50 +31,51 @@
     command
 }
 
-/// What a replica that does not start says: its code, and its one line.
-fn failed(output: &Output) -> (Option<i32>, String) {
-    let words = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(words.lines().count(), 1, "{words}");
-    (output.status.code(), words)
+/// The exit code and the message, one line, of a replica that does not start.
+fn failure_of(output: &Output) -> (Option<i32>, String) {
+    let message = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(message.lines().count(), 1, "{message}");
+    (output.status.code(), message)
 }
 
-/// Asks until it answers; a process that is not ended by the test is ended with it.
+/// A replica's process, which is killed when this is dropped.
 struct Running(Child);
 
 impl Drop for Running {
     fn drop(&mut self) {
-        // It may have ended.
+        // An error means that the process has ended.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
 impl Running {
+    /// Starts a replica and waits until it is ready.
     fn start(file: &Path, at: SocketAddr) -> Self {
         let running = Self(control(file).stderr(Stdio::piped()).spawn().expect("it starts"));
-        let end = Instant::now() + Duration::from_secs(40);
-        while !ask(at, "GET /ready").starts_with("HTTP/1.1 200") {
-            assert!(Instant::now() < end, "it is ready in time");
+        let deadline = Instant::now() + Duration::from_secs(40);
+        while !call(at, "GET /ready").starts_with("HTTP/1.1 200") {
+            assert!(Instant::now() < deadline, "the replica is not ready in time");
             std::thread::sleep(Duration::from_millis(20));
         }
         running
     }
 
-    /// Ends it; its code, and what it has said.
+    /// Sends a signal and waits for the end. Returns the exit code and the text on standard error.
     fn end(mut self, signal: Signal) -> (Option<i32>, String) {
         kill(Pid::from_raw(self.0.id() as i32), signal).expect("it runs");
-        let mut words = String::new();
-        let said = self.0.stderr.take().expect("is a pipe").read_to_string(&mut words);
-        said.expect("it speaks UTF-8");
-        (self.0.wait().expect("it ends").code(), words)
+        let mut text = String::new();
+        let read = self.0.stderr.take().expect("a pipe").read_to_string(&mut text);
+        read.expect("UTF-8");
+        (self.0.wait().expect("it ends").code(), text)
     }
 }
 
-/// The answer to a call, or nothing.
-fn ask(at: SocketAddr, call: &str) -> String {
+/// The answer to a call; empty if there is none.
+fn call(at: SocketAddr, request: &str) -> String {
     let mut answer = String::new();
     if let Ok(mut stream) = TcpStream::connect(at) {
-        let head = format!("{call} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n");
+        let head = format!("{request} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n");
         let body = "{\"base\":0,\"policy\":{\"Limits\":{\"AttemptsCap\":2}}}";
         let _ = write!(stream, "{head}content-length: {}\r\n\r\n{body}", body.len());
         let _ = stream.read_to_string(&mut answer);
@@ -82,40 +84,40 @@
 }
 
 #[test]
-fn a_replica_keeps_what_it_acknowledged_and_ends_by_signals() {
+fn a_replica_keeps_acknowledged_changes_and_ends_on_signals() {
     let folder = tempfile::tempdir().expect("a folder");
-    let at = free();
-    let east = file(folder.path(), "east", 1, at, "");
+    let at = free_address();
+    let east = write_config(folder.path(), "east", 1, at, "");
     let running = Running::start(&east, at);
-    let told = ask(at, "PUT /v1/policy");
-    assert!(told.starts_with("HTTP/1.1 200") && told.contains("\"committed\""), "{told}");
+    let answer = call(at, "PUT /v1/policy");
+    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("\"committed\""), "{answer}");
 
-    let (code, words) = failed(&control(&east).output().expect("it runs"));
-    assert!(code == Some(1) && words.contains(&format!("listen: {at}: ")), "{words}");
-    let second = file(folder.path(), "east2", 1, free(), "");
+    let (code, message) = failure_of(&control(&east).output().expect("it runs"));
+    assert!(code == Some(1) && message.contains(&format!("listen: {at}: ")), "{message}");
+    let second = write_config(folder.path(), "east2", 1, free_address(), "");
     let text = std::fs::read_to_string(&second).expect("its file").replace("east2", "east");
     std::fs::write(&second, text).expect("its file");
-    let (code, words) = failed(&control(&second).output().expect("it runs"));
-    assert!(code == Some(1) && words.contains("end the other process first"), "{words}");
+    let (code, message) = failure_of(&control(&second).output().expect("it runs"));
+    assert!(code == Some(1) && message.contains("end the other process first"), "{message}");
 
     assert_eq!(running.end(Signal::SIGTERM).0, Some(0));
-    let west = file(folder.path(), "west", 1, at, "");
-    let (code, words) = failed(&control(&west).output().expect("it runs"));
-    assert!(code == Some(1) && words.contains("point this replica at its own directory"), "{words}");
+    let west = write_config(folder.path(), "west", 1, at, "");
+    let (code, message) = failure_of(&control(&west).output().expect("it runs"));
+    assert!(code == Some(1) && message.contains("point this replica at its own directory"), "{message}");
 
     let running = Running::start(&east, at);
-    let told = ask(at, "GET /v1/policy");
-    assert!(told.contains("\"epoch\":1,\"policy\":{\"Limits\":{\"AttemptsCap\":2}}"), "{told}");
-    // Of a start on a disk that is in order nothing is said that an operator would have to look into.
+    let answer = call(at, "GET /v1/policy");
+    assert!(answer.contains("\"epoch\":1,\"policy\":{\"Limits\":{\"AttemptsCap\":2}}"), "{answer}");
+    // A start on an intact disk logs nothing at warn or above.
     assert_eq!(running.end(Signal::SIGINT), (Some(0), String::new()));
 }
 
 #[test]
-fn a_wrong_file_is_told_in_one_line() {
+fn a_wrong_configuration_gives_one_line_and_exit_code_2() {
     let folder = tempfile::tempdir().expect("a folder");
-    let wrong = file(folder.path(), "east", 1, free(), "[terms]\nlease = 3\n");
-    let (code, words) = failed(&control(&wrong).output().expect("it runs"));
-    assert!(code == Some(2) && words.contains("east.toml: terms.lease: unknown field"), "{words}");
-    let (code, words) = failed(&control(&folder.path().join("none")).output().expect("it runs"));
-    assert!(code == Some(2) && words.contains("none: No such file"), "{words}");
+    let wrong = write_config(folder.path(), "east", 1, free_address(), "[terms]\nlease = 3\n");
+    let (code, message) = failure_of(&control(&wrong).output().expect("it runs"));
+    assert!(code == Some(2) && message.contains("east.toml: terms.lease: unknown field"), "{message}");
+    let (code, message) = failure_of(&control(&folder.path().join("none")).output().expect("it runs"));
+    assert!(code == Some(2) && message.contains("none: No such file"), "{message}");
 }
