--- a/crates/stoneshift/tests/fleet.rs
+++ b/crates/stoneshift/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Real nodes that follow a control group of real replicas, under load, through kills and stops on both sides.
+//! Real nodes that follow a control group of real replicas under load, while nodes and replicas are killed or stopped.
 
 mod load;
 #[path = "../../../tests/peers/mod.rs"]
@@ -7,19 +7,19 @@
 use std::collections::BTreeSet;
 
 use fixture::{wait_for, Group, GroupClient, GroupTimings};
-use load::{ask, judge, Client, Taken};
+use load::{check_epochs, send_request, AdmittedRequest, LoadClient};
 use peers::{host, operated, Node, Peer, Registry};
 use serde_json::{json, Value};
 
 /// Three replicas and three nodes with a client each.
 struct Fleet {
     group: Group,
-    calls: GroupClient,
+    client: GroupClient,
     nodes: Vec<Node>,
-    clients: Vec<Client>,
+    load: Vec<LoadClient>,
     configs: Vec<Value>,
-    /// What processes that are gone have taken.
-    ended: Vec<Vec<Taken>>,
+    /// The requests that the processes of replaced nodes admitted.
+    admitted_before: Vec<Vec<AdmittedRequest>>,
     _registry: Registry,
     _server: Peer,
 }
@@ -42,121 +42,122 @@
             })
             .collect();
         let nodes: Vec<Node> = configs.iter().map(Node::ready).collect();
-        let clients = nodes.iter().map(|node| Client::of(node.address)).collect();
-        let (calls, ended) = (group.client(), Vec::new());
-        Self { group, calls, nodes, clients, configs, ended, _registry: registry, _server: server }
+        let load = nodes.iter().map(|node| LoadClient::start(node.address)).collect();
+        let (client, admitted_before) = (group.client(), Vec::new());
+        Self { group, client, nodes, load, configs, admitted_before, _registry: registry, _server: server }
     }
 
-    /// Makes changes until one is committed.
+    /// Proposes changes until one is committed. Returns its epoch.
     fn commit(&self) -> u64 {
         wait_for("a change is committed", || {
-            let leader = self.calls.leader()?;
-            let base = self.calls.policy(leader)?["epoch"].as_u64()?;
+            let leader = self.client.leader()?;
+            let base = self.client.policy(leader)?["epoch"].as_u64()?;
             let answer =
-                self.calls.propose(leader, base, &json!({"Limits": {"AttemptsCap": 1 + base % 3}}))?;
+                self.client.propose(leader, base, &json!({"Limits": {"AttemptsCap": 1 + base % 3}}))?;
             (answer.status == 200).then(|| answer.body["epoch"].as_u64()).flatten()
         })
     }
 
-    /// The epochs that changes have become, as the replica that leads has them; an aborted one's number is no epoch.
+    /// The epochs of committed changes by the leader's history, and 0. The number of an aborted change is no epoch.
     fn committed(&self) -> BTreeSet<u64> {
-        let policy = wait_for("the leader tells what has ended", || self.calls.policy(self.calls.leader()?));
+        let policy = wait_for("the leader reports its history", || self.client.policy(self.client.leader()?));
         let ended = policy["ended"].as_array().expect("a list").iter();
         let committed = ended.filter(|ended| ended["aborted"].is_null());
         committed.map(|ended| ended["epoch"].as_u64().expect("an epoch")).chain([0]).collect()
     }
 
-    fn until_all_serve_by(&self, epoch: u64) {
+    fn wait_until_all_serve_under(&self, epoch: u64) {
         for node in &self.nodes {
-            wait_for("a node serves by that epoch", || {
-                ask(node.address).is_ok_and(|answer| answer == (200, Some(epoch))).then_some(())
+            wait_for("a node serves under that epoch", || {
+                send_request(node.address).is_ok_and(|answer| answer == (200, Some(epoch))).then_some(())
             });
         }
     }
 
-    /// Proposes a change that the last node, which is stopped for it, does not stage; returns once the others have,
-    /// with the leader. The end of the change is nobody's to know yet.
+    /// Suspends the last node and proposes a change. Returns the leader once the other two nodes have staged the change;
+    /// its outcome is open then.
     fn stage(&self) -> usize {
         self.nodes[2].signal("-STOP");
         wait_for("two nodes have staged a change", || {
-            let leader = self.calls.leader()?;
-            let known = self.calls.policy(leader)?;
+            let leader = self.client.leader()?;
+            let known = self.client.policy(leader)?;
             if known["change"].is_null() {
-                // The first one, or the one before was aborted sooner than it was seen.
-                let (calls, base) = (self.calls.clone(), known["epoch"].as_u64()?);
+                // No change was proposed yet, or the last one was aborted before both had staged it.
+                let (client, base) = (self.client.clone(), known["epoch"].as_u64()?);
                 std::thread::spawn(move || {
-                    calls.propose(leader, base, &json!({"Limits": {"AttemptsCap": 1 + base % 3}}))
+                    client.propose(leader, base, &json!({"Limits": {"AttemptsCap": 1 + base % 3}}))
                 });
             }
-            let nodes = self.calls.request(leader, "GET /v1/nodes")?.body.to_string();
+            let nodes = self.client.request(leader, "GET /v1/nodes")?.body.to_string();
             (nodes.matches("\"staged\":true").count() == 2).then_some(leader)
         })
     }
 
-    /// Kills a node and starts it again, at another port.
+    /// Kills a node and starts it again at another port.
     fn replace(&mut self, node: usize) {
         self.nodes[node].signal("-KILL");
         let old = std::mem::replace(&mut self.nodes[node], Node::listening(&self.configs[node], None));
         drop(old);
-        let new = Client::of(self.nodes[node].address);
-        self.ended.push(std::mem::replace(&mut self.clients[node], new).end());
+        let new = LoadClient::start(self.nodes[node].address);
+        self.admitted_before.push(std::mem::replace(&mut self.load[node], new).stop());
     }
 
-    /// Ends the load and judges it.
-    fn judge(self) {
+    /// Stops the load and checks the epochs of the admitted requests.
+    fn stop_and_check(self) {
         let committed = self.committed();
-        let mut taken: Vec<Vec<Taken>> = self.clients.into_iter().map(Client::end).collect();
-        taken.extend(self.ended);
-        println!("{:?} taken, {committed:?} committed", taken.iter().map(Vec::len).collect::<Vec<_>>());
-        judge(&taken, &committed, GroupTimings::RELAXED.promise);
+        let mut admitted: Vec<Vec<AdmittedRequest>> = self.load.into_iter().map(LoadClient::stop).collect();
+        admitted.extend(self.admitted_before);
+        println!("{:?} admitted, {committed:?} committed", admitted.iter().map(Vec::len).collect::<Vec<_>>());
+        check_epochs(&admitted, &committed, GroupTimings::RELAXED.promise);
     }
 }
 
 #[test]
-fn a_change_reaches_a_fleet_whose_group_lost_its_majority_before() {
+fn a_fleet_serves_on_while_the_group_has_no_majority_and_gets_the_next_change() {
     let mut fleet = Fleet::start();
     let epoch = fleet.commit();
-    fleet.until_all_serve_by(epoch);
-    let leader = fleet.calls.wait_for_leader();
+    fleet.wait_until_all_serve_under(epoch);
+    let leader = fleet.client.wait_for_leader();
     let others: Vec<usize> = (0..3).filter(|&replica| replica != leader).collect();
     fleet.group.kill(&others);
-    let refused = fleet.calls.propose(leader, epoch, &json!({"Limits": {"AttemptsCap": 3}}));
+    let refused = fleet.client.propose(leader, epoch, &json!({"Limits": {"AttemptsCap": 3}}));
     assert!(refused.as_ref().is_none_or(|answer| answer.status != 200), "{refused:?}");
-    // No change is under way for them: they go on.
-    fleet.until_all_serve_by(epoch);
+    // The nodes have staged no change, so they go on.
+    fleet.wait_until_all_serve_under(epoch);
     others.iter().for_each(|&replica| fleet.group.start_replica(replica));
     let epoch = fleet.commit();
-    fleet.until_all_serve_by(epoch);
-    fleet.judge();
+    fleet.wait_until_all_serve_under(epoch);
+    fleet.stop_and_check();
 }
 
 #[test]
-fn a_group_that_is_lost_once_a_change_is_staged_stops_the_fleet_and_brings_it_back_together() {
+fn losing_the_group_after_a_change_is_staged_stops_the_nodes_until_it_is_back() {
     let mut fleet = Fleet::start();
     let leader = fleet.stage();
     fleet.group.kill(&[leader, (leader + 1) % 3]);
     for node in &fleet.nodes[..2] {
-        wait_for("its promise has passed", || {
-            ask(node.address).is_ok_and(|(status, _)| status == 503).then_some(())
+        wait_for("the node's promise has expired", || {
+            send_request(node.address).is_ok_and(|(status, _)| status == 503).then_some(())
         });
     }
     fleet.nodes[2].signal("-CONT");
     fleet.group.start_replica(leader);
     fleet.group.start_replica((leader + 1) % 3);
     let epoch = fleet.commit();
-    fleet.until_all_serve_by(epoch);
-    fleet.judge();
+    fleet.wait_until_all_serve_under(epoch);
+    fleet.stop_and_check();
 }
 
 #[test]
-fn a_node_that_is_killed_after_it_staged_comes_back_under_what_is_agreed() {
+fn a_node_that_is_killed_after_staging_returns_under_the_agreed_epoch() {
     let mut fleet = Fleet::start();
     let leader = fleet.stage();
     fleet.replace(1);
-    // One node has not staged: it is aborted, by the operator or before he asks. Nobody may take anything under it.
-    fleet.calls.request(leader, "DELETE /v1/policy/change");
+    // One node has not staged the change, so it is aborted, by the operator or before. No node may admit a request under
+    // it.
+    fleet.client.request(leader, "DELETE /v1/policy/change");
     fleet.nodes[2].signal("-CONT");
     let epoch = fleet.commit();
-    fleet.until_all_serve_by(epoch);
-    fleet.judge();
+    fleet.wait_until_all_serve_under(epoch);
+    fleet.stop_and_check();
 }
--- a/crates/stoneshift/tests/load/mod.rs
+++ b/crates/stoneshift/tests/load/mod.rs
@@ -1,4 +1,4 @@
-//! Clients of a fleet, and the rules that what they were told must keep.
+//! Clients that put load on a fleet, and the check of the policy epochs in the answers.
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -10,30 +10,31 @@
 
 use crate::peers::request;
 
-/// What clocks' rates and a client's own delay may add to a promise.
+/// What clock drift (100 ms) and the client's own delay (250 ms) may add to a promise.
 const SLACK: Duration = Duration::from_millis(100 + 250);
 /// The most requests that one client makes.
-const REQUESTS: usize = 12_000;
-/// What a client waits between two.
-const PAUSE: Duration = Duration::from_millis(10);
+const MAX_REQUESTS: usize = 12_000;
+/// The time between an answer and the client's next request.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A request that was taken: when it was sent and answered, and the epoch that it was judged by.
+/// A request that a node admitted under a policy epoch.
 #[derive(Clone, Copy, Debug)]
-pub struct Taken {
+pub struct AdmittedRequest {
     pub sent: Instant,
     pub answered: Instant,
+    /// The epoch in the answer.
     pub epoch: u64,
 }
 
-/// A client that asks one node, steadily, and remembers what was taken.
-pub struct Client {
-    taken: Arc<Mutex<Vec<Taken>>>,
-    over: Arc<AtomicBool>,
+/// A client that sends requests to one node continuously, and records those that were admitted.
+pub struct LoadClient {
+    admitted: Arc<Mutex<Vec<AdmittedRequest>>>,
+    stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// The status and the epoch of one answer.
-pub fn ask(at: SocketAddr) -> std::io::Result<(u16, Option<u64>)> {
+/// Sends one request. Returns the status and the epoch of the answer.
+pub fn send_request(at: SocketAddr) -> std::io::Result<(u16, Option<u64>)> {
     let mut stream = TcpStream::connect(at)?;
     stream.set_read_timeout(Some(Duration::from_secs(20)))?;
     stream.write_all(
@@ -48,53 +49,57 @@
     Ok((status, epoch))
 }
 
-impl Client {
-    pub fn of(at: SocketAddr) -> Self {
-        let (taken, over) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
-        let (list, end) = (taken.clone(), over.clone());
+impl LoadClient {
+    pub fn start(at: SocketAddr) -> Self {
+        let (admitted, stopped) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
+        let (records, stop) = (admitted.clone(), stopped.clone());
         let thread = std::thread::spawn(move || {
-            for _ in 0..REQUESTS {
-                if end.load(Ordering::SeqCst) {
+            for _ in 0..MAX_REQUESTS {
+                if stop.load(Ordering::SeqCst) {
                     return;
                 }
                 let sent = Instant::now();
-                if let Ok((_, Some(epoch))) = ask(at) {
-                    list.lock().expect("no panic").push(Taken { sent, answered: Instant::now(), epoch });
+                if let Ok((_, Some(epoch))) = send_request(at) {
+                    let request = AdmittedRequest { sent, answered: Instant::now(), epoch };
+                    records.lock().expect("no panic").push(request);
                 }
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(REQUEST_INTERVAL);
             }
         });
-        Self { taken, over, thread: Some(thread) }
+        Self { admitted, stopped, thread: Some(thread) }
     }
 
-    /// Ends it; what was taken.
-    pub fn end(mut self) -> Vec<Taken> {
-        self.over.store(true, Ordering::SeqCst);
+    /// Stops the client. Returns the admitted requests.
+    pub fn stop(mut self) -> Vec<AdmittedRequest> {
+        self.stopped.store(true, Ordering::SeqCst);
         self.thread.take().expect("once").join().expect("no panic");
-        let taken = self.taken.lock().expect("no panic");
-        taken.clone()
+        let admitted = self.admitted.lock().expect("no panic");
+        admitted.clone()
     }
 }
 
-/// The rules: a node's epochs only grow, only committed ones are met, and none takes anything under an epoch later
-/// than a promise lasts after another has taken something under the next.
+/// Checks the epochs of a fleet's admitted requests, by node: the epochs of a node only grow, each is a committed one, and
+/// no request is admitted under an epoch for longer than a promise after another was admitted under the next.
 ///
-/// Seen to fail, each under a throw-away node: one that heeds a commit 8 s late and goes on in doubt (taken under an
-/// epoch too late), one that takes what is staged for active (an epoch went back), and one that takes an aborted change
-/// for committed (what was met).
-pub fn judge(fleet: &[Vec<Taken>], committed: &BTreeSet<u64>, promise: Duration) {
+/// Each of the checks was seen to fail with a faulty node: one that applies a commit 8 s late and goes on after its
+/// promise has expired (admitted under an epoch too late), one that applies a staged change (an epoch went back), and one
+/// that applies an aborted change (an epoch that was not committed).
+pub fn check_epochs(fleet: &[Vec<AdmittedRequest>], committed: &BTreeSet<u64>, promise: Duration) {
     for node in fleet {
         assert!(node.windows(2).all(|pair| pair[0].epoch <= pair[1].epoch), "an epoch went back");
     }
-    let all: Vec<&Taken> = fleet.iter().flatten().collect();
+    let all: Vec<&AdmittedRequest> = fleet.iter().flatten().collect();
     for &epoch in committed {
-        let first = all.iter().filter(|taken| taken.epoch > epoch).map(|taken| taken.answered).min();
-        let last = all.iter().filter(|taken| taken.epoch <= epoch).map(|taken| taken.sent).max();
+        let first = all.iter().filter(|request| request.epoch > epoch).map(|request| request.answered).min();
+        let last = all.iter().filter(|request| request.epoch <= epoch).map(|request| request.sent).max();
         if let (Some(first), Some(last)) = (first, last) {
-            let late = last.saturating_duration_since(first);
-            assert!(late <= promise + SLACK, "taken under epoch {epoch} {late:?} after the next was met");
+            let overlap = last.saturating_duration_since(first);
+            assert!(
+                overlap <= promise + SLACK,
+                "admitted under epoch {epoch} {overlap:?} after the first answer under a newer one"
+            );
         }
     }
-    let met: BTreeSet<u64> = all.iter().map(|taken| taken.epoch).collect();
-    assert!(met.is_subset(committed), "{met:?} were met, {committed:?} committed");
+    let seen: BTreeSet<u64> = all.iter().map(|request| request.epoch).collect();
+    assert!(seen.is_subset(committed), "epochs in answers: {seen:?}, committed: {committed:?}");
 }
