--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -691,7 +691,7 @@
         // It may be removed for one zone first; the last removal must be of a server that has recovered.
         let first = votes.removals.first().expect("a server was removed");
         let last = votes.removals.last().expect("a server was removed");
-        assert!(first.remove_ms < Some(4_000.0) && last.mended && last.return_ms.is_some(), "{votes:?}");
+        assert!(first.remove_ms < Some(4_000.0) && last.recovered && last.return_ms.is_some(), "{votes:?}");
         assert!(play_plan("").vote_metrics().is_none());
     }
 
