--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Returns when the next heartbeat is due. While the last one has no reply, that is [`DEFAULT_HEARTBEAT_INTERVAL_MS`]
+    /// Returns when the next heartbeat is due. While the last one has no reply, that is `DEFAULT_HEARTBEAT_INTERVAL_MS`
     /// after it was created, or earlier if the next one has something new to report.
     pub fn next_heartbeat_at(&self) -> Millis {
         self.next_heartbeat_at
