--- a/crates/consensus/tests/disk_faults.rs
+++ b/crates/consensus/tests/disk_faults.rs
@@ -29,7 +29,7 @@
             let disk = Arc::new(Mutex::new(FaultyDisk::new()));
             let current = Arc::clone(&disk);
             slot.open_store = Arc::new(move |owner| {
-                let disk = current.lock().expect("not poisoned").clone();
+                let disk = current.lock().expect("the lock is poisoned").clone();
                 Store::open_on(disk, owner).expect("the store was not opened")
             });
             slot.start().expect("the replica did not start");
@@ -39,7 +39,7 @@
     }
 
     fn disk(&self, id: u64) -> FaultyDisk {
-        self.disks[&id].lock().expect("not poisoned").clone()
+        self.disks[&id].lock().expect("the lock is poisoned").clone()
     }
 
     /// Cuts the power of these replicas at the same moment; their disks are left as a crash leaves them.
@@ -56,7 +56,7 @@
                 _ => UnsyncedWrites::SubsetKept { seed: seed + id },
             };
             let after_crash = self.disk(*id).after_crash(unsynced_writes);
-            *self.disks[id].lock().expect("not poisoned") = after_crash;
+            *self.disks[id].lock().expect("the lock is poisoned") = after_crash;
         }
     }
 }
--- a/crates/consensus/tests/foreign_messages.rs
+++ b/crates/consensus/tests/foreign_messages.rs
@@ -115,7 +115,7 @@
     let empty_slot = ReplicaSlot::new(group.slot(wiped).config.clone());
     let old_slot = group.slots.insert(wiped, empty_slot);
     group.slot(behind).start().expect("the replica did not start again");
-    group.slot(wiped).start().expect("it starts on an empty disk");
+    group.slot(wiped).start().expect("the replica did not start on an empty disk");
     let refused =
         |status: &consensus::Status| status.last_refusal.as_ref().is_some_and(|line| line.contains("disk"));
     group.wait_for_status(behind, refused).await;
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -44,7 +44,7 @@
         tokio::task::spawn_blocking(move || ended.slot(old).kill()).await.expect("the replica did not end");
     }
     done.store(true, Ordering::Relaxed);
-    let acknowledged = writer.await.expect("the writer ends");
+    let acknowledged = writer.await.expect("the writer panicked");
     let status = group
         .wait_for_status(6, |status| {
             status.replicas.iter().all(|peer| peer.voter) && !status.membership_changing
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -50,7 +50,7 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("plain data")
+        serde_json::to_vec(self).expect("the value cannot be serialized")
     }
 
     fn restore(bytes: &[u8]) -> Result<Self, String> {
@@ -90,12 +90,12 @@
     ];
     TcpListener::bind((std::net::Ipv4Addr::from(host), 0))
         .and_then(|listener| listener.local_addr())
-        .expect("a free port on loopback")
+        .expect("no free port on loopback")
 }
 
 impl ReplicaSlot {
     pub fn new(config: ReplicaConfig) -> Self {
-        let dir = tempfile::tempdir().expect("a directory");
+        let dir = tempfile::tempdir().expect("the temporary directory cannot be created");
         let path = dir.path().to_owned();
         let open_store = move |owner: &Owner| Store::open(&path, owner).expect("the store was not opened");
         Self {
@@ -113,7 +113,8 @@
         let (end, ended) = oneshot::channel();
         let (started, start_result) = std::sync::mpsc::channel();
         let thread = std::thread::spawn(move || {
-            let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime =
+                Builder::new_current_thread().enable_all().build().expect("the runtime cannot be built");
             runtime.block_on(async {
                 let owner = Owner { cluster: config.cluster.clone(), replica: config.id };
                 // Store calls of the replica that ran here before may still be ending.
@@ -130,13 +131,13 @@
             runtime.shutdown_timeout(TEST_TIMEOUT);
         });
         let (replica, handle) = start_result.recv().expect("the replica's thread has panicked")?;
-        *self.running.lock().expect("not poisoned") = Some(Running { replica, handle, end, thread });
+        *self.running.lock().expect("the lock is poisoned") = Some(Running { replica, handle, end, thread });
         Ok(())
     }
 
     /// Ends the replica at once, wherever it is.
     pub fn kill(&self) {
-        if let Some(running) = self.running.lock().expect("not poisoned").take() {
+        if let Some(running) = self.running.lock().expect("the lock is poisoned").take() {
             let Running { replica, end, thread, .. } = running;
             drop(replica);
             let _ = end.send(());
@@ -149,7 +150,7 @@
     pub fn suspend(&self) -> std::sync::mpsc::Sender<()> {
         let (resume, resumed) = std::sync::mpsc::channel();
         let (suspend, suspended) = std::sync::mpsc::channel();
-        let guard = self.running.lock().expect("not poisoned");
+        let guard = self.running.lock().expect("the lock is poisoned");
         guard.as_ref().expect("the replica is not running").handle.spawn(async move {
             let _ = suspend.send(());
             let _ = resumed.recv();
@@ -159,7 +160,7 @@
     }
 
     pub fn replica(&self) -> Option<Replica<TestState>> {
-        self.running.lock().expect("not poisoned").as_ref().map(|running| running.replica.clone())
+        self.running.lock().expect("the lock is poisoned").as_ref().map(|running| running.replica.clone())
     }
 
     /// Runs a call on the replica's own runtime; `None` if it does not run, or is killed meanwhile.
@@ -169,7 +170,7 @@
         F: Future<Output = T> + Send + 'static,
     {
         let call = {
-            let guard = self.running.lock().expect("not poisoned");
+            let guard = self.running.lock().expect("the lock is poisoned");
             let running = guard.as_ref()?;
             running.handle.spawn(f(running.replica.clone()))
         };
@@ -394,5 +395,5 @@
 
 /// Encodes a message of a replica as it is sent.
 pub fn encode_message(message: serde_json::Value) -> Bytes {
-    serde_json::to_vec(&message).expect("plain JSON").into()
+    serde_json::to_vec(&message).expect("the value cannot be serialized").into()
 }
--- a/crates/consensus/tests/suspended_leader.rs
+++ b/crates/consensus/tests/suspended_leader.rs
@@ -33,9 +33,9 @@
     assert!(replica.watch_leadership().borrow().is_local, "it already knows, so the test would show nothing");
     drop(suspended);
 
-    let confirmed = confirm.await.expect("no panic");
+    let confirmed = confirm.await.expect("a thread or task panicked");
     assert!(confirmed.is_err(), "a former leader confirmed its leadership");
-    let written = write.await.expect("no panic");
+    let written = write.await.expect("a thread or task panicked");
     assert!(
         matches!(written, Err(WriteError::Unavailable { .. } | WriteError::NotLeader { .. })),
         "{written:?}"
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -229,7 +229,7 @@
     fn an_update_survives_a_round_trip_through_json() {
         let host = Host {
             host: "s-1".into(),
-            dial: Some("127.0.0.1:9000".parse().expect("an address")),
+            dial: Some("127.0.0.1:9000".parse().expect("not an address")),
             zone: "a".into(),
             kind: "m".into(),
             cell: 3,
@@ -238,9 +238,9 @@
             born_ms: 12.5,
         };
         let update = Update { version: 41, whole: true, hosts: vec![host] };
-        let message = serde_json::to_vec(&update).expect("plain data");
-        assert_eq!(Update::parse(&message).expect("valid"), update);
-        assert!(String::from_utf8(message).expect("text").contains("\"seq\":41"));
+        let message = serde_json::to_vec(&update).expect("the value cannot be serialized");
+        assert_eq!(Update::parse(&message).expect("the update was refused"), update);
+        assert!(String::from_utf8(message).expect("not UTF-8").contains("\"seq\":41"));
     }
 
     #[test]
@@ -250,7 +250,9 @@
         };
         assert!(Update::parse(message("left").as_bytes()).is_ok());
         for health in ["active", "leaving"] {
-            let error = Update::parse(message(health).as_bytes()).expect_err("no address").to_string();
+            let error = Update::parse(message(health).as_bytes())
+                .expect_err("a server without an address was accepted")
+                .to_string();
             assert_eq!(error, "s: dial is missing");
         }
         assert!(matches!(Update::parse(b"{\"seq\":"), Err(DecodeError::Json(_))));
@@ -261,7 +263,7 @@
         let mut splitter = MessageSplitter::default();
         let mut messages = Vec::new();
         for piece in b"ab\r\n\nc".chunks(1) {
-            splitter.push(piece).expect("short");
+            splitter.push(piece).expect("the bytes were refused");
             messages.extend(splitter.by_ref());
         }
         assert_eq!((messages, splitter.remainder()), (vec![b"ab".to_vec(), Vec::new()], &b"c"[..]));
--- a/crates/endpoints/tests/deadlines.rs
+++ b/crates/endpoints/tests/deadlines.rs
@@ -70,7 +70,7 @@
 }
 
 fn host(name: &str, health: Health, born_ms: f64) -> Host {
-    let dial = Some("127.0.0.1:9000".parse().expect("an address"));
+    let dial = Some("127.0.0.1:9000".parse().expect("not an address"));
     let (zone, kind) = ("a".to_string(), "m".to_string());
     Host { host: name.into(), dial, zone, kind, cell: 0, health, weight: 1.0, born_ms }
 }
@@ -154,7 +154,7 @@
     }
 
     fn run_step(&mut self) {
-        let ((at, _), (id, step)) = self.pending.pop_first().expect("there is a next step");
+        let ((at, _), (id, step)) = self.pending.pop_first().expect("no step is pending");
         self.now = at;
         if matches!(step, Head(200) | List | Bytes("\n")) {
             self.last_activity = at;
@@ -177,7 +177,7 @@
                 let from: Option<u64> = self.paths[&id].split_once("from=").and_then(|(_, v)| v.parse().ok());
                 let whole = from.is_none_or(|from| from > version);
                 let message = update(version, whole, &[host("s0", health, 0.0)]);
-                let mut bytes = serde_json::to_vec(&message).expect("plain data");
+                let mut bytes = serde_json::to_vec(&message).expect("the value cannot be serialized");
                 bytes.push(b'\n');
                 self.event(Event::ResponseBytes(id, &bytes));
             }
@@ -204,7 +204,7 @@
         }
         simulation.run(FAULT_START + 30_000);
         longest.0 = longest.0.max(simulation.longest_gap);
-        longest.1 = longest.1.max(simulation.drained_at.expect("the drain is applied") - recovery);
+        longest.1 = longest.1.max(simulation.drained_at.expect("the drain was not applied") - recovery);
     }
     longest
 }
--- a/crates/endpoints/tests/message_handling.rs
+++ b/crates/endpoints/tests/message_handling.rs
@@ -8,7 +8,7 @@
 const MODES: [DeliveryMode; 2] = [DeliveryMode::Push, DeliveryMode::OnDemand];
 
 fn host(name: &str, health: Health) -> Host {
-    let dial = Some("127.0.0.1:9000".parse().expect("an address"));
+    let dial = Some("127.0.0.1:9000".parse().expect("not an address"));
     let (zone, kind) = ("a \"{[".to_string(), "\\}]".to_string());
     Host { host: name.into(), dial, zone, kind, cell: 0, health, weight: 1.0, born_ms: 0.0 }
 }
@@ -18,7 +18,7 @@
 }
 
 fn json_line(update: &Update) -> String {
-    serde_json::to_string(update).expect("plain data")
+    serde_json::to_string(update).expect("the value cannot be serialized")
 }
 
 /// A watcher and a record of its actions.
@@ -80,7 +80,7 @@
 /// watch from its first message on, and as a whole list.
 #[test]
 fn a_message_in_any_form_is_applied_with_its_last_byte() {
-    let indented = |u: &Update| serde_json::to_string_pretty(u).expect("plain data");
+    let indented = |u: &Update| serde_json::to_string_pretty(u).expect("the value cannot be serialized");
     type Form<'a> = &'a dyn Fn(&Update) -> String;
     let forms: [(Form, &str); 5] = [
         (&json_line, "\n"),
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -119,7 +119,7 @@
             () = state.changed() => {}
             written = write => {
                 let written = written.map_err(|_| ConnectionReset)?;
-                let chunk = buffer.front_mut().expect("a part of it was written");
+                let chunk = buffer.front_mut().expect("the buffer is empty");
                 if chunk.bytes.is_empty() {
                     return Ok(());
                 }
--- a/crates/relay/src/listener.rs
+++ b/crates/relay/src/listener.rs
@@ -70,7 +70,7 @@
             listener = port.listen().ok();
         }
         let accepted = async {
-            let permit = permits.clone().acquire_owned().await.expect("never closed");
+            let permit = permits.clone().acquire_owned().await.expect("the semaphore is closed");
             match &listener {
                 Some(listener) => listener.accept().await.map(|(client, _)| (client, permit)),
                 None => std::future::pending().await,
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -57,7 +57,7 @@
     let mut connections = JoinSet::new();
     loop {
         let accepted = async {
-            let permit = permits.clone().acquire_owned().await.expect("never closed");
+            let permit = permits.clone().acquire_owned().await.expect("the semaphore is closed");
             listener.accept().await.map(|(stream, _)| (stream, permit))
         };
         tokio::select! {
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -15,8 +15,9 @@
 
 /// Starts a server's listener, and a relay to it.
 async fn start_link() -> (TcpListener, Relay) {
-    let server = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let relay = Relay::start(server.local_addr().expect("bound")).expect("a port");
+    let server = TcpListener::bind("127.0.0.1:0").await.expect("no free port");
+    let relay =
+        Relay::start(server.local_addr().expect("the local address is unknown")).expect("no free port");
     (server, relay)
 }
 
@@ -154,7 +155,7 @@
     let (mut client, mut server_end) = connect(&server, &relay).await;
     let (mut idle_client, mut idle_server_end) = connect(&server, &relay).await;
     relay.set_fault(to_target(Forwarding::Discard));
-    client.write_all(&vec![7; 4 * MAX_BUFFERED_BYTES]).await.expect("all of it is written");
+    client.write_all(&vec![7; 4 * MAX_BUFFERED_BYTES]).await.expect("the write failed");
     assert_receives_nothing(&mut server_end).await;
     server_end.write_all(b"back").await.expect("the write failed");
     assert_receives(&mut client, b"back").await;
--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -678,7 +678,7 @@
     fn a_newer_schema_version_is_refused() {
         let disk = FaultyDisk::new();
         let owner = Owner { cluster: "north".to_owned(), replica: 1 };
-        let store = Store::open_on(disk.clone(), &owner).expect("a new disk");
+        let store = Store::open_on(disk.clone(), &owner).expect("a new disk was refused");
         let newer = frame::pack(SCHEMA_PROPERTY.as_bytes(), &(SCHEMA_VERSION + 1).to_le_bytes());
         let written = store.0.write(|transaction| {
             transaction.inner.open_table(PROPERTIES_TABLE)?.insert(SCHEMA_PROPERTY, newer.as_slice())?;
@@ -686,7 +686,7 @@
         });
         written.expect("the newer version was not written");
         drop(store);
-        let refused = Store::open_on(disk, &owner).expect_err("a newer schema");
+        let refused = Store::open_on(disk, &owner).expect_err("a newer schema was accepted");
         assert!(matches!(refused, StoreError::NewerSchema { found: 2, supported: 1, .. }), "{refused}");
     }
 }
--- a/crates/store/tests/faults/crash.rs
+++ b/crates/store/tests/faults/crash.rs
@@ -14,11 +14,11 @@
 
 /// Runs the script; returns the model after each operation, with the number of disk changes when it returned.
 fn run_recorded(disk: &FaultyDisk) -> Vec<(usize, Model)> {
-    let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
+    let store = Store::open_on(disk.clone(), &owner()).expect("a new disk was refused");
     let mut model = Model::default();
     let mut acknowledged = vec![(disk.change_count(), model.clone())];
     for operation in script() {
-        model.apply_to(&store, &operation).expect("no faults");
+        model.apply_to(&store, &operation).expect("an operation failed without a fault");
         model = model.after(&operation);
         acknowledged.push((disk.change_count(), model.clone()));
     }
@@ -33,7 +33,7 @@
 }
 
 fn matches_one_of(store: &Store, models: &[&Model]) -> bool {
-    models.iter().any(|model| model.matches(store).expect("a crash is not damage"))
+    models.iter().any(|model| model.matches(store).expect("a crash was taken for damage"))
 }
 
 #[test]
@@ -65,7 +65,7 @@
         let after_first = disk.after_crash_at(change, UnsyncedWrites::SubsetKept { seed: change as u64 });
         let image = after_first.contents();
         let opening = FaultyDisk::recording_from(image);
-        drop(Store::open_on(opening.clone(), &owner()).expect("opened"));
+        drop(Store::open_on(opening.clone(), &owner()).expect("the disk was refused"));
         for second in 0..opening.change_count() {
             let after_second =
                 opening.after_crash_at(second, UnsyncedWrites::SubsetKept { seed: second as u64 });
@@ -94,8 +94,11 @@
             Err(error) => errors.push(error),
         }
         let after = model.after(operation);
-        if !model.matches(store).expect("the disk works again") {
-            assert!(after.matches(store).expect("the disk works again"), "{operation:?} was applied in part");
+        if !model.matches(store).expect("the store cannot be read") {
+            assert!(
+                after.matches(store).expect("the store cannot be read"),
+                "{operation:?} was applied in part"
+            );
             *model = after;
             return errors;
         }
@@ -115,7 +118,7 @@
         let disk = FaultyDisk::new();
         disk.fail_after(failing);
         let Ok(store) = Store::open_on(disk.clone(), &owner()) else {
-            Store::open_on(disk, &owner()).expect("the second attempt opens it");
+            Store::open_on(disk, &owner()).expect("the second attempt to open it failed");
             reported += 1;
             continue;
         };
@@ -127,8 +130,8 @@
             }
         }
         disk.power_off();
-        let store =
-            Store::open_on(disk.after_crash(UnsyncedWrites::Lost), &owner()).expect("opened after a crash");
+        let store = Store::open_on(disk.after_crash(UnsyncedWrites::Lost), &owner())
+            .expect("the disk was refused after the crash");
         assert!(model.matches(&store).expect("the disk was reported as damaged"), "call {failing} failed");
     }
     println!("{reported} failures reported in {calls} runs");
@@ -139,7 +142,7 @@
 fn a_full_disk_is_reported_stays_readable_and_works_again_with_space() {
     for blocks in 0..60 {
         let disk = FaultyDisk::new();
-        let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
+        let store = Store::open_on(disk.clone(), &owner()).expect("a new disk was refused");
         disk.set_capacity(Some(disk.used_bytes() + blocks * 4096));
         let mut model = Model::default();
         let filling = Operation::Append(1, 5000);
@@ -151,17 +154,23 @@
         };
         assert!(matches!(full, StoreError::Full { .. }) && full.advice().contains("make room"), "{full}");
         for _ in 0..3 {
-            assert!(model.matches(&store).expect("it can be read"), "with space for {blocks} blocks");
+            assert!(
+                model.matches(&store).expect("the store cannot be read"),
+                "with space for {blocks} blocks"
+            );
             assert!(matches!(model.apply_to(&store, &filling), Err(StoreError::Full { .. })));
         }
         drop(store);
-        let store = Store::open_on(disk.clone(), &owner()).expect("a full disk opens");
-        assert!(model.matches(&store).expect("it can be read"), "with space for {blocks} blocks, reopened");
+        let store = Store::open_on(disk.clone(), &owner()).expect("a full disk was refused");
+        assert!(
+            model.matches(&store).expect("the store cannot be read"),
+            "with space for {blocks} blocks, reopened"
+        );
         disk.set_capacity(None);
         for operation in script() {
-            model.apply_to(&store, &operation).expect("there is space");
+            model.apply_to(&store, &operation).expect("an operation failed with enough space");
             model = model.after(&operation);
         }
-        assert!(model.matches(&store).expect("read"));
+        assert!(model.matches(&store).expect("the store cannot be read"));
     }
 }
--- a/crates/store/tests/faults/damage.rs
+++ b/crates/store/tests/faults/damage.rs
@@ -10,10 +10,10 @@
 /// A disk's contents after the operations of [`script`], closed cleanly or by a power failure, and the matching model.
 fn written(closed_cleanly: bool) -> (Vec<u8>, Model) {
     let disk = FaultyDisk::new();
-    let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
+    let store = Store::open_on(disk.clone(), &owner()).expect("a new disk was refused");
     let mut model = Model::default();
     for operation in script() {
-        model.apply_to(&store, &operation).expect("no faults");
+        model.apply_to(&store, &operation).expect("an operation failed without a fault");
         model = model.after(&operation);
     }
     if !closed_cleanly {
@@ -97,7 +97,7 @@
 
 /// Checks that a disk that was read as intact accepts more operations and stays intact: new data does not overwrite old.
 fn assert_usable(disk: &FaultyDisk, mut model: Model, seed: u64) {
-    let store = Store::open_on(disk.clone(), &owner()).expect("it was opened before");
+    let store = Store::open_on(disk.clone(), &owner()).expect("a disk that was read as intact was refused");
     for operation in [
         Operation::Append(3, 9000),
         Operation::Put(3, 9000),
--- a/crates/store/tests/faults/properties.rs
+++ b/crates/store/tests/faults/properties.rs
@@ -22,14 +22,14 @@
     #[test]
     fn the_store_matches_its_model(operations in prop::collection::vec((operation(), any::<bool>()), 1..40)) {
         let disk = FaultyDisk::new();
-        let mut store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
+        let mut store = Store::open_on(disk.clone(), &owner()).expect("a new disk was refused");
         let mut model = Model::default();
         for (operation, reopen) in operations {
-            model.apply_to(&store, &operation).expect("no faults");
+            model.apply_to(&store, &operation).expect("an operation failed without a fault");
             model = model.after(&operation);
             if reopen {
                 drop(store);
-                store = Store::open_on(disk.clone(), &owner()).expect("the same disk");
+                store = Store::open_on(disk.clone(), &owner()).expect("the disk was refused");
             }
             prop_assert!(model.matches(&store).expect("the disk was reported as damaged"), "after {:?}", operation);
         }
@@ -47,10 +47,10 @@
             operations.extend([Operation::Snapshot(100_000), Operation::Purge(purged)]);
         }
         for operation in operations {
-            model.apply_to(store, &operation).expect("no faults");
+            model.apply_to(store, &operation).expect("an operation failed without a fault");
             *model = model.after(&operation);
         }
-        greatest = greatest.max(store.file_size().expect("a size"));
+        greatest = greatest.max(store.file_size().expect("the file size cannot be read"));
     }
     greatest
 }
@@ -58,16 +58,16 @@
 #[test]
 fn a_long_run_takes_no_more_space_than_a_short_one() {
     let disk = FaultyDisk::new();
-    let store = Store::open_on(disk.clone(), &owner()).expect("a new disk");
+    let store = Store::open_on(disk.clone(), &owner()).expect("a new disk was refused");
     let mut model = Model::default();
     let short = run(&store, &mut model, 500);
     let long = run(&store, &mut model, 2000);
     println!("{short} bytes after 500 entries, {long} after 2500");
     assert!(long <= short, "{short} bytes at most in 500 entries, then {long}");
     let large_log = Operation::Append(4000, 1000);
-    model.apply_to(&store, &large_log).expect("no faults");
+    model.apply_to(&store, &large_log).expect("an operation failed without a fault");
     model = model.after(&large_log);
-    let grown = store.file_size().expect("a size");
+    let grown = store.file_size().expect("the file size cannot be read");
     let after_purge = run(&store, &mut model, 300);
     println!("{grown} bytes with 4 MB of log, {after_purge} at most after its purge");
     assert!(after_purge <= grown, "purged space is not reused");
