--- a/tests/agreed.rs
+++ b/tests/agreed.rs
@@ -40,7 +40,7 @@
 /// Sends a request; its status and the epoch it was admitted under.
 fn send_request(node: &Node, txn: &str) -> (u16, Option<u64>) {
     let response = Client::connect(node).exchange(&request("look", txn, 10_000));
-    (response.status(), response.header("x-policy-epoch").map(|e| e.parse().expect("a number")))
+    (response.status(), response.header("x-policy-epoch").map(|e| e.parse().expect("not a number")))
 }
 
 /// Waits until the node serves requests under this epoch.
@@ -87,7 +87,7 @@
     group.commit_change(json!({"Limits": {"AttemptsCap": 1}}));
     wait_served_under(&node, 1);
     assert!(sends_once(&node));
-    let response = earlier.receive().expect("a response");
+    let response = earlier.receive().expect("no response");
     assert_eq!((response.status(), response.header("x-policy-epoch")), (200, Some("0")), "it was retried");
     group.stage_change(json!({"Limits": {"AttemptsCap": 2}}));
     group.finish_change(false);
@@ -146,7 +146,7 @@
     open.send(&request("look", "long", 10_000));
     wait_until("its promise has passed", || send_request(&node, "t1") == (503, None));
     assert_eq!((metric(&node, "policy.held"), node.admin_call("GET /ready").0), (1, 503));
-    assert_eq!(open.receive().expect("a response").status(), 200);
+    assert_eq!(open.receive().expect("no response").status(), 200);
     group.finish_change(true);
     group.set_silent(true, false);
     wait_served_under(&node, 1);
@@ -202,7 +202,7 @@
     wait_until("its promise has passed", || stopped_at.elapsed().as_secs_f64() * 1000.0 > PROMISE_MS + 50.0);
     group.finish_change(true);
     node.signal("-CONT");
-    assert_eq!(client.receive().expect("a response").status(), 503);
+    assert_eq!(client.receive().expect("no response").status(), 503);
     group.set_silent(false, false);
     wait_served_under(&node, 1);
 }
@@ -235,7 +235,7 @@
     let group = Group::new();
     let (_registry, mut config) = member_config(&group);
     let state_dir = format!("{}/state", temp_dir("saved"));
-    std::fs::write(&state_dir, "").expect("a file where the directory should be");
+    std::fs::write(&state_dir, "").expect("the file cannot be written");
     config["control"]["start"] = json!("saved");
     config["control"]["saved_after_ms"] = json!(300);
     config["state_dir"] = json!(state_dir);
@@ -244,8 +244,8 @@
     let node = Node::start_ready(&config);
     wait_until("the failure is logged", || node.has_logged("the epoch is not saved"));
     assert_eq!(send_request(&node, "t1"), (200, Some(0)));
-    std::fs::remove_file(&state_dir).expect("the file");
-    std::fs::create_dir(&state_dir).expect("a directory");
+    std::fs::remove_file(&state_dir).expect("the file cannot be removed");
+    std::fs::create_dir(&state_dir).expect("the directory cannot be created");
     wait_until("it is saved", || node.has_logged("epoch 0 is saved") && !saved().is_empty());
     group.commit_change(json!({"Limits": {"AttemptsCap": 1}}));
     wait_until("the next epoch is saved", || saved().contains("\"epoch\":1"));
@@ -255,7 +255,7 @@
     wait_served_under(&node, 1);
     assert!(sends_once(&node));
     drop(node);
-    std::fs::write(&file, saved().replace("\"epoch\":1", "\"epoch\":7")).expect("a damaged file");
+    std::fs::write(&file, saved().replace("\"epoch\":1", "\"epoch\":7")).expect("the file cannot be written");
     let started = Instant::now();
     let node = Node::start_listening(&config, None);
     wait_until("the damage is logged", || node.has_logged("damaged, ignored"));
@@ -268,7 +268,7 @@
 fn both_processes_are_members_during_an_upgrade() {
     let group = Group::new();
     let (_registry, config) = member_config(&group);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no free port");
     let mut old = Node::start_inheriting(&config, &listener, &[]);
     wait_until("it is ready", || old.admin_call("GET /ready").0 == 200);
     let new = Node::start_inheriting(&config, &listener, &[]);
@@ -289,7 +289,10 @@
 fn the_leader_is_found_past_a_follower_and_an_unreachable_replica() {
     let (group, follower) = (Group::new(), Group::new());
     follower.redirect_to(group.address);
-    let unreachable = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let unreachable = TcpListener::bind("127.0.0.1:0")
+        .expect("no free port")
+        .local_addr()
+        .expect("the local address is unknown");
     let (_registry, mut config) = member_config(&group);
     for replicas in [[unreachable, follower.address], [follower.address, unreachable]] {
         config["control"]["replicas"] = json!(replicas.map(|address| address.to_string()));
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -33,7 +33,7 @@
     let attempted = Mutex::new(BTreeSet::new());
     TestServer::new(move |m| {
         let txn = m.header("x-txn").unwrap_or_default().to_string();
-        if m.path() != "/health" && attempted.lock().expect("no panic").insert(txn) {
+        if m.path() != "/health" && attempted.lock().expect("the lock is poisoned").insert(txn) {
             first(m)
         } else {
             Reply::Send(http_response(200, "", "served"))
@@ -52,12 +52,14 @@
 
 impl FullListener {
     fn new() -> Self {
-        let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("no socket can be created");
+        socket
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("not an address").into())
+            .expect("no free port");
         socket.listen(0).expect("the socket cannot listen");
         let listener: TcpListener = socket.into();
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the local address is unknown");
         let mut fillers = Vec::new();
         while let Ok(filler) = TcpStream::connect_timeout(&address, 200 * MS) {
             fillers.push(filler);
@@ -74,7 +76,7 @@
 
 /// How many connections to this address are in a state, given as the hexadecimal code of `/proc/net/tcp`.
 fn connections(address: SocketAddr, state: &str) -> usize {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table cannot be read");
     let port = format!(":{:04X}", address.port());
     let fields = |line: &str| line.split_whitespace().map(str::to_owned).collect::<Vec<_>>();
     table.lines().map(fields).filter(|f| f[2].ends_with(&port) && f[3] == state).count()
@@ -109,7 +111,7 @@
     std::thread::sleep((300 * MS).saturating_sub(sent_at.elapsed()));
     let delay = sent_at.elapsed();
     let server = listener.open(|_| Reply::Send(http_response(200, "", "late")));
-    assert_eq!(client.receive().expect("a response").body, b"late");
+    assert_eq!(client.receive().expect("no response").body, b"late");
     let remaining: u64 = server.requests()[0]
         .header("x-remaining-ms")
         .and_then(|v| v.parse().ok())
@@ -246,7 +248,9 @@
                 Reply::Custom(Box::new(move |out| {
                     let _ = out.write_all(head.as_bytes());
                     wait_until("the client has some of it", || may_reset.load(Ordering::SeqCst));
-                    socket2::SockRef::from(&*out).set_linger(Some(Duration::ZERO)).expect("a socket");
+                    socket2::SockRef::from(&*out)
+                        .set_linger(Some(Duration::ZERO))
+                        .expect("SO_LINGER cannot be set");
                 }))
             });
             let (_registry, config) = tolerant_config(server.address);
@@ -310,7 +314,7 @@
         let attempted = Mutex::new(BTreeSet::new());
         let server = TestServer::new(move |m| {
             let txn = m.header("x-txn").unwrap_or_default().to_string();
-            match (txn.starts_with("keep"), attempted.lock().expect("no panic").insert(txn)) {
+            match (txn.starts_with("keep"), attempted.lock().expect("the lock is poisoned").insert(txn)) {
                 (false, true) if reset => Reply::reset(b""),
                 (false, true) => Reply::SendAndClose(Vec::new()),
                 _ => Reply::Send(http_response(200, "", "served")),
@@ -340,7 +344,7 @@
     let arrived = Arc::new(Mutex::new(BTreeSet::new()));
     let server = TestServer::new(move |m| {
         let txn = m.header("x-txn").unwrap_or("?").to_string();
-        arrived.lock().expect("no panic").insert(txn.clone());
+        arrived.lock().expect("the lock is poisoned").insert(txn.clone());
         let Some(n) = txn.strip_prefix("first") else { return Reply::Send(http_response(200, "", &txn)) };
         let (arrived, next) = (arrived.clone(), format!("next{n}"));
         let response = http_response(200, "", &txn);
@@ -348,11 +352,12 @@
             let _ = out.write_all(&response);
             // The next request may also come on this connection, where it is not read.
             let mut byte = [0; 1];
-            out.set_nonblocking(true).expect("a socket");
+            out.set_nonblocking(true).expect("the blocking mode cannot be set");
             wait_until("the next request has arrived", || {
-                arrived.lock().expect("no panic").contains(&next) || matches!(out.peek(&mut byte), Ok(1))
+                arrived.lock().expect("the lock is poisoned").contains(&next)
+                    || matches!(out.peek(&mut byte), Ok(1))
             });
-            out.set_nonblocking(false).expect("a socket");
+            out.set_nonblocking(false).expect("the blocking mode cannot be set");
             let _ = out.write_all(&response);
             let _ = out.read(&mut [0; 1000]);
         }))
@@ -386,8 +391,8 @@
         (http_response(500, "", ""), 502),
         (http_response(400, "", ""), 502),
     ] {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no free port");
+        let address = listener.local_addr().expect("the local address is unknown");
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.expect("accept failed");
@@ -459,8 +464,8 @@
     client.send(
         &[("first", 15_000), ("second", 5000), ("third", 400)].map(|(t, n)| request("slip", t, n)).concat(),
     );
-    assert_eq!([(); 2].map(|()| client.receive().expect("a response").status()), [200, 200]);
-    assert!(client.receive().expect("a response").status() > 500);
+    assert_eq!([(); 2].map(|()| client.receive().expect("no response").status()), [200, 200]);
+    assert!(client.receive().expect("no response").status() > 500);
     let requests = server.requests();
     assert_eq!(requests.len(), 2);
     let remaining: u64 =
--- a/tests/bodies.rs
+++ b/tests/bodies.rs
@@ -35,13 +35,13 @@
     let mut client = Client::connect(&node);
     let whole = request("look", "t1", 900);
     send_paced(&mut client, whole.as_bytes().chunks(whole.len().div_ceil(12)), 100 * MS);
-    assert_eq!(client.receive().expect("a response").status(), 200);
+    assert_eq!(client.receive().expect("no response").status(), 200);
     // A body slower than the least rate that the node expects, for longer than it waits for a stalled one.
     client.send(&head("t2", 2500, "Content-Length: 61440"));
     let started = Instant::now();
     send_paced(&mut client, [b'x'; 61_440].chunks(2048), 90 * MS);
     assert!(started.elapsed() > 2500 * MS);
-    assert_eq!(client.receive().expect("a response").status(), 200);
+    assert_eq!(client.receive().expect("no response").status(), 200);
     assert_eq!(server.requests()[1].body.len(), 61440);
 }
 
@@ -219,7 +219,7 @@
             client.send(&head(txn, 5000, "Content-Length: 1000000"));
             client.send_bytes(&body);
         }
-        let response = client.receive().expect("a response");
+        let response = client.receive().expect("no response");
         assert_eq!(response.status(), if txn == "fails" { 502 } else { 200 }, "{txn}");
     }
     let requests = server.requests();
@@ -228,7 +228,7 @@
     // In small pieces, over more than its remaining time.
     client.send(&head("slow", 2000, "Content-Length: 100000"));
     send_paced(&mut client, body[..100_000].chunks(5000), 120 * MS);
-    assert_eq!(client.receive().expect("a response").status(), 200);
+    assert_eq!(client.receive().expect("no response").status(), 200);
     assert_eq!(server.requests()[3].body, body[..100_000]);
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -96,7 +96,7 @@
 
     /// A node with this list and seed.
     pub fn new_seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
-        let balancer = Balancer::new(settings, seed).expect("good settings");
+        let balancer = Balancer::new(settings, seed).expect("the settings were refused");
         let mut node = Self { balancer, now: 1000.0, next_id: 0, attempts: BTreeMap::new() };
         node.event(Event::List { entries, saved: true });
         node
--- a/tests/group/mod.rs
+++ b/tests/group/mod.rs
@@ -40,7 +40,7 @@
 
 /// A policy from the JSON object of its settings.
 pub fn policy(settings: Value) -> Policy {
-    Policy(settings.as_object().expect("an object").clone())
+    Policy(settings.as_object().expect("not an object").clone())
 }
 
 impl Group {
@@ -63,8 +63,8 @@
             leader: None,
             heartbeat_ms: 20.0,
         };
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no free port");
+        let address = listener.local_addr().expect("the local address is unknown");
         let group = Self { address, state: Arc::new(Mutex::new(state)) };
         let this = group.clone();
         std::thread::spawn(move || {
@@ -77,7 +77,7 @@
     }
 
     fn with_state<T>(&self, f: impl FnOnce(&mut GroupState) -> T) -> T {
-        f(&mut self.state.lock().expect("no panic"))
+        f(&mut self.state.lock().expect("the lock is poisoned"))
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
@@ -118,9 +118,9 @@
                 (!state.heartbeats_silent).then(|| (200, serde_json::to_string(&answer)))
             });
             match response {
-                Some((status, body)) => {
-                    writer.write_all(&http_response(status, "", &body.expect("plain data"))).ok()?
-                }
+                Some((status, body)) => writer
+                    .write_all(&http_response(status, "", &body.expect("the value cannot be serialized")))
+                    .ok()?,
                 None => std::thread::sleep(WAIT_TIMEOUT),
             }
         }
@@ -136,7 +136,7 @@
             if let Some(agreed) = agreed {
                 last_sent = agreed.version;
                 let news = WatchEvent { version: last_sent, agreed_state: Some(agreed), verdicts: None };
-                let line = serde_json::to_string(&news).expect("plain data");
+                let line = serde_json::to_string(&news).expect("the value cannot be serialized");
                 write!(writer, "{:x}\r\n{line}\n\r\n", line.len() + 1).ok()?;
             }
             std::thread::sleep(Duration::from_millis(5));
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -23,7 +23,7 @@
 fn config_without_timeouts(discovery: SocketAddr) -> Value {
     let mut config = config(discovery);
     config["settings"]["Limits"]["ConnectTimeout"] = json!(DEADLINE_MS as f64);
-    for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
+    for class in config["settings"]["Classes"].as_array_mut().expect("the settings have no classes") {
         class["Slo"] = json!(DEADLINE_MS as f64);
     }
     config
@@ -87,7 +87,7 @@
 /// begins with `w`, and that the node has no request left.
 fn assert_released(node: &Node, server: &TestServer, case: &str, limit: usize) {
     for n in 0..4 {
-        let response = send_unsafe(node, &format!("after{n}")).receive().expect("a response");
+        let response = send_unsafe(node, &format!("after{n}")).receive().expect("no response");
         assert_eq!(response.status(), 200, "{case}");
     }
     assert!(attempts(server) <= limit, "{case}: an attempt was sent for a client that had left");
@@ -178,12 +178,12 @@
 fn a_connection_established_after_its_client_left_carries_no_request() {
     for how in DISCONNECTS {
         // A listener with a full backlog completes no further connection until it accepts one.
-        let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("no socket can be created");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("no free port");
         socket.listen(0).expect("the socket cannot listen");
         let full: TcpListener = socket.into();
-        let at = full.local_addr().expect("bound");
+        let at = full.local_addr().expect("the local address is unknown");
         let connect = |_| std::net::TcpStream::connect_timeout(&at, Duration::from_millis(300)).ok();
         let fillers: Vec<_> = (0..3).filter_map(connect).collect();
         let registry = Registry::new(&[host("s0", at, "active", 1)]);
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -18,7 +18,7 @@
         let (attempted, first) = (attempted.clone(), first.clone());
         TestServer::new(move |m| {
             let txn = m.header("x-txn").unwrap_or_default().to_string();
-            if m.path() != "/health" && attempted.lock().expect("no panic").insert(txn) {
+            if m.path() != "/health" && attempted.lock().expect("the lock is poisoned").insert(txn) {
                 first()
             } else {
                 Reply::Send(http_response(200, "", "served"))
@@ -107,7 +107,10 @@
 /// A request whose connection was refused never ran, so even an unsafe one goes to the other server.
 #[test]
 fn an_unsafe_request_survives_a_refused_connection() {
-    let refusing = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let refusing = TcpListener::bind("127.0.0.1:0")
+        .expect("no free port")
+        .local_addr()
+        .expect("the local address is unknown");
     let good = TestServer::ok("good");
     let registry = Registry::new(&[host("s0", refusing, "active", 1), host("s1", good.address, "active", 2)]);
     let node = Node::start_ready(&config(registry.address));
@@ -170,7 +173,7 @@
     let response = Client::connect(&node).exchange(&request("slip", "t1", 15_000));
     assert_eq!(response.status(), 503);
     let retry_after_s: f64 =
-        response.header("retry-after").and_then(|v| v.parse().ok()).expect("a number of seconds");
+        response.header("retry-after").and_then(|v| v.parse().ok()).expect("Retry-After is not a number");
     assert!(retry_after_s > 0.0 && retry_after_s <= 2.0, "{retry_after_s}");
 }
 
@@ -218,7 +221,7 @@
     registry.publish(2, &moved, &moved);
     wait_until("the move is known", || client.exchange(&request("look", "t1", 15_000)).body == b"new");
     release.store(true, std::sync::atomic::Ordering::SeqCst);
-    assert_eq!(slow.receive().expect("a response").body, b"old");
+    assert_eq!(slow.receive().expect("no response").body, b"old");
     assert_eq!(client.exchange(&request("look", "t2", 15_000)).body, b"new");
 }
 
@@ -226,11 +229,14 @@
 #[test]
 fn a_request_that_waits_for_a_connection_is_not_sent_to_a_removed_server() {
     // A listener with a full backlog completes no further connection until it accepts one.
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().expect("an address").into()).expect("a port");
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("no socket can be created");
+    socket
+        .bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().expect("not an address").into())
+        .expect("no free port");
     socket.listen(0).expect("the socket cannot listen");
     let full: TcpListener = socket.into();
-    let at_full = full.local_addr().expect("bound");
+    let at_full = full.local_addr().expect("the local address is unknown");
     let fillers: Vec<_> = (0..3)
         .filter_map(|_| std::net::TcpStream::connect_timeout(&at_full, Duration::from_millis(300)).ok())
         .collect();
@@ -253,7 +259,7 @@
     });
     drop(fillers);
     let removed = TestServer::with_listener(full, |_| Reply::Send(http_response(200, "", "late")));
-    assert_eq!(client.receive().expect("a response").body, b"good");
+    assert_eq!(client.receive().expect("no response").body, b"good");
     assert!(removed.requests().is_empty(), "{:?}", removed.requests());
 }
 
@@ -454,7 +460,7 @@
     });
     let response = Client::connect(&node).exchange(&request("slip", "after", 15_000));
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
-    let response = slow.receive().expect("an accepted request is answered");
+    let response = slow.receive().expect("no response to an accepted request");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(idle.closed(), "idle connections are closed");
     assert_eq!(node.wait_exit_code(), Some(0));
@@ -634,7 +640,7 @@
                     txn.len()
                 )
             } else {
-                String::from_utf8(http_response(200, "", txn)).expect("text")
+                String::from_utf8(http_response(200, "", txn)).expect("not UTF-8")
             };
             Reply::Send(response.repeat(2).into_bytes())
         });
@@ -659,7 +665,7 @@
     client.send(&request("slip", "t1", 25_000));
     wait_until("the attempt is sent", || server.requests().len() == 1);
     node.terminate();
-    assert_eq!(client.receive().expect("a response").status(), 502);
+    assert_eq!(client.receive().expect("no response").status(), 502);
     assert_eq!(node.wait_exit_code(), Some(0));
 }
 
@@ -717,7 +723,10 @@
 /// A node that starts with a saved list while discovery is down serves by that list.
 #[test]
 fn a_node_serves_by_its_saved_list_while_discovery_is_down() {
-    let refusing = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let refusing = TcpListener::bind("127.0.0.1:0")
+        .expect("no free port")
+        .local_addr()
+        .expect("the local address is unknown");
     let good = TestServer::ok("a");
     let registry = Registry::new(&[]);
     registry.set_down(true);
@@ -757,7 +766,7 @@
 fn a_log_that_nobody_reads_delays_no_request_and_counts_dropped_lines() {
     let failing = TestServer::new(|_| Reply::Send(http_response(500, "", "")));
     let registry = Registry::new(&[host("s0", failing.address, "active", 0)]);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no free port");
     let (node, log) = Node::start_with_full_log(&config(registry.address), &listener);
     let mut client = Client::connect(&node);
     // The node logs at most 21 lines in half a second and queues 256: the queue is full after 6.5 s, or in less than 12
@@ -771,7 +780,7 @@
         assert!(sent_at.elapsed() < Duration::from_secs(2), "request {sent} was delayed");
         std::thread::sleep(Duration::from_millis(5));
     }
-    log.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
+    log.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout cannot be set");
     let mut lines = BufReader::new(log).lines().map_while(Result::ok);
     assert!(lines.any(|line| line.contains("lines dropped so far")));
 }
@@ -779,7 +788,7 @@
 /// A bad configuration ends the program with one line that names the field.
 #[test]
 fn a_bad_configuration_names_the_field() {
-    let valid = config("127.0.0.1:1".parse().expect("an address"));
+    let valid = config("127.0.0.1:1".parse().expect("not an address"));
     type Spoil = fn(&mut Value);
     let cases: [(&str, Spoil); 6] = [
         ("listen", |c| c["listen"] = json!("nowhere")),
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -78,8 +78,8 @@
 #[test]
 fn an_unusable_admin_address_ends_the_start_and_is_named() {
     let registry = Registry::new(&[]);
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let in_use = listener.local_addr().expect("bound").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no free port");
+    let in_use = listener.local_addr().expect("the local address is unknown").to_string();
     for address in [json!("nowhere"), json!(7), json!(""), json!(in_use)] {
         let mut config = config(registry.address);
         config["admin_addr"] = address.clone();
@@ -132,7 +132,7 @@
 /// A configuration with deadlines of 1.5 s: the platform kills a process its longest deadline and 0.7 s after SIGTERM.
 fn config_for_replacement(registry: &Registry) -> Value {
     let mut config = config_with_admin(registry);
-    for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
+    for class in config["settings"]["Classes"].as_array_mut().expect("the settings have no classes") {
         class["Deadline"] = json!(1500.0);
     }
     config
@@ -140,7 +140,7 @@
 
 /// The listener that the platform holds and each process inherits.
 fn platform_listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a port")
+    TcpListener::bind("127.0.0.1:0").expect("no free port")
 }
 
 /// Waits until `GET /ready` at the admin address is answered with 200, without a connection to the shared listener.
@@ -161,8 +161,11 @@
     let served_counts: Arc<[AtomicUsize; 6]> = Arc::default();
     let clients: Vec<_> = (0..6)
         .map(|n| {
-            let (stop, counts, address) =
-                (stop.clone(), served_counts.clone(), listener.local_addr().expect("bound"));
+            let (stop, counts, address) = (
+                stop.clone(),
+                served_counts.clone(),
+                listener.local_addr().expect("the local address is unknown"),
+            );
             std::thread::spawn(move || {
                 let (mut client, mut served) = (Client::connect_to(address), 0);
                 while !stop.load(Ordering::SeqCst) {
@@ -205,7 +208,7 @@
     let (config, listener) = (config_for_replacement(&registry), platform_listener());
     let mut old = Node::start_inheriting(&config, &listener, &[]);
     wait_admin_ready(&old);
-    let address = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("the local address is unknown");
     let (mut used, mut idle) = (Client::connect_to(address), Client::connect_to(address));
     for client in [&mut used, &mut idle] {
         assert_eq!(client.exchange(&request("look", "t1", 10_000)).status(), 200);
@@ -227,7 +230,7 @@
     let mut waiting = Client::connect_to(address);
     waiting.send(&request("look", "t3", 20_000));
     let _new = Node::start_inheriting(&config, &listener, &[]);
-    assert_eq!(waiting.receive().expect("a response").status(), 200);
+    assert_eq!(waiting.receive().expect("no response").status(), 200);
 }
 
 /// A response that is being sent at SIGTERM continues until it is complete or the process is killed.
@@ -273,8 +276,8 @@
 #[test]
 fn an_unusable_inherited_descriptor_ends_the_start_and_is_named() {
     let config = config(Registry::new(&[]).address);
-    let udp = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    socket2::SockRef::from(&udp).set_cloexec(false).expect("a socket");
+    let udp = UdpSocket::bind("127.0.0.1:0").expect("no free port");
+    socket2::SockRef::from(&udp).set_cloexec(false).expect("close-on-exec cannot be cleared");
     let udp = udp.as_raw_fd().to_string();
     for fd in ["", "seven", "-1", "0", "2", "999", "99999999999", udp.as_str()] {
         let (code, errors) = run_to_exit(&config, &[("BALANCER_INHERITED_FD", fd)]);
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -52,12 +52,12 @@
 
     /// The status code of a response.
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("the status line has no status code")
     }
 
     /// The target of a request, with its query.
     pub fn path(&self) -> &str {
-        self.head.split(' ').nth(1).expect("a request line")
+        self.head.split(' ').nth(1).expect("the request line has no target")
     }
 }
 
@@ -75,7 +75,8 @@
         message.body = read_chunks(reader)?;
         return Some(message);
     }
-    let length = message.header("content-length").map_or(0, |v| v.parse().expect("a length"));
+    let length =
+        message.header("content-length").map_or(0, |v| v.parse().expect("Content-Length is not a number"));
     message.body = vec![0; length];
     reader.read_exact(&mut message.body).ok()?;
     Some(message)
@@ -150,7 +151,7 @@
         listener: TcpListener,
         script: impl Fn(&Message) -> Reply + Send + Sync + 'static,
     ) -> Self {
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the local address is unknown");
         let (received, open) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
         let server = Self { address, received: received.clone(), open_connections: open.clone() };
         let script = Arc::new(script);
@@ -175,13 +176,13 @@
 
     /// The requests received so far, without health probes.
     pub fn requests(&self) -> Vec<Message> {
-        let received = self.received.lock().expect("no panic");
+        let received = self.received.lock().expect("the lock is poisoned");
         received.iter().filter(|m| m.path() != "/health").cloned().collect()
     }
 
     /// Number of health probes received.
     pub fn probes(&self) -> usize {
-        self.received.lock().expect("no panic").len() - self.requests().len()
+        self.received.lock().expect("the lock is poisoned").len() - self.requests().len()
     }
 
     /// Number of connections open now.
@@ -199,7 +200,7 @@
     let Ok(mut writer) = stream.try_clone() else { return };
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader, connection) {
-        received.lock().expect("no panic").push(message.clone());
+        received.lock().expect("the lock is poisoned").push(message.clone());
         let (bytes, close) = match script(&message) {
             Reply::Send(bytes) => (bytes, false),
             Reply::SendAndClose(bytes) => (bytes, true),
@@ -272,7 +273,7 @@
     pub fn new(hosts: &[Value]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("no free port");
         let state = RegistryState { whole_list: list_line(1, true, hosts), ..RegistryState::default() };
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the local address is unknown");
         let registry = Self { address, state: Arc::new(Mutex::new(state)) };
         let this = registry.clone();
         std::thread::spawn(move || {
@@ -285,7 +286,7 @@
     }
 
     fn with_state<T>(&self, f: impl FnOnce(&mut RegistryState) -> T) -> T {
-        f(&mut self.state.lock().expect("no panic"))
+        f(&mut self.state.lock().expect("the lock is poisoned"))
     }
 
     fn serve(&self, stream: TcpStream) -> Option<()> {
@@ -400,7 +401,7 @@
 
     /// Starts discovery on a given listener.
     pub fn with_listener(listener: TcpListener) -> Self {
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the local address is unknown");
         let (sender, calls) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -418,7 +419,7 @@
 
     /// Waits for the next request.
     pub fn next_call(&self) -> Call {
-        self.next_call_within(WAIT_TIMEOUT).expect("a request to discovery")
+        self.next_call_within(WAIT_TIMEOUT).expect("no request to discovery arrived")
     }
 
     /// The next request, if one arrives within `timeout`.
@@ -487,7 +488,7 @@
 pub fn temp_dir(test: &str) -> String {
     let dir = format!("{}/{test}-{}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("a directory");
+    std::fs::create_dir_all(&dir).expect("the directory cannot be created");
     dir
 }
 
@@ -523,7 +524,7 @@
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::SeqCst);
     let config_path = format!("{}/config-{}-{count}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-    std::fs::write(&config_path, config.to_string()).expect("a file");
+    std::fs::write(&config_path, config.to_string()).expect("the file cannot be written");
     let program = program();
     let mut command = match descriptors {
         None => Command::new(&program),
@@ -577,25 +578,25 @@
         let (mut command, config_path) = command(config, descriptors);
         command.envs(env.iter().copied());
         // The platform also sets this variable, to the value that the file has.
-        let discovery = config["discovery"].as_str().expect("an address");
+        let discovery = config["discovery"].as_str().expect("not an address");
         let mut child =
             command.env("BALANCER_DISCOVERY", discovery).spawn().expect("the node cannot be started");
         let log = Arc::new(Mutex::new(Vec::new()));
         let lines = log.clone();
-        let errors = BufReader::new(child.stderr.take().expect("piped"));
+        let errors = BufReader::new(child.stderr.take().expect("standard error is not piped"));
         std::thread::spawn(move || {
             for line in errors.lines().map_while(Result::ok) {
-                lines.lock().expect("no panic").push(line);
+                lines.lock().expect("the lock is poisoned").push(line);
             }
         });
         let mut address = None;
         wait_until("the node listens", || {
-            let lines = log.lock().expect("no panic");
+            let lines = log.lock().expect("the lock is poisoned");
             let find = |l: &String| l.split_once(" listens at ").and_then(|(_, a)| a.parse().ok());
             address = lines.iter().find_map(find);
             address.is_some()
         });
-        Self { child, config_path, address: address.expect("found"), log }
+        Self { child, config_path, address: address.expect("the node has logged no address"), log }
     }
 
     /// Starts a node that inherits a listener, and whose standard error is a socket with a full buffer that nobody
@@ -612,7 +613,7 @@
             .stderr(OwnedFd::from(theirs))
             .spawn()
             .expect("the node cannot be started");
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the local address is unknown");
         let node = Self { child, config_path, address, log: Arc::default() };
         node.wait_ready();
         (node, ours)
@@ -634,7 +635,7 @@
 
     /// The admin address, found in the log.
     pub fn admin_addr(&self) -> SocketAddr {
-        let lines = self.log.lock().expect("no panic");
+        let lines = self.log.lock().expect("the lock is poisoned");
         let find = |l: &String| l.split_once(" operators' calls at ").and_then(|(_, a)| a.parse().ok());
         lines.iter().find_map(find).expect("the node has logged no admin address")
     }
@@ -642,7 +643,7 @@
     /// Sends one request to the admin address; returns the status and the body of the response.
     pub fn admin_call(&self, call: &str) -> (u16, String) {
         let response = self.admin_client().exchange(&format!("{call} HTTP/1.1\r\nHost: x\r\n\r\n"));
-        (response.status(), String::from_utf8(response.body).expect("text"))
+        (response.status(), String::from_utf8(response.body).expect("not UTF-8"))
     }
 
     /// Opens a connection to the admin address.
@@ -652,23 +653,23 @@
 
     /// Whether the node has logged a line that contains this text.
     pub fn has_logged(&self, text: &str) -> bool {
-        self.log.lock().expect("no panic").iter().any(|l| l.contains(text))
+        self.log.lock().expect("the lock is poisoned").iter().any(|l| l.contains(text))
     }
 
     /// The last of the state lines, which are logged every half second; empty before the first.
     pub fn last_state_line(&self) -> String {
-        let lines = self.log.lock().expect("no panic");
+        let lines = self.log.lock().expect("the lock is poisoned");
         lines.iter().rfind(|l| l.contains(" clients, ")).cloned().unwrap_or_default()
     }
 
     /// All lines logged so far.
     pub fn log_lines(&self) -> Vec<String> {
-        self.log.lock().expect("no panic").clone()
+        self.log.lock().expect("the lock is poisoned").clone()
     }
 
     /// The policy epochs that the node has logged as applied, in order.
     pub fn policy_epochs(&self) -> Vec<u64> {
-        let lines = self.log.lock().expect("no panic");
+        let lines = self.log.lock().expect("the lock is poisoned");
         let epoch = |l: &String| l.split_once("applies epoch ")?.1.parse().ok();
         lines.iter().filter_map(epoch).collect()
     }
@@ -680,7 +681,7 @@
 
     /// Replaces the content of the configuration file and sends SIGHUP.
     pub fn reload(&self, content: &str) {
-        std::fs::write(&self.config_path, content).expect("a file");
+        std::fs::write(&self.config_path, content).expect("the file cannot be written");
         self.signal("-HUP");
     }
 
@@ -715,7 +716,7 @@
         let run_queue_wait = |path: &str| {
             let schedule = std::fs::read_to_string(path).expect("the system has no scheduler statistics");
             let waited = schedule.split(' ').nth(1).expect("the run queue wait is missing");
-            Duration::from_nanos(waited.parse().expect("a number"))
+            Duration::from_nanos(waited.parse().expect("not a number"))
         };
         let node = run_queue_wait(&format!("/proc/{}/schedstat", self.child.id()));
         node + run_queue_wait("/proc/thread-self/schedstat")
@@ -726,7 +727,7 @@
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .expect("the node is not running");
         let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("VmHWM is missing");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        line.trim().trim_end_matches(" kB").parse().expect("not a number")
     }
 
     /// Whether the process is still running.
@@ -833,7 +834,7 @@
     /// Sends a request and waits for its response.
     pub fn exchange(&mut self, request: &str) -> Message {
         self.send(request);
-        self.receive().expect("a response")
+        self.receive().expect("no response")
     }
 
     /// Waits for the node to end the connection. Returns whether it was closed or reset without another byte; false if
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -17,7 +17,7 @@
 fn start_config(discovery: SocketAddr, mode: &str, known: Option<&str>) -> Value {
     let mut config = config(discovery);
     config["settings"]["Discovery"] = json!(mode);
-    config["known"] = known.map_or(Value::Null, |list| serde_json::from_str(list).expect("JSON"));
+    config["known"] = known.map_or(Value::Null, |list| serde_json::from_str(list).expect("not JSON"));
     config
 }
 
@@ -48,10 +48,14 @@
                 let list = list_line(7, true, &[host("s0", server.address, "active", 1)]);
                 // Bound but not listening, so connections are refused.
                 let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
-                let socket = socket.expect("a socket");
-                let any_port = "127.0.0.1:0".parse::<SocketAddr>().expect("an address");
-                socket.bind(&any_port.into()).expect("a port");
-                let address = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("bound");
+                let socket = socket.expect("no socket can be created");
+                let any_port = "127.0.0.1:0".parse::<SocketAddr>().expect("not an address");
+                socket.bind(&any_port.into()).expect("no free port");
+                let address = socket
+                    .local_addr()
+                    .ok()
+                    .and_then(|a| a.as_socket())
+                    .expect("the local address is unknown");
                 let listen = || {
                     socket
                         .listen(128)
@@ -141,7 +145,7 @@
         ("discovery", "null".into(), "127.0.0.1:0"),
     ];
     for (field, known, address) in cases {
-        let config = start_config(address.parse().expect("an address"), "automatic", Some(&known));
+        let config = start_config(address.parse().expect("not an address"), "automatic", Some(&known));
         let (code, errors) = run_to_exit(&config, &[]);
         assert_eq!(code, Some(1), "{field}: {errors}");
         assert!(
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -150,9 +150,9 @@
 #[test]
 fn unusable_settings_end_the_start_and_are_named_as_in_the_file() {
     // The address is in use, so that a configuration that is accepted in error ends the start, too, without a timeout.
-    let in_use = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut valid = config("127.0.0.1:1".parse().expect("an address"));
-    valid["listen"] = json!(in_use.local_addr().expect("bound").to_string());
+    let in_use = TcpListener::bind("127.0.0.1:0").expect("no free port");
+    let mut valid = config("127.0.0.1:1".parse().expect("not an address"));
+    valid["listen"] = json!(in_use.local_addr().expect("the local address is unknown").to_string());
     valid["settings"]["Customers"] =
         json!([{"Name": "east", "QuotaPerS": 0}, {"Name": "west", "QuotaPerS": 5.5}]);
     valid["settings"]["Goal"] = json!({});
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -57,7 +57,7 @@
     let server = gated_server(&released);
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
-    for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
+    for class in config["settings"]["Classes"].as_array_mut().expect("the settings have no classes") {
         class["Slo"] = json!(100_000.0);
     }
     let mut node = Node::start_ready(&config);
@@ -93,7 +93,7 @@
     complete[10].0.send(&slip("second"));
     released.store(true, Ordering::SeqCst);
     for (client, request) in complete.iter_mut().chain(&mut partial[1..]) {
-        let response = client.receive().expect("a response");
+        let response = client.receive().expect("no response");
         assert_eq!((response.status(), response.header("connection")), (200, Some("close")), "{request}");
         assert!(client.closed(), "the connection is closed without a reset: {request}");
     }
@@ -116,7 +116,7 @@
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
     config["limits"]["sockets"] = json!(32);
-    for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
+    for class in config["settings"]["Classes"].as_array_mut().expect("the settings have no classes") {
         class["Slo"] = json!(100_000.0);
     }
     let mut node = Node::start_ready(&config);
@@ -171,7 +171,7 @@
     let server = TestServer::new(move |_| Reply::Send(http_response(200, "", &body)));
     let registry = Registry::new(&[host("s0", server.address, "active", 1)]);
     let mut config = config(registry.address);
-    for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
+    for class in config["settings"]["Classes"].as_array_mut().expect("the settings have no classes") {
         class["Deadline"] = json!(500.0);
     }
     let mut node = Node::start_ready(&config);
@@ -217,6 +217,6 @@
     assert!(signalled.elapsed() < Duration::from_secs(20), "{:?}", signalled.elapsed());
     ended.store(true, Ordering::SeqCst);
     for client in clients {
-        client.join().expect("no panic");
+        client.join().expect("a thread or task panicked");
     }
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -97,8 +97,8 @@
 
 /// The same JSON over several lines.
 fn indented(json: &str) -> String {
-    let list: Value = serde_json::from_str(json).expect("JSON");
-    serde_json::to_string_pretty(&list).expect("plain data")
+    let list: Value = serde_json::from_str(json).expect("not JSON");
+    serde_json::to_string_pretty(&list).expect("the value cannot be serialized")
 }
 
 /// A whole list is applied in each layout of its JSON, even with an unchanged version, and the watch stays open. A
@@ -147,8 +147,8 @@
                 let (broken_at, cpu_wait) = (Instant::now(), fleet.node.cpu_wait());
                 let mut watch = Some(watch);
                 match end {
-                    "end" => watch.take().expect("it is open").finish(),
-                    "reset" => watch.take().expect("it is open").reset(),
+                    "end" => watch.take().expect("the watch is not open").finish(),
+                    "reset" => watch.take().expect("the watch is not open").reset(),
                     _ => {}
                 }
                 let mut next = None;
@@ -265,7 +265,7 @@
         fleet.node.reload(content);
         wait_until(reason, || fleet.node.has_logged(&format!("SIGHUP: nothing changed: {reason}")));
     }
-    std::fs::remove_file(&fleet.node.config_path).expect("a file");
+    std::fs::remove_file(&fleet.node.config_path).expect("the file cannot be removed");
     fleet.node.signal("-HUP");
     let missing = format!("SIGHUP: nothing changed: BALANCER_CONFIG: {}: ", fleet.node.config_path);
     wait_until("the missing file is logged", || fleet.node.has_logged(&missing));
