--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,8 +1,11 @@
-//! Drives the decision module by hand: one request is served, one is resent after a failed connection, one avoids
-//! a draining server.
+//! Passes events to the decision module and prints its actions, without any I/O: one request is served, one is resent
+//! after a refused connection, and one is sent past a draining server.
 
 use tulipmount::*;
 
+/// The duration of every attempt in this example.
+const ATTEMPT_MS: Millis = 12.0;
+
 fn settings() -> Settings {
     Settings {
         node_index: 0,
@@ -56,8 +59,16 @@
     actions.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
 }
 
+/// The event for the end of an attempt; the client has its final answer if the attempt succeeded.
 fn ended(id: RequestId, attempt: usize, server: ServerId, outcome: Outcome) -> Event {
-    Event::AttemptEnded { id, attempt, server, outcome, elapsed: 12.0, answered: outcome == Outcome::Success }
+    Event::AttemptEnded {
+        id,
+        attempt,
+        server,
+        outcome,
+        elapsed: ATTEMPT_MS,
+        answered: outcome == Outcome::Success,
+    }
 }
 
 fn main() -> Result<(), SettingsError> {
@@ -76,20 +87,20 @@
     };
     let first = RequestId(1);
     let server = handle(&mut balancer, 10.0, request(first, 10.0)).expect("three servers are ready");
-    handle(&mut balancer, 22.0, ended(first, 0, server, Outcome::Success));
+    handle(&mut balancer, 10.0 + ATTEMPT_MS, ended(first, 0, server, Outcome::Success));
 
     // The connection for the second request is refused. The request was not executed, so it is resent at once.
     let second = RequestId(2);
     let server = handle(&mut balancer, 30.0, request(second, 30.0)).expect("three servers are ready");
-    let server =
-        handle(&mut balancer, 42.0, ended(second, 0, server, Outcome::ConnectFailed)).expect("resent");
-    handle(&mut balancer, 54.0, ended(second, 1, server, Outcome::Success));
+    let server = handle(&mut balancer, 30.0 + ATTEMPT_MS, ended(second, 0, server, Outcome::ConnectFailed))
+        .expect("resent");
+    handle(&mut balancer, 42.0 + ATTEMPT_MS, ended(second, 1, server, Outcome::Success));
 
-    // Server 1 drains, so the third request goes to another server.
+    // The next turn would be that of server 1, which drains, so the third request goes to server 2.
     handle(&mut balancer, 60.0, Event::ListChange(vec![entry(1, ServerState::Draining)]));
     let third = RequestId(3);
     let server = handle(&mut balancer, 70.0, request(third, 70.0)).expect("two servers are left");
     assert_eq!(server, ServerId(2));
-    handle(&mut balancer, 82.0, ended(third, 0, server, Outcome::Success));
+    handle(&mut balancer, 70.0 + ATTEMPT_MS, ended(third, 0, server, Outcome::Success));
     Ok(())
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -163,18 +163,26 @@
     pub probe: bool,
 }
 
-/// The parameters of the four rules.
+/// The parameters of the four rules:
+///
+/// 1. Each request gets exactly one final answer, in time.
+/// 2. A request is sent again, or refused as safe to repeat, only if a second execution is harmless or there was
+///    no first one.
+/// 3. A draining server gets no new requests.
+/// 4. A cold server is sent less than `overload_multiple` of its present capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// With a subscribed list: the longest that a node may go without asking for it.
+    /// With [`Discovery::Subscribed`]: timeout of a request for the list, and the bound of the delay after a
+    /// failure until the list is requested again.
     pub discovery_deadline: Millis,
     /// Part of its capacity that a server has at least when it starts, from 0 to 1.
     pub cold_capacity: f64,
     /// Time from its start until a server has its full capacity.
     pub warmup_time: Millis,
-    /// A cold server fails when it is sent more than this multiple of its present capacity ...
+    /// A cold server fails when it is sent more than this multiple of its present capacity for the duration of
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// How long such an overload must last to make the server fail.
     pub overload_window: Millis,
 }
 
@@ -190,11 +198,12 @@
 /// The meaning of the listed weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// None.
+    /// None: listed weights are ignored and each server has size 1.
     None,
     /// The size of the server, exact or approximate.
     Static,
-    /// Its size divided by one more than the requests that a core held some time ago.
+    /// Its size divided by one more than the requests that a core held some time ago; the same at all nodes.
+    /// The highest weight seen counts as the size.
     Live,
 }
 
@@ -223,7 +232,7 @@
     pub votes: Option<VoteSettings>,
     /// The operators' factors for the sizes of single servers, listed or not; 1 where absent.
     pub server_weights: BTreeMap<ServerId, f64>,
-    /// The parameters of the four rules.
+    /// The parameters of the four rules, see [`Rules`].
     pub rules: Rules,
     /// How the list arrives.
     pub discovery: Discovery,
@@ -335,7 +344,7 @@
         Ok(())
     }
 
-    /// Interval between looks at the queue: far below every SLO, and short enough that a final answer due at the
+    /// Interval between sweeps over the queue: far below every SLO, and short enough that a final answer due at the
     /// deadline is still given within its tolerance.
     pub(crate) fn sweep_interval(&self) -> Millis {
         let min_slo = self.classes.iter().map(|c| c.slo).fold(f64::INFINITY, f64::min);
@@ -411,7 +420,7 @@
     pub kind: u64,
     /// Its state.
     pub state: ServerState,
-    /// Relative weight; see [`Weights`].
+    /// Relative weight without a unit, see [`Weights`]; one that is not finite or not above 0 counts as 1.
     pub weight: f64,
     /// When it last started; `None` for long ago.
     pub started_at: Option<Millis>,
@@ -487,7 +496,7 @@
     /// All verdicts in force for this node; servers that it omits are back. To be given on every answer of
     /// the group, changed or not, as it also tells the age of the group's message.
     Verdicts(Vec<ServerVerdict>),
-    /// A client's request; exactly one final answer is owed.
+    /// A client's request; it must get exactly one final answer.
     Request {
         /// The request.
         id: RequestId,
@@ -544,7 +553,7 @@
         /// Time since it was sent.
         elapsed: Millis,
     },
-    /// The client is gone; no answer is owed any more.
+    /// The client is gone and needs no answer any more.
     ClientGone(RequestId),
     /// A timer set by [`Action::SetTimer`] is due.
     Timer,
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -22,12 +22,14 @@
 /// Number of steps in which the subset is adapted while its servers warm up.
 const WARMUP_STEPS: f64 = 32.0;
 
-/// Average latency to aim for, as a part of the SLO; with a higher average too many answers are late.
+/// Target for the average latency, as a part of the class's `slo`; above it too many answers are late.
 const TARGET_RATIO: f64 = 0.35;
 /// Latency recorded for an answer that came late or never, as a part of the SLO.
 const LATE_RATIO: f64 = 1.25;
 /// Latency recorded for an attempt cut off at its SLO: it would have taken about as long again.
 const CUT_OFF_RATIO: f64 = 2.0;
+/// A timeout after less than the SLO divided by this had little time and says little about its server.
+const CONCLUSIVE_TIMEOUT_DIVISOR: f64 = 2.0;
 /// Effect of one answer on its server's limit, and the decay per answer of a limit that is far from reached.
 const LIMIT_GAIN: f64 = 0.25;
 const LIMIT_DECAY: f64 = 0.02;
@@ -38,11 +40,12 @@
 const TURN_SHARE_DECAY: f64 = 0.005;
 /// Weight of one answer in the base latency of its class on its kind of machine.
 const BASE_LATENCY_GAIN: f64 = 0.02;
-/// Initial limit on all nodes' concurrent attempts at a server; lowest limit of a node, which pauses below 1.
+/// Initial limit on all nodes' attempts at a server together, where fewer nodes than this share the server.
 const INITIAL_LIMIT: f64 = 8.0;
+/// Lower bound of one node's limit. Below 1 the node pauses between its attempts.
 const MIN_LIMIT: f64 = 0.05;
-/// Initial limit where the one above is at most one attempt per node sharing the server. It is lower, as many
-/// nodes that may each send at once overload a server before any sees an answer.
+/// Used instead of `INITIAL_LIMIT` where at least that many nodes share a server. It is lower, as many nodes
+/// that may each send at once overload a server before any sees an answer.
 const CROWDED_INITIAL_LIMIT: f64 = 5.0;
 /// Upper bound of the fleet factor. The range above 1 keeps a few late answers from reducing limits.
 const MAX_FLEET_FACTOR: f64 = 2.0;
@@ -63,14 +66,14 @@
 /// The decision module of one node.
 pub struct Balancer {
     settings: Arc<Settings>,
-    /// Interval between looks at the queue; short enough for every request in it.
+    /// Interval between sweeps over the queue; short enough for the SLO of every request in it.
     sweep_interval: Millis,
     rng: SplitMix64,
     now: Millis,
     servers: BTreeMap<ServerId, Server>,
     /// Servers disabled by operators, listed or not.
     disabled: BTreeSet<ServerId>,
-    /// Servers removed by the group, listed or not: probed by this node? When does the verdict lapse?
+    /// Verdicts on servers, listed or not: whether this node probes the server, and when the verdict lapses.
     verdicts: BTreeMap<ServerId, (bool, Millis)>,
     last_group_contact: Millis,
     /// All servers that are up and not disabled, in this node's order of preference.
@@ -147,10 +150,11 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Body {
-    /// At the node, for as many attempts as needed.
+    /// Held at the node as a whole, for any number of attempts.
     Buffered,
-    /// Being forwarded; no work for the server yet.
+    /// Forwarded as it arrives, for one attempt; the server has no work from it before it is complete.
     Streaming,
+    /// Forwarded completely.
     Streamed,
 }
 
@@ -176,9 +180,10 @@
     /// The server as listed when the attempt was sent.
     entry: Entry,
     sent_at: Millis,
-    /// The server was at half its limit with it, or had paused for less than twice its send pause.
-    at_limit: bool,
-    only_attempt: bool,
+    /// At least half the limit was in use, with it; at a limit below 1: sent within two pauses of the last.
+    near_limit: bool,
+    /// This node had no other attempt in flight at the server.
+    only_at_server: bool,
     outcome: Option<Outcome>,
 }
 
@@ -281,8 +286,8 @@
         self.ejected_until.is_some() || self.removal == Some(false)
     }
 
-    /// Whether nothing but warm-up reduces its turns.
-    fn is_trusted(&self) -> bool {
+    /// Neither ejected, suspect nor removed by the group, so that only warm-up reduces its turns.
+    fn is_healthy(&self) -> bool {
         self.ejected_until.is_none() && !self.suspect && self.removal.is_none()
     }
 
@@ -308,7 +313,7 @@
 
     /// The part of its turns that it gets. Votes cover the whole server, as all classes share one rotation.
     fn turn_fraction(&self, now: Millis, settings: &Settings) -> f64 {
-        let max = settings.votes.as_ref().filter(|_| !self.is_trusted()).map_or(1.0, |v| v.trickle_share);
+        let max = settings.votes.as_ref().filter(|_| !self.is_healthy()).map_or(1.0, |v| v.trickle_share);
         self.warmth(now, &settings.rules).min(max)
     }
 }
@@ -468,7 +473,7 @@
             Event::Streaming { id, attempt } => self.on_streaming(id, attempt),
             Event::AttemptEnded { id, attempt, server, outcome, elapsed, answered } => {
                 let elapsed = if elapsed.is_finite() { elapsed.max(0.0) } else { 0.0 };
-                self.release((id, attempt), server, outcome, elapsed);
+                self.end_attempt((id, attempt), server, outcome, elapsed);
                 self.on_ended(id, attempt, outcome, elapsed, answered);
             }
             Event::ProbeEnded { server, outcome, .. } => self.on_probe_ended(server, outcome),
@@ -590,8 +595,7 @@
         }
         for mut entry in entries {
             entry.weight = Some(entry.weight).filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
-            // Live weights are delayed load, alike at all nodes: the highest one listed, under least load, is
-            // the size.
+            // Live weights fall with the load of some time ago: the highest one listed is the size.
             let weight = self.settings.server_weight(entry.server);
             let server =
                 self.servers.entry(entry.server).or_insert_with(|| Server::new(entry.clone(), weight));
@@ -669,8 +673,7 @@
         if self.settings.discovery == Discovery::Subscribed {
             let failures =
                 if let Subscription::Pending(_, failures) = self.subscription { failures + 1 } else { 1 };
-            // Jittered, as nodes cut off together should not return together; and well within
-            // `discovery_deadline`.
+            // Jittered, as nodes cut off together must not return together; well within the deadline.
             let delay = (self.settings.rules.discovery_deadline / 40.0) * f64::from(1u32 << failures.min(4));
             self.subscription =
                 Subscription::Due(self.now + delay * (0.5 + 0.5 * uniform(&mut self.rng)), failures);
@@ -742,7 +745,7 @@
         slots.filter(|m| !std::mem::replace(&mut taken[*m], true)).map(|m| members[m]).collect()
     }
 
-    /// Takes servers in order of preference until the trusted ones have enough warm capacity. A subset with
+    /// Takes servers in order of preference until the healthy ones have enough warm capacity. A subset with
     /// many servers down or cold grows, so that its traffic does not fall on the few others.
     fn choose_subset(&mut self) {
         let wanted = self.subset_size(self.preference.len()) as f64;
@@ -751,7 +754,7 @@
             if warm >= wanted {
                 break;
             }
-            warm += if server.is_trusted() { server.warmth(self.now, &self.settings.rules) } else { 0.0 };
+            warm += if server.is_healthy() { server.warmth(self.now, &self.settings.rules) } else { 0.0 };
             subset.push(server.entry.server);
         }
         let probed = self.verdicts.iter().filter(|(_, (probe, _))| *probe).map(|(id, _)| *id);
@@ -767,8 +770,7 @@
 
     /// Places servers new to the rotation. A server of size w has turns at (p + k) / w for k = 0, 1, ...,
     /// where p is its position after the cursor, 0 to 1: cyclic order for equal sizes, interleaved for
-    /// others. The rest keep their turns: restarting at each list change favoured the servers after the
-    /// offsets.
+    /// others. The rest keep their turns: a restart at each list change favoured servers after the offsets.
     fn place_new_servers(&mut self) {
         let count = self.subset.len().max(1);
         let cursor_position = self.cursor_server.map(|at| self.subset.partition_point(|id| *id <= at));
@@ -815,7 +817,7 @@
         !server.is_excluded() && self.within_slow_start(server) && self.has_capacity(server)
     }
 
-    /// A server full of own attempts is passed over: by turns alone a slow server would keep its full share
+    /// A server at this node's limit is passed over: by turns alone a slow server would keep its full share
     /// while its queue grows until nothing sent to it is answered in time.
     fn has_capacity(&self, server: &Server) -> bool {
         let limit = server.usable_limit(self.fleet_factor, self.min_limit());
@@ -823,8 +825,7 @@
         pause_over && (server.in_flight.len() as f64) < limit.floor().max(1.0)
     }
 
-    /// The pause between sends where the limit is below one: long enough to hold the average to the limit,
-    /// short enough to notice recovery.
+    /// The pause between sends at a limit below 1: it holds the average to the limit, yet shows recovery.
     fn send_pause(&self, server: &Server) -> Millis {
         let max_pause = self.settings.classes.iter().map(|c| 2.0 * c.slo).fold(0.0, f64::max);
         (server.last_latency / server.usable_limit(self.fleet_factor, self.min_limit()))
@@ -846,10 +847,10 @@
 
     fn eject(&mut self, id: ServerId, conclusive: bool) {
         let up = self.rotation();
-        let ejected = up.clone().filter(|s| !s.is_trusted()).count() + 1;
+        let ejected = up.clone().filter(|s| !s.is_healthy()).count() + 1;
         let too_many = ejected as f64 > self.settings.ejection.max_fraction * up.count() as f64;
         let pause = self.active_votes().map(|votes| votes.suspect_pause);
-        let may = |s: &&mut Server| conclusive || !too_many || !s.is_trusted();
+        let may = |s: &&mut Server| conclusive || !too_many || !s.is_healthy();
         let Some(server) = self.servers.get_mut(&id).filter(may) else { return };
         server.ejections += 1;
         let length = 4.0 * self.settings.limits.connect_timeout * f64::from(1u32 << server.ejections.min(10));
@@ -868,8 +869,7 @@
             return;
         }
         if outcome == Outcome::Success {
-            // Only a process that was down is cold: an overload may eject each server once, which must not
-            // put the whole fleet on cold budgets.
+            // Only if it was down: an overload that ejects every server must not make the fleet cold.
             if server.down && server.restart.is_none() {
                 (server.restart, server.last_sent, server.stagger) = (Some(now), now, stagger);
             }
@@ -929,7 +929,7 @@
 
     fn on_request(&mut self, id: RequestId, mut request: Request, is_retry: bool) {
         if self.requests.contains_key(&id) {
-            // Ids are unique: the first request is still owed its answer, and one answer would go to both.
+            // Ids are unique: the first request still awaits its answer, and one answer would go to both.
             return;
         }
         if request.class >= self.settings.classes.len() {
@@ -946,8 +946,8 @@
         let left = request.deadline - self.now;
         request.asked_at -= self.class_stats[request.class].request_age(request.class(), left, is_retry);
         self.record_worth(&request, |service| &mut service.requested);
-        // What cannot be in time, a late retry or too much work, is not started: it would displace requests
-        // that can. While none is refused for lack of capacity, a fleet with reserve takes longer shots.
+        // A retry or a request with much work that is expected to be late is not started: it would displace
+        // requests that can be in time. While no request was shed lately, a fast fleet gives it more time.
         let has_capacity = self.now - self.last_shed > self.settings.rules.overload_window;
         let reserve = if has_capacity { self.fleet_factor.max(1.0) } else { 1.0 };
         let left = (request.worth_until() - self.now) * reserve;
@@ -1027,7 +1027,7 @@
         let Some(pause) = self.servers.get(&to).map(|s| self.send_pause(s)) else { return };
         let (min_limit, Some(request)) = (self.min_limit(), self.requests.get_mut(&id)) else { return };
         let Some(server) = self.servers.get_mut(&to) else { return };
-        let (only_attempt, limit) =
+        let (only_at_server, limit) =
             (server.in_flight.is_empty(), server.usable_limit(self.fleet_factor, min_limit));
         let timeout = request.worth_until() - self.now;
         if request.body == Body::Buffered {
@@ -1035,10 +1035,10 @@
         }
         let gap = self.now - server.last_sent;
         (server.last_sent, server.stagger) = (self.now, 1.0);
-        let at_limit =
+        let near_limit =
             if limit < 1.0 { gap <= 2.0 * pause } else { 2.0 * server.in_flight.len() as f64 >= limit };
         let (entry, sent_at) = (server.entry.clone(), self.now);
-        request.attempts.push(Attempt { entry, sent_at, at_limit, only_attempt, outcome: None });
+        request.attempts.push(Attempt { entry, sent_at, near_limit, only_at_server, outcome: None });
         self.actions.push(Action::Send { id, server: to, timeout: Some(timeout.max(0.001)) });
     }
 
@@ -1060,15 +1060,16 @@
         self.actions.extend(others);
     }
 
-    fn release(&mut self, attempt: (RequestId, usize), id: ServerId, outcome: Outcome, elapsed: Millis) {
+    /// Ends an attempt at its server: frees its place in the limit and records the outcome.
+    fn end_attempt(&mut self, attempt: (RequestId, usize), id: ServerId, outcome: Outcome, elapsed: Millis) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.in_flight.retain(|o| *o != attempt);
         }
-        // An attempt that had little time says little about its server.
+        // If the request is gone its SLO is unknown, and every timeout counts.
         let request = self.requests.get(&attempt.0);
         let slo = request.map_or(0.0, |r| r.class().slo);
         let start = request.and_then(|r| r.attempts.get(attempt.1)).map(|a| a.entry.started_at);
-        if outcome != Outcome::TimedOut || CUT_OFF_RATIO * elapsed >= slo {
+        if outcome != Outcome::TimedOut || CONCLUSIVE_TIMEOUT_DIVISOR * elapsed >= slo {
             self.observe(id, outcome, elapsed, start);
         }
         self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.in_flight.is_empty());
@@ -1100,8 +1101,7 @@
         let (initial_limit, min_limit) = (self.initial_limit(), self.min_limit());
         let warm = |s: &Server| s.warmth(now, rules) >= 1.0;
         if done && self.subset.binary_search(&id).is_ok() && self.servers.get(&id).is_some_and(warm) {
-            // Warm servers only: cold ones would make their budget feed on itself. The sum leaves out servers
-            // that have left the rotation.
+            // Only warm servers in the rotation, as in the sum: cold ones would raise their own budget.
             let size: f64 = self.rotation().filter(|s| warm(s)).map(|s| s.size).sum();
             self.service_rate.add(now, rules.overload_window, 1.0 / size.max(f64::MIN_POSITIVE));
         }
@@ -1122,32 +1122,32 @@
             self.fleet_factor = (self.fleet_factor * step.exp()).min(MAX_FLEET_FACTOR);
         }
         let Some(server) = self.servers.get_mut(&id) else { return };
-        // A rejection takes no time: pauses based on it would keep a full server full.
+        // A rejection takes no time: pauses based on it would keep an overloaded server overloaded.
         server.last_latency =
             if attempt.outcome == Some(Outcome::Rejected) { server.last_latency } else { elapsed };
-        if done && attempt.only_attempt {
+        if done && attempt.only_at_server {
             let classes = self.settings.classes.len();
             let latency =
                 &mut self.base_latency.entry(server.entry.kind).or_insert_with(|| vec![0.0; classes])[class];
             *latency += (elapsed - *latency) * if *latency > 0.0 { BASE_LATENCY_GAIN } else { 1.0 };
         }
         // Corrects for sizes not listed: a server whose latency above the threshold exceeds the fleet's has
-        // too many turns. In calm no latency is above the threshold and turns stay even.
+        // too many turns. At low load no latency is above the threshold and turns stay even.
         let excess = (ratio - TURN_SHARE_THRESHOLD).max(0.0);
         stats.mean_excess += (excess - stats.mean_excess) * TURN_SHARE_GAIN;
         server.turn_share = server.turn_share.powf(1.0 - TURN_SHARE_DECAY)
             * (TURN_SHARE_GAIN * (stats.mean_excess - excess)).exp();
         let unused =
             server.usable_limit(self.fleet_factor, min_limit) > 2.0 * (server.in_flight.len() as f64 + 1.0);
-        if unused || (server.limit < 1.0 && !attempt.at_limit) {
+        if unused || (server.limit < 1.0 && !attempt.near_limit) {
             // A limit that was never reached does not protect when the fleet suddenly slows down.
             server.limit *= 1.0 - LIMIT_DECAY;
         }
-        if server.limit < initial_limit.min(1.0) && ratio <= TARGET_RATIO && attempt.at_limit {
+        if server.limit < initial_limit.min(1.0) && ratio <= TARGET_RATIO && attempt.near_limit {
             // Below one, answers are rare: a server slow for seconds would stay limited for minutes. Only up
             // to where limits begin: above that many nodes would overload it.
             server.limit *= (LIMIT_GAIN * (LATE_RATIO - TARGET_RATIO)).exp();
-        } else if attempt.at_limit {
+        } else if attempt.near_limit {
             // One attempt at a time that is in time is not too much, even if the fleet misses the target.
             let lower_bound = if ratio < 1.0 { server.limit.min(1.0) } else { min_limit };
             server.limit = (server.limit * (LIMIT_GAIN * (TARGET_RATIO - ratio)).exp()).max(lower_bound);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -71,13 +71,13 @@
 const TIME: Bound = (|n| (0.0..=MAX_TIME_MS).contains(&n), "a time from 0 to 10^12 ms");
 const TIME_ABOVE: Bound = (|n| n > 0.0 && n <= MAX_TIME_MS, "a time above 0, up to 10^12 ms");
 const COUNT: Bound = (|n| n >= 1.0 && n.fract() == 0.0, "a whole number from 1 on");
-const NODES: Bound =
+const NODE_COUNT: Bound =
     (|n| (1.0..=MAX_NODE_COUNT).contains(&n) && n.fract() == 0.0, "a whole number from 1 to 100,000");
 const FACTOR: Bound = (|n| SERVER_WEIGHT_RANGE.contains(&n), "a factor from 0.01 to 100");
 
 /// The longest time accepted in settings; servers may remember keys for weeks.
 const MAX_TIME_MS: Millis = 1e12;
-/// The most nodes accepted: the module fills a table of twice as many slots.
+/// The most nodes accepted: the decision module's table for the order of preference has at least twice as many slots.
 const MAX_NODE_COUNT: f64 = 100_000.0;
 
 /// Reads a number and checks its bound.
@@ -266,7 +266,7 @@
         |(name, factor): (&String, &Value)| Ok((name.clone(), within(factor, &weights.at(name), FACTOR)?));
     let factors = weights.map.into_iter().flatten().map(factor);
     let bans = fields.list("ServerBans")?.iter().map(|name| text(name, "ServerBans").map(str::to_string));
-    let (number, nodes) = (fields.whole("Me")?, fields.within("PeersTotal", NODES)?);
+    let (number, nodes) = (fields.whole("Me")?, fields.within("PeersTotal", NODE_COUNT)?);
     if number as f64 >= nodes {
         return Err(format!("Me: {number} is not below PeersTotal"));
     }
--- a/src/wire/policy.rs
+++ b/src/wire/policy.rs
@@ -1,4 +1,4 @@
-//! Lays a policy over a node's settings object. Names and kinds are checked by [`member::policy`], values by
+//! Applies a policy to a node's settings object. Names and kinds are checked by [`member::policy`], values by
 //! the settings.
 
 use member::policy::PolicyError;
@@ -7,7 +7,7 @@
 
 use super::{parse_settings, NodeSettings};
 
-/// Parses a node's settings object with a policy laid over it.
+/// Parses a node's settings object with a policy applied to it.
 ///
 /// # Errors
 /// Names the first field of the policy that may not change, is unknown or has an invalid value.
@@ -81,8 +81,10 @@
         );
     }
 
+    /// The error names the field. Control group and decision module accept the same range of server weights, so that
+    /// no weight that the group has agreed on is refused here.
     #[test]
-    fn policy_that_does_not_fit_the_settings_is_refused() {
+    fn policy_with_an_unknown_class_a_fixed_field_or_an_invalid_value_is_refused() {
         for (policy, message) in [
             (json!({"Classes": [{"Name": "sell", "Slo": 1}]}), "Classes[sell]: is unknown"),
             (json!({"Limits": {"Probes": true}}), "Limits.Probes: may not change"),
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter on handwritten lines, and the size limits of the module's source.
+//! The simulator adapter's replies and errors for handwritten lines of JSON, and the size limits of `src/balance.rs`.
 
 use serde_json::{json, Value};
 use tulipmount::wire::Adapter;
