--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -27,7 +27,8 @@
 const MAX_CALLERS: usize = 8;
 /// How long a caller may take to send its call and to read the response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
-/// How long a connection is read after its response, so that no reset overtakes it.
+/// How long a connection is read, and its bytes discarded, after its response: unread bytes would cause a reset, which
+/// may overtake the response. Ends early when the peer closes.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 /// The pause before accepting again after an error, as when descriptors have run out despite the reserve.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -220,7 +220,7 @@
 pub struct BodyMonitor(Rc<(Cell<BodyState>, Notify)>);
 
 impl BodyMonitor {
-    /// For a body that has just begun.
+    /// A monitor for a body of which nothing has been passed on.
     fn new() -> Self {
         Self(Rc::new((Cell::new(BodyState::Streaming), Notify::new())))
     }
@@ -355,7 +355,7 @@
     first: Option<Bytes>,
     rest: LimitedBody,
     monitor: BodyMonitor,
-    /// The request that ends with this body.
+    /// The metrics guard of the request that ends with this body.
     request: Option<RequestGuard>,
     /// Its part of the budget; a short body that found no room is streamed without one.
     _reservation: Option<Reservation>,
@@ -368,13 +368,14 @@
         Self { first, rest, monitor: BodyMonitor::new(), request: None, _reservation: reservation }
     }
 
-    /// Observes its state.
+    /// The monitor of its state.
     pub fn monitor(&self) -> BodyMonitor {
         self.monitor.clone()
     }
 
-    /// Ends the request with this body: as a success if all of it is passed on.
-    pub fn attach_request(&mut self, request: RequestGuard) {
+    /// Takes the metrics guard of a request, which is counted when this body ends or is dropped: as a success if all of
+    /// the body was passed on, else as an error.
+    pub fn count_request_until_end(&mut self, request: RequestGuard) {
         self.request = Some(request);
     }
 
@@ -401,10 +402,10 @@
 impl OutgoingBody {
     /// A buffered body.
     pub fn buffered(buffered: impl Into<BufferedBody>) -> Self {
-        Self::Buffered(Some(buffered.into()).filter(|k| !k.bytes.is_empty()))
+        Self::Buffered(Some(buffered.into()).filter(|body| !body.bytes.is_empty()))
     }
 
-    /// Observes the state of a streamed body; `None` for a buffered one.
+    /// The monitor of a streamed body; `None` for a buffered one.
     pub fn monitor(&self) -> Option<BodyMonitor> {
         match self {
             Self::Buffered(..) => None,
@@ -428,7 +429,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let streaming = match &mut *self {
             Self::Buffered(buffered) => {
-                return Poll::Ready(buffered.take().map(|k| Ok(Frame::data(k.bytes))))
+                return Poll::Ready(buffered.take().map(|body| Ok(Frame::data(body.bytes))))
             }
             Self::Streaming(streaming) => streaming,
         };
@@ -454,7 +455,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(buffered) => {
-                SizeHint::with_exact(buffered.as_ref().map_or(0, |k| k.bytes.len() as u64))
+                SizeHint::with_exact(buffered.as_ref().map_or(0, |body| body.bytes.len() as u64))
             }
             Self::Streaming(streaming) => {
                 let first = streaming.first.as_ref().map_or(0, |f| f.len() as u64);
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -54,29 +54,30 @@
 };
 /// Requests that take longer to arrive are logged.
 const SLOW_ARRIVAL: Duration = Duration::from_millis(10);
-/// How long a connection is read after its last response, so that no reset overtakes it.
+/// How long a connection is read, and its bytes discarded, after its write side was shut down behind the last
+/// response: unread bytes would cause a reset, which may overtake the response. Ends early when the peer closes.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(2000);
 /// The longest body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 32 << 20;
 /// The largest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// A new connection gets this long to send a request before it is closed as idle; a request that is arriving gets
-/// this long for its next bytes before it may be evicted.
+/// How long a connection is left alone before it is closed to stop the node or to make room: a new or idle one waits
+/// this long for a request, an arriving request for its next bytes, and a closing one for the peer's close.
 const GRACE_TIME: Duration = Duration::from_millis(200);
 /// The least time between log lines about the same error.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// The pause before accepting again when descriptors have run out, and between checks for room.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The tenant.
+/// The header with the name of the tenant.
 const TENANT: HeaderName = HeaderName::from_static("x-org");
-/// The client's estimate of the work, in microseconds.
+/// The header with the client's estimate of the request's work, in microseconds.
 const ESTIMATE: HeaderName = HeaderName::from_static("x-estimate");
-/// Marks a request that its client has sent before.
+/// The header, with the value 1, of a request that its client has sent before.
 const RESENT: HeaderName = HeaderName::from_static("x-resent");
-/// The epoch under which a request was taken.
+/// The response header with the epoch of the policy under which the request was taken.
 const POLICY_EPOCH: HeaderName = HeaderName::from_static("x-policy-epoch");
-/// The idempotency key, of requests that may be repeated by key.
+/// The header with the idempotency key of a request that may be repeated by key.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// The connection of one client.
@@ -291,7 +292,7 @@
             let _ = timeout(LINGER_TIMEOUT, socket.linger()).await;
         };
         tokio::select! {
-            // Once the connection is to be closed, nothing more is read: it would be lost.
+            // Once the connection is to be closed, no further request is read: it would get no response.
             biased;
             () = client.close.notified() => {}
             () = conversation => return,
@@ -465,7 +466,7 @@
                     OutgoingBody::buffered(buffered)
                 }
                 ReceivedBody::Streaming(mut streaming) => {
-                    streaming.attach_request(guard);
+                    streaming.count_request_until_end(guard);
                     OutgoingBody::Streaming(streaming)
                 }
             };
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! Calls to the discovery service. Each step of a call is reported to the node, whose list follower decides what to
+//! Calls to the discovery service. Each step of a call is reported to the node, whose list watcher decides what to
 //! do.
 
 use std::rc::Rc;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Any error ends the call, and the follower repeats it; the text is for the log.
+/// Any error ends the call, and the list watcher repeats it; the text is for the log.
 type CallError = Box<dyn std::error::Error>;
 
 async fn read_response(node: &Rc<Node>, id: CallId, path: &str) -> Result<(), CallError> {
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -34,7 +34,7 @@
 /// How long the node waits for discovery before it serves by the saved list.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long after its start a process that inherited its listener may have an older one beside it: the older one is
-/// told to end within 6 s, once this one is ready, and is killed at most 3.7 s later.
+/// asked to end within 6 s, once this one is ready, and is killed at most 3.7 s later.
 const MAX_OVERLAP: Duration = Duration::from_secs(10);
 
 /// Descriptors that clients and servers may not take, if there are enough: for the standard streams, the runtime,
@@ -57,7 +57,7 @@
     Sole,
     /// Just started, perhaps beside an older process. Clients move over to it.
     Successor,
-    /// Told to end, perhaps beside a newer process.
+    /// Shutting down, perhaps beside a newer process.
     Predecessor,
 }
 
@@ -124,12 +124,14 @@
     request: Rc<ForwardedRequest>,
     /// Where the final response goes; `None` once it was sent or is no longer needed.
     response: Option<oneshot::Sender<FinalResponse>>,
-    attempts: Vec<OpenAttempt>,
+    attempts: Vec<AttemptTask>,
 }
 
-struct OpenAttempt {
+/// One attempt at one server. Its index in [`OpenRequest::attempts`] is its number; it stays there after its end.
+struct AttemptTask {
     server: ServerId,
-    started: Instant,
+    /// When it started; for a streamed body, when the body was complete. Its elapsed time counts from here.
+    timed_from: Instant,
     /// `None` once the attempt has ended.
     task: Option<AbortHandle>,
 }
@@ -266,7 +268,7 @@
         Ok(node)
     }
 
-    /// Runs the timers of the decision module and of the list list_watcher; never returns.
+    /// Runs the timers of the decision module and of the list watcher; never returns.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let (module, list) = {
@@ -339,9 +341,9 @@
         self.config.max_sockets - RESERVED_DESCRIPTORS.min(self.config.max_sockets / 4)
     }
 
-    /// How many connections clients may have. A new process takes at least as many as the clients hold together, which
-    /// is a third of all descriptors. What a new and an old process may have together, to servers as well, is no more
-    /// than the whole.
+    /// How many connections clients may have. While an old and a new process of the node overlap, their shares add up
+    /// to no more than the whole, here and for connections to servers. The new one's share suffices for all clients,
+    /// which together hold a third of all descriptors.
     pub fn max_client_connections(&self) -> usize {
         let max = self.usable_descriptors() * 4 / 7;
         match self.role() {
@@ -361,7 +363,7 @@
         }
     }
 
-    /// Whether the node can serve, as the status of a response.
+    /// The HTTP status for readiness checks: 200 if the node can serve, else 503.
     pub fn ready_status(&self) -> StatusCode {
         if self.ready() {
             StatusCode::OK
@@ -581,8 +583,8 @@
     /// The body of a streamed request has arrived completely; its response must be on its way by `deadline`.
     pub fn body_complete(self: &Rc<Self>, id: RequestId, deadline: Instant) {
         if let Some(open) = self.state.borrow_mut().requests.get_mut(&id) {
-            for attempt in open.attempts.iter_mut().filter(|t| t.task.is_some()) {
-                attempt.started = Instant::now();
+            for attempt in open.attempts.iter_mut().filter(|a| a.task.is_some()) {
+                attempt.timed_from = Instant::now();
             }
         }
         self.handle_event(Event::BodyComplete { id, deadline: self.clock.at(deadline) });
@@ -668,7 +670,7 @@
             if ended.task.take().is_none() {
                 return;
             }
-            let (server, elapsed) = (ended.server, ended.started.elapsed().as_secs_f64() * 1000.0);
+            let (server, elapsed) = (ended.server, ended.timed_from.elapsed().as_secs_f64() * 1000.0);
             if outcome != Outcome::Success {
                 let host = state.servers.get(&server).map_or("an unlisted server", |h| h.name.as_str());
                 log::limited(|| {
@@ -726,7 +728,7 @@
         let attempt = open.attempts.len();
         let target = AttemptTarget { id, attempt, server, deadline };
         let task = self.io.start_attempt(self.clone(), target, open.request.clone());
-        open.attempts.push(OpenAttempt { server, started: now, task: Some(task) });
+        open.attempts.push(AttemptTask { server, timed_from: now, task: Some(task) });
     }
 
     /// Aborting the task closes its connection.
@@ -738,7 +740,7 @@
             let Some(ended) = open.attempts.get_mut(attempt) else { return };
             let Some(task) = ended.task.take() else { return };
             task.abort();
-            let elapsed = ended.started.elapsed().as_secs_f64() * 1000.0;
+            let elapsed = ended.timed_from.elapsed().as_secs_f64() * 1000.0;
             Event::AttemptEnded {
                 id,
                 attempt,
@@ -772,7 +774,7 @@
 
     // ---- The list ----
 
-    /// Passes an event to the list list_watcher and performs its actions.
+    /// Passes an event to the list watcher and performs its actions.
     pub fn handle_discovery(self: &Rc<Self>, event: endpoints::Event<'_>) {
         let actions = {
             let state = &mut *self.state.borrow_mut();
@@ -935,7 +937,7 @@
         Ok(listed || was_banned || self.state.borrow().is_banned(name))
     }
 
-    /// Follows the bans that another process of this node has made or lifted.
+    /// Applies the bans that another process of this node has made or lifted.
     pub fn poll_bans(self: &Rc<Self>) {
         let changes = self.state.borrow_mut().bans.poll_changes();
         for (name, change) in changes {
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -59,23 +59,24 @@
     }
 }
 
-/// The connections to all servers.
+/// Holds the idle connections to each server, and counts all open ones, idle or in use.
 pub struct Pool {
     idle: RefCell<HashMap<ServerId, Vec<ServerConnection>>>,
     count: Rc<ConnectionCount>,
-    max_idle: Duration,
-    /// How long a connect may take.
+    /// A connection that has been idle for longer is closed.
+    max_idle_time: Duration,
+    /// Maximum time that an attempt waits for room for one more connection, and then, counted anew, for the connect.
     pub connect_timeout: Duration,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// An empty pool. Both of its times are clamped to 1 ms to 1 h.
     pub fn new(config: &Config) -> Self {
         let ms = |ms: f64| Duration::from_secs_f64(ms.clamp(1.0, 3_600_000.0) / 1000.0);
         Self {
             idle: RefCell::default(),
             count: Rc::default(),
-            max_idle: ms(config.node_settings.keepalive * KEEPALIVE_FRACTION),
+            max_idle_time: ms(config.node_settings.keepalive * KEEPALIVE_FRACTION),
             connect_timeout: ms(config.node_settings.settings.limits.connect_timeout),
         }
     }
@@ -95,26 +96,26 @@
     pub fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
-            connections.retain(|c| c.idle_since.elapsed() < self.max_idle && c.socket.is_quiet());
+            connections.retain(|c| c.idle_since.elapsed() < self.max_idle_time && c.socket.is_quiet());
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Takes the idle connection to a server that was used last, among those past [`REUSE_DELAY`], if one is still
-    /// usable.
+    /// Takes the most recently used of the usable idle connections to a server that have been idle for at least
+    /// [`REUSE_DELAY`].
     pub fn take(&self, server: ServerId) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&server)?;
         while let Some(index) = connections.iter().rposition(|c| c.idle_since.elapsed() >= REUSE_DELAY) {
             let connection = connections.remove(index);
-            if connection.idle_since.elapsed() < self.max_idle && connection.socket.is_quiet() {
+            if connection.idle_since.elapsed() < self.max_idle_time && connection.socket.is_quiet() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Returns a connection to the pool.
+    /// Puts a connection back into the pool as idle.
     pub fn put(&self, server: ServerId, mut connection: ServerConnection) {
         connection.idle_since = Instant::now();
         self.idle.borrow_mut().entry(server).or_default().push(connection);
@@ -144,14 +145,14 @@
     /// descriptors or ports, nothing was sent, but it is not the server's fault: as a failed connect it would count
     /// towards the ejection of a healthy server.
     pub async fn connect(&self, addr: SocketAddr, limit: usize) -> Result<ServerConnection, Outcome> {
-        let has_room = async {
+        let wait_for_room = async {
             while self.open_connections() >= limit && !self.evict() {
                 self.count.released.notified().await;
             }
         };
         // All connections are in use and one may be free soon. Ending the attempt at once would only use up the
         // request's other attempts.
-        timeout(self.connect_timeout, has_room).await.map_err(|_| Outcome::NotSent)?;
+        timeout(self.connect_timeout, wait_for_room).await.map_err(|_| Outcome::NotSent)?;
         self.count.open.set(self.open_connections() + 1);
         let slot = Slot(self.count.clone());
         let stream = match timeout(self.connect_timeout, TcpStream::connect(addr)).await {
@@ -161,7 +162,7 @@
                 return Err(Outcome::NotSent);
             }
             Ok(Err(error)) => {
-                log::limited(|| format!("connect to {addr}: {error}"));
+                log::limited(|| format!("connect to {addr} failed: {error}"));
                 return Err(Outcome::ConnectFailed);
             }
             Err(_) => return Err(Outcome::ConnectFailed),
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -24,7 +24,7 @@
     pub tenant: Option<usize>,
     /// Whether its client marked it as resent.
     pub resent: bool,
-    /// Its client's estimate of its work.
+    /// Its client's estimate of its work, in milliseconds.
     pub estimated_work: Option<Millis>,
     /// The method.
     pub method: Method,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Observes a streamed body; `None` for a buffered one.
+    /// The monitor of a streamed body; `None` for a buffered one.
     pub fn monitor(&self) -> Option<&BodyMonitor> {
         match self {
             Self::Buffered(..) => None,
