--- a/src/main.rs
+++ b/src/main.rs
@@ -223,7 +223,7 @@
     use super::*;
 
     #[test]
-    fn each_error_has_its_advice() {
+    fn each_error_is_one_line_with_advice() {
         use StartError::*;
         let error = || io::Error::from(io::ErrorKind::Other);
         assert_each_has_advice(|before| match before {
--- a/src/net/bans.rs
+++ b/src/net/bans.rs
@@ -3,7 +3,7 @@
 //! how long the server counts as cold.
 //!
 //! A marker is created or removed as a whole and names a single server, so two processes need no lock and lose none
-//! of each other's changes. A ban that cannot be written holds in memory.
+//! of each other's changes. A ban whose marker cannot be written is kept in memory only.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File};
@@ -41,7 +41,7 @@
         error: io::Error,
     },
     /// The lifting of a ban could not be saved.
-    #[error("the return of {name} is not saved and known to this process only: {error}")]
+    #[error("the return of {name} is not saved and is known to this process only: {error}")]
     ReturnNotSaved {
         /// The server.
         name: String,
@@ -57,7 +57,7 @@
         error: io::Error,
     },
     /// The folder could not be read.
-    #[error("bans cannot be read, known ones stay in force: {error}")]
+    #[error("the folder of bans cannot be read, known bans stay in force: {error}")]
     FolderUnreadable {
         /// The system's error.
         error: io::Error,
@@ -67,12 +67,14 @@
 impl Advice for BanError {
     fn advice(&self) -> String {
         match self {
-            Self::BanNotSaved { .. } => "ban it again after an upgrade, or free space under TMPDIR".into(),
-            Self::ReturnNotSaved { .. } => "enable it at the other process as well".into(),
+            Self::BanNotSaved { .. } => {
+                "free space under TMPDIR and ban it again, or ban it again after an upgrade".into()
+            }
+            Self::ReturnNotSaved { .. } => "enable it at the other process of this node as well".into(),
             Self::NotLifted { .. } => {
-                "remove its file from the node's folder under TMPDIR, or call again".into()
+                "remove its out- file from the node's folder under TMPDIR, or enable it again".into()
             }
-            Self::FolderUnreadable { .. } => "let the node's user read its folder under TMPDIR".into(),
+            Self::FolderUnreadable { .. } => "let the node's user read its bans- folder under TMPDIR".into(),
         }
     }
 }
@@ -91,7 +93,7 @@
 }
 
 impl Bans {
-    /// No bans yet; those of node `name` are kept in a folder of its own below `parent`.
+    /// No bans yet. Markers are kept in a folder of node `name` below `parent`; without `parent` bans are not saved.
     pub fn new(parent: Option<PathBuf>, name: &str, cold_period: Duration) -> Self {
         let folder = parent.map(|p| p.join(format!("bans-{}", encode_hex(name))));
         Self {
@@ -142,7 +144,7 @@
         Ok(true)
     }
 
-    /// What other processes have changed since the last call. The first call returns all saved bans.
+    /// The changes that other processes have made since the last call. The first call returns all saved bans.
     pub fn poll_changes(&mut self) -> Vec<(String, BanChange)> {
         let (banned, returned) = match self.read_folder() {
             Ok(files) => files,
@@ -252,7 +254,7 @@
     use super::*;
 
     #[test]
-    fn each_error_has_its_advice() {
+    fn each_error_is_one_line_with_advice() {
         use BanError::*;
         let (name, error) = (|| "s1".to_string(), || io::Error::other("TMPDIR is not set"));
         assert_each_has_advice(|before| match before {
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -375,7 +375,7 @@
     use super::*;
 
     #[test]
-    fn each_error_has_its_advice() {
+    fn each_error_is_one_line_with_advice() {
         use ConfigError::*;
         assert_each_has_advice(|before| match before {
             None => Some(FileNotSet),
@@ -433,7 +433,7 @@
     /// A variable replaces the file's field, also one that cannot be parsed, and an error names whichever of them
     /// is wrong.
     #[test]
-    fn a_variable_replaces_the_field_of_the_file() {
+    fn an_environment_variable_overrides_the_field_of_the_file() {
         let file = json!({"name": "n0", "listen": 7, "discovery": "nowhere", "more": {}});
         let file = file.as_object().expect("an object");
         let read_with = |set: &[(&str, &str)]| {
@@ -441,10 +441,12 @@
             deserialize::<FileFields>(file.clone(), env).map_err(|e| e.to_string())
         };
         let (listen, discovery) = (("BALANCER_LISTEN", "127.0.0.1:1"), ("BALANCER_DISCOVERY", "127.0.0.1:2"));
-        let fields = read_with(&[listen, discovery]).expect("all can be read");
+        let fields = read_with(&[listen, discovery]).expect("the variables replace the invalid fields");
         assert_eq!((fields.name.as_deref(), fields.listen.map(|a| a.0.port())), (Some("n0"), Some(1)));
-        assert!(read_with(&[discovery]).expect_err("the file's").starts_with("listen: "));
-        let text = read_with(&[listen, ("BALANCER_DISCOVERY", "")]).expect_err("the variable's");
+        assert!(read_with(&[discovery])
+            .expect_err("the field in the file is invalid")
+            .starts_with("listen: "));
+        let text = read_with(&[listen, ("BALANCER_DISCOVERY", "")]).expect_err("the variable is invalid");
         assert_eq!(text, "BALANCER_DISCOVERY: IP address and port expected, not \"\"");
     }
 }
--- a/src/net/epoch_file.rs
+++ b/src/net/epoch_file.rs
@@ -264,7 +264,7 @@
     }
 
     #[test]
-    fn each_error_has_its_advice() {
+    fn each_error_is_one_line_with_advice() {
         use EpochFileError::*;
         let path = || PathBuf::from("/state");
         assert_each_has_advice(|before| match before {
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -117,7 +117,7 @@
     use super::*;
 
     #[test]
-    fn each_error_has_its_advice() {
+    fn each_error_is_one_line_with_advice() {
         use ListenError::*;
         let addr = SocketAddr::from(([127, 0, 0, 1], 9000));
         let bind = |kind: io::ErrorKind| Bind { field: "listen", addr, error: kind.into() };
--- a/src/net/membership.rs
+++ b/src/net/membership.rs
@@ -156,12 +156,12 @@
     /// `deadline`.
     pub async fn leave(&self, deadline: Instant) {
         self.step(Member::leave);
-        if !self.superseded() {
+        if !self.is_session_ended() {
             let _ = timeout_at(deadline.into(), self.session_ended.notified()).await;
         }
     }
 
-    fn superseded(&self) -> bool {
+    fn is_session_ended(&self) -> bool {
         self.admission.member.borrow().is_session_ended()
     }
 
@@ -171,7 +171,7 @@
     async fn heartbeat_loop(self: Rc<Self>) {
         let (mut connection, mut index): (Option<ReplicaConnection>, _) = (None, self.first_replica());
         let (mut leader, mut redirects, mut failures) = (None, 0, 0);
-        while !self.superseded() {
+        while !self.is_session_ended() {
             let addr = leader.unwrap_or_else(|| self.replica(index));
             let reused = connection.as_ref().is_some_and(|c| c.addr() == addr);
             let result = timeout(HEARTBEAT_TIMEOUT, self.send_heartbeat(&mut connection, addr)).await;
@@ -237,7 +237,7 @@
     /// Watches one replica after another.
     async fn watch_loop(self: Rc<Self>) {
         let (mut index, mut from, mut failures) = (self.first_replica(), 0, 0);
-        while !self.superseded() {
+        while !self.is_session_ended() {
             if let Err(error) = self.watch(self.replica(index), &mut from, &mut failures).await {
                 self.log(&error);
             }
@@ -388,7 +388,7 @@
     use super::*;
 
     #[test]
-    fn each_error_has_its_advice() {
+    fn each_error_is_one_line_with_advice() {
         assert_each_has_advice(|before| match before {
             None => Some(UnusablePolicy::Policy(PolicyError::Immutable("Me".into()))),
             Some(UnusablePolicy::Policy(_)) => Some(UnusablePolicy::OpenCap { requested: 9, capacity: 3 }),
--- a/src/net/replica.rs
+++ b/src/net/replica.rs
@@ -246,7 +246,7 @@
     use super::*;
 
     #[test]
-    fn each_error_has_its_advice() {
+    fn each_error_is_one_line_with_advice() {
         use CallError::*;
         let addr = SocketAddr::from(([127, 0, 0, 1], 9301));
         assert_each_has_advice(|before| match before {
