--- a/crates/lab/src/result.rs
+++ b/crates/lab/src/result.rs
@@ -27,11 +27,11 @@
 const WORST_WINDOW_S: usize = 10;
 /// The length of the windows for [`Cost::spread`].
 const SPREAD_WINDOW_S: usize = 5;
-/// Service has recovered from a fault when the served share is this part of its value before the fault ...
+/// Service counts as recovered from a fault once the served share reaches this part of its mean before the fault.
 const RECOVERED_SHARE: f64 = 0.95;
-/// ... which is the mean of this many seconds ...
+/// The mean before a fault is taken over this many seconds.
 const REFERENCE_S: usize = 5;
-/// ... for this many consecutive seconds.
+/// The served share must stay at that level for this many consecutive seconds to count as recovered.
 const RECOVERED_FOR_S: usize = 2;
 
 /// The result of a run.
@@ -61,10 +61,10 @@
     pub server_load: Vec<Vec<u32>>,
     /// The faults, and how long service took to recover.
     pub faults: Vec<FaultResult>,
-    /// What policy changes came to, where there is a control group.
+    /// Metrics of the policy changes; present only if there is a control group.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub control: Option<ControlMetrics>,
-    /// What votes on servers came to, where a replica reported removals.
+    /// Metrics of the votes on servers; present only if a replica reported removals.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub votes: Option<VoteMetrics>,
     /// The number of breaches of rules.
@@ -77,8 +77,8 @@
     /// The expectations of the plan, and whether each holds.
     #[serde(rename = "held")]
     pub expectations: Vec<ExpectationResult>,
-    /// The verdict.
-    pub verdict: Verdict,
+    /// The verdict on the run.
+    pub verdict: RunVerdict,
 }
 
 /// The size of the fleet.
@@ -124,14 +124,14 @@
     /// The share of the class's worth that was served in time.
     pub served: f64,
     /// The number of requests by outcome.
-    pub ends: Ends,
+    pub ends: OutcomeCounts,
     /// Percentiles of the time from the first try to a served answer.
     pub took_ms: Percentiles,
 }
 
 /// The number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
-pub struct Ends {
+pub struct OutcomeCounts {
     /// Served within the target time.
     pub in_time: u64,
     /// Served later.
@@ -206,7 +206,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct SecondResult {
     /// The number of requests by outcome.
-    pub ends: Ends,
+    pub ends: OutcomeCounts,
     /// The share of the worth that was served in time.
     pub served: f64,
     /// Percentiles of the time from the first try to a served answer.
@@ -250,19 +250,19 @@
     pub key: String,
     /// The expected value or bound.
     pub wanted: f64,
-    /// The measured value; `None` where there is none, in which case the expectation does not expected.
+    /// The measured value; `None` where there is none, in which case the expectation does not hold.
     pub got: Option<f64>,
     /// Whether the expectation holds.
     pub held: bool,
 }
 
-/// The verdict on a run.
+/// The verdict on a run. If several apply, the first in this order counts: interrupted, lab late, not held, held.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Verdict {
+pub enum RunVerdict {
     /// All expectations hold, and no rule was broken.
     Held,
-    /// A rule was broken, or an expectation does not expected.
+    /// A rule was broken, or an expectation does not hold.
     NotHeld,
     /// The lab itself ran late: the run does not count.
     LabLate,
@@ -270,8 +270,10 @@
     Interrupted,
 }
 
-impl Verdict {
-    /// A late lab may report breaches that did not happen and metrics that are wrong, so such a run does not count.
+impl RunVerdict {
+    /// Determines the verdict. `late_ms` is the 99th percentile of the lab's own lateness; `held` is whether all
+    /// expectations hold and no rule was broken. A late lab may report breaches that did not happen and wrong metrics,
+    /// so such a run does not count.
     fn of(interrupted: bool, late_ms: f64, held: bool) -> Self {
         if interrupted {
             Self::Interrupted
@@ -285,7 +287,7 @@
     }
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for RunVerdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Held => "held",
@@ -314,8 +316,8 @@
 }
 
 /// The sum of the counts by outcome.
-fn sum_outcomes(counts: impl Iterator<Item = [u64; 5]>) -> Ends {
-    counts.fold(Ends::default(), |sum, [in_time, late, refused, failed, unanswered]| Ends {
+fn sum_outcomes(counts: impl Iterator<Item = [u64; 5]>) -> OutcomeCounts {
+    counts.fold(OutcomeCounts::default(), |sum, [in_time, late, refused, failed, unanswered]| OutcomeCounts {
         in_time: sum.in_time + in_time,
         late: sum.late + late,
         refused: sum.refused + refused,
@@ -324,7 +326,7 @@
     })
 }
 
-impl Ends {
+impl OutcomeCounts {
     /// The number of all requests.
     pub fn all(&self) -> u64 {
         self.in_time + self.late + self.refused + self.failed + self.unanswered
@@ -463,7 +465,7 @@
                 messages_per_s: messages as f64 / (draw.length as f64 / 1e6),
             },
             expectations: Vec::new(),
-            verdict: Verdict::Held,
+            verdict: RunVerdict::Held,
         };
         result.evaluate(plan, played.interrupted);
         result
@@ -541,7 +543,7 @@
         ];
         self.expectations = expectations.into_iter().flatten().collect();
         let held = self.breaches == 0 && self.expectations.iter().all(|h| h.held);
-        self.verdict = Verdict::of(interrupted, self.lab.late_ms.p99, held);
+        self.verdict = RunVerdict::of(interrupted, self.lab.late_ms.p99, held);
     }
 
     /// Writes the result as JSON.
@@ -568,10 +570,10 @@
 
     #[test]
     fn an_interrupted_run_or_a_late_lab_does_not_count() {
-        assert_eq!(Verdict::of(false, 5.0, true), Verdict::Held);
-        assert_eq!(Verdict::of(false, 5.0, false), Verdict::NotHeld);
-        assert_eq!(Verdict::of(false, 5.1, false), Verdict::LabLate);
-        assert_eq!(Verdict::of(false, 5.1, true), Verdict::LabLate);
-        assert_eq!(Verdict::of(true, 0.1, true), Verdict::Interrupted);
+        assert_eq!(RunVerdict::of(false, 5.0, true), RunVerdict::Held);
+        assert_eq!(RunVerdict::of(false, 5.0, false), RunVerdict::NotHeld);
+        assert_eq!(RunVerdict::of(false, 5.1, false), RunVerdict::LabLate);
+        assert_eq!(RunVerdict::of(false, 5.1, true), RunVerdict::LabLate);
+        assert_eq!(RunVerdict::of(true, 0.1, true), RunVerdict::Interrupted);
     }
 }
--- a/crates/stoneshift/src/model.rs
+++ b/crates/stoneshift/src/model.rs
@@ -10,7 +10,7 @@
 use lab::modules::{self, Snapshot, SnapshotObserver};
 use lab::plan::{FaultKind, Plan};
 use lab::plot;
-use lab::result::{Ends, RunResult, Verdict};
+use lab::result::{OutcomeCounts, RunResult, RunVerdict};
 use lab::tally::SecondCounts;
 use lab::world::World;
 use tulipmount::Status;
@@ -83,7 +83,7 @@
                 print_seconds(&result, &played.world);
             }
             print!("{}", table::format_result(&result));
-            all_held &= result.verdict == Verdict::Held;
+            all_held &= result.verdict == RunVerdict::Held;
         }
         Ok(all_held)
     }
@@ -118,7 +118,7 @@
 /// Prints the requests of each second and their outcomes.
 fn print_seconds(result: &RunResult, world: &World) {
     for (s, (second, counts)) in result.seconds.iter().zip(&world.tally().seconds).enumerate() {
-        let Ends { in_time, late, refused, failed, unanswered } = second.ends;
+        let OutcomeCounts { in_time, late, refused, failed, unanswered } = second.ends;
         let SecondCounts { tries, attempts, turned_away, connections, refused_connections } = counts;
         println!(
             "{s:>4} s: {:>5} asked, {in_time:>5} in time, {late:>4} late, {refused:>4} refused, {failed:>4} failed, \
--- a/crates/stoneshift/src/run.rs
+++ b/crates/stoneshift/src/run.rs
@@ -11,7 +11,7 @@
 use lab::live::{self, Options};
 use lab::plan::{FaultKind, Plan};
 use lab::plot;
-use lab::result::{RunResult, Verdict};
+use lab::result::{RunResult, RunVerdict};
 
 use crate::failure::Failure;
 use crate::{control_program, create_folder, node_program, progress_style, table};
@@ -83,7 +83,7 @@
         plot::write(&result, &self.out.join("run.svg")).map_err(Failure::Out)?;
         print!("{}", table::format_result(&result));
         println!("wrote result.json and run.svg in {}", self.out.display());
-        Ok(result.verdict == Verdict::Held)
+        Ok(result.verdict == RunVerdict::Held)
     }
 }
 
