--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -10,9 +10,9 @@
 /// How many levels of folders are searched for results.
 const MAX_DEPTH: usize = 3;
 
-/// The range of a metric in one set of runs.
+/// Summary of one metric over the runs of a set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Spread {
+pub struct MetricSummary {
     /// The minimum.
     pub min: f64,
     /// The median.
@@ -28,10 +28,10 @@
 pub struct Row {
     /// The metric's name.
     pub name: String,
-    /// The range in the first set.
-    pub a: Spread,
-    /// The range in the second set.
-    pub b: Spread,
+    /// The summary over the first set.
+    pub a: MetricSummary,
+    /// The summary over the second set.
+    pub b: MetricSummary,
 }
 
 impl Row {
@@ -51,12 +51,13 @@
     pub rows: Vec<Row>,
 }
 
-fn spread(mut values: Vec<f64>) -> Option<Spread> {
+/// Summarizes the values of a metric; `None` if there are none.
+fn summarize(mut values: Vec<f64>) -> Option<MetricSummary> {
     values.sort_by(f64::total_cmp);
     let (min, max) = (*values.first()?, *values.last()?);
     let half = values.len() / 2;
     let median = if values.len() % 2 == 1 { values[half] } else { (values[half - 1] + values[half]) / 2.0 };
-    Some(Spread { min, median, max, runs: values.len() })
+    Some(MetricSummary { min, median, max, runs: values.len() })
 }
 
 /// The metrics of a run that are compared, in the order of the rows.
@@ -141,7 +142,7 @@
     }
     let [mut first, mut second] = sets;
     let rows = names.into_iter().filter_map(|name| {
-        let (a, b) = (spread(first.remove(&name)?)?, spread(second.remove(&name)?)?);
+        let (a, b) = (summarize(first.remove(&name)?)?, summarize(second.remove(&name)?)?);
         Some(Row { name, a, b })
     });
     let draws_of = |runs: &[RunResult]| {
@@ -163,7 +164,7 @@
         let runs = self.rows.first().map_or((0, 0), |r| (r.a.runs, r.b.runs));
         writeln!(f, "A: {} plays, B: {} plays; medians, with the least and the most", runs.0, runs.1)?;
         writeln!(f, "{:<28}{:>28}{:>28}{:>11}", "", "A", "B", "B - A")?;
-        let range = |s: &Spread| format!("{:.3} ({:.3} to {:.3})", s.median, s.min, s.max);
+        let range = |s: &MetricSummary| format!("{:.3} ({:.3} to {:.3})", s.median, s.min, s.max);
         for row in &self.rows {
             let mark = if row.moved() { "  moved" } else { "" };
             let by = row.b.median - row.a.median;
@@ -184,13 +185,13 @@
     fn a_metric_has_moved_when_the_ranges_do_not_overlap() {
         let row = |a: &[f64], b: &[f64]| Row {
             name: "x".into(),
-            a: spread(a.to_vec()).expect("runs"),
-            b: spread(b.to_vec()).expect("runs"),
+            a: summarize(a.to_vec()).expect("runs"),
+            b: summarize(b.to_vec()).expect("runs"),
         };
         assert!(row(&[1.0, 2.0, 3.0], &[4.0, 5.0]).moved());
         assert!(!row(&[1.0, 2.0, 4.5], &[4.0, 5.0]).moved());
         assert!(!row(&[1.0], &[4.0, 5.0]).moved(), "one run has no range");
-        let four = spread(vec![4.0, 1.0, 3.0, 2.0]).expect("runs");
+        let four = summarize(vec![4.0, 1.0, 3.0, 2.0]).expect("runs");
         assert_eq!((four.min, four.median, four.max, four.runs), (1.0, 2.5, 4.0, 4));
     }
 }
