--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -57,7 +57,7 @@
     pub aim: Us,
     /// The client gives up after this, all tries together.
     pub deadline: Us,
-    /// The worth of an answer, for a unit of work.
+    /// The worth of an answer for each microsecond of the request's work.
     pub worth: f64,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
@@ -194,7 +194,7 @@
             deadline: us_from_ms(c.deadline_ms),
             worth: c.worth,
             idempotency: c.idempotency,
-            dedup_window: us_from_ms(c.window_ms),
+            dedup_window: us_from_ms(c.idempotency_window_ms),
         });
         let classes: Vec<ClassSpec> = classes.collect();
         let clients = plan.clients.get_ref();
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -37,7 +37,7 @@
         reason: String,
     },
     /// The file has a version that this program does not support.
-    #[error("{}: schema: {known} is known, not {found}", file.display())]
+    #[error("{}: schema: version {known} is supported, not {found}", file.display())]
     Schema {
         /// The file.
         file: PathBuf,
@@ -132,7 +132,7 @@
     }
 
     /// The message and advice of one error of each variant; a missing variant does not compile.
-    macro_rules! each {
+    macro_rules! one_of_each_variant {
         ($($variant:pat => $error:expr),+ $(,)?) => {{
             let all = vec![$($error),+];
             for error in &all {
@@ -145,7 +145,7 @@
     #[test]
     fn every_error_is_one_line_and_has_advice() {
         let (file, field, reason) = (PathBuf::from("x"), String::from("a.b"), String::from("no"));
-        let mut all = each! {
+        let mut all = one_of_each_variant! {
             FileError::Read { .. } => FileError::Read { file: file.clone(), source: io() },
             FileError::Write { .. } => FileError::Write { file: file.clone(), reason: reason.clone() },
             FileError::Format { .. } =>
@@ -154,18 +154,18 @@
             FileError::NoResults { .. } => FileError::NoResults { folder: file.clone() },
         };
         let plan = || PlanError::Read { file: "x".into(), source: io() };
-        all.extend(each! {
+        all.extend(one_of_each_variant! {
             PlanError::Read { .. } => plan(),
             PlanError::Format { .. } =>
                 PlanError::Format { file: "x".into(), line: 1, field: field.clone(), reason: reason.clone() },
             PlanError::InvalidValue { .. } => PlanError::InvalidValue { file: "x".into(), line: 1, field, reason: reason.clone() },
         });
-        all.extend(each! {
+        all.extend(one_of_each_variant! {
             ModelError::Settings(_) => ModelError::Settings(reason.clone()),
             ModelError::Plan(_) => ModelError::Plan(plan()),
         });
         let at = ([127, 0, 0, 1], 1).into();
-        all.extend(each! {
+        all.extend(one_of_each_variant! {
             LabError::Addresses(_) => LabError::Addresses(reason.clone()),
             LabError::Listen { .. } => LabError::Listen { at, source: io() },
             LabError::Start { .. } => LabError::Start { process: "node n1".into(), reason },
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -320,14 +320,14 @@
 pub struct Class {
     /// The class's name, the first segment of the request path.
     pub name: String,
-    /// The class's share of the first tries.
+    /// The class's share of the first tries, relative to the shares of all classes, which need not add up to 1.
     #[serde(deserialize_with = "bounded")]
     pub share: f64,
-    /// Mean work of a request, in ms.
+    /// Mean work of a request, in ms of one core at speed 1; a draw takes one value from the range for the whole run.
     pub work_ms: Range,
     /// The distribution of the work.
     pub dist: WorkDistribution,
-    /// The coefficient of variation of the work, for a lognormal distribution.
+    /// The coefficient of variation of the work, for a lognormal distribution; of a range, the middle is used.
     #[serde(default = "default_cv")]
     pub cv: Range,
     /// The target for the time to an answer, in ms.
@@ -336,15 +336,16 @@
     /// The client gives up after this, all tries together, in ms.
     #[serde(deserialize_with = "bounded")]
     pub deadline_ms: f64,
-    /// The worth of an answer within the target, for a unit of work.
+    /// The worth of an answer within the target, for each unit of the request's work: a request is worth this times its
+    /// work.
     #[serde(deserialize_with = "bounded")]
     pub worth: f64,
     /// Whether a request may run more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
     /// How long servers drop repeats of a keyed request, in ms.
-    #[serde(default, deserialize_with = "bounded")]
-    pub window_ms: f64,
+    #[serde(default, rename = "window_ms", deserialize_with = "bounded")]
+    pub idempotency_window_ms: f64,
 }
 
 fn default_cv() -> Range {
@@ -352,7 +353,7 @@
 }
 
 fn default_classes() -> Spanned<Vec<Class>> {
-    let class = |name: &str, share, work, cv, deadline_ms, worth, idempotency, window_ms| Class {
+    let class = |name: &str, share, work, cv, deadline_ms, worth, idempotency, idempotency_window_ms| Class {
         name: name.into(),
         share,
         work_ms: Range::Between(work),
@@ -366,7 +367,7 @@
         deadline_ms,
         worth,
         idempotency,
-        window_ms,
+        idempotency_window_ms,
     };
     let lookup = class("lot-lookup", 0.55, [41.0, 73.0], [0.94, 1.4], 600.0, 3.0, Idempotency::Safe, 0.0);
     let request =
@@ -945,7 +946,7 @@
     /// Checks what types can't express; the error names the first invalid value.
     fn check(&self) -> Result<(), InvalidField> {
         if self.schema != SCHEMA {
-            return invalid(0, "schema", format!("{SCHEMA} is known, not {}", self.schema));
+            return invalid(0, "schema", format!("version {SCHEMA} is supported, not {}", self.schema));
         }
         let length = *self.length_s.get_ref();
         if !(length > 0.0 && length <= MAX_LENGTH_S) {
