--- a/crates/lab/src/server.rs
+++ b/crates/lab/src/server.rs
@@ -2,8 +2,8 @@
 //!
 //! Requests are served in arrival order, one per core, with a bounded queue; a request that finds the queue full is
 //! turned away with 503. The service rate depends on the server's speed, its warm-up, injected slowdowns, the share of
-//! CPU that a noisy neighbour takes, the number of requests and connections in flight, and whether sustained crowding
-//! has choked the server. A cold server that receives far more work than it can do crashes and stays down.
+//! CPU that a noisy neighbour takes, the number of requests and connections in flight, and whether the server
+//! is in congestion collapse (choked). A cold server that receives far more work than it can do crashes and stays down.
 
 use std::collections::VecDeque;
 
@@ -43,28 +43,29 @@
     pub connection_overhead: f64,
     /// Work of one connection handshake.
     pub handshake_work: f64,
-    /// Choking under sustained crowding.
+    /// Congestion collapse under too many requests in flight.
     pub choke: ChokeParameters,
-    /// A cold server crashes when it receives more than this many times its capacity ...
+    /// A cold server crashes when the work it receives within `overload_window` exceeds this many times its capacity.
     pub overload_multiple: f64,
-    /// ... within this window.
+    /// Length of the window for `overload_multiple`.
     pub overload_window: Us,
 }
 
-/// How sustained crowding chokes a server.
+/// Congestion collapse of a server: too many requests in flight for some time choke it, that is, slow it down until it
+/// recovers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChokeParameters {
-    /// The server is crowded above this number of requests in flight per core.
+    /// The server begins to choke above this number of requests in flight per core.
     pub threshold: f64,
-    /// Crowding for this long chokes the server.
+    /// How long the requests in flight must stay above `threshold` to choke the server.
     pub onset: Us,
     /// Factor by which a choked server is slower.
     pub slowdown: f64,
-    /// A choked server recovers below this number of requests in flight per core ...
+    /// A choked server begins to recover below this number of requests in flight per core.
     pub recovery_threshold: f64,
-    /// ... sustained for this long.
+    /// How long the requests in flight must stay below `recovery_threshold` to end the choke.
     pub recovery: Us,
-    /// A server is choked for no longer than this.
+    /// Longest time for which a server stays choked.
     pub max_duration: Us,
 }
 
@@ -94,16 +95,23 @@
     pub capacity: f64,
 }
 
+/// A request that occupies a core.
 #[derive(Debug)]
-struct Running {
+struct RunningRequest {
     request: u64,
-    remaining: f64,
+    /// Work left, in microseconds of one core at speed 1.
+    remaining_work: f64,
 }
 
+/// Whether the server is choked, that is, slowed down by congestion collapse.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ChokeState {
-    Normal { crowded_since: Option<Us> },
-    Choked { since: Us, relieved_since: Option<Us> },
+    /// `above_threshold_since` is when the requests in flight rose above [`ChokeParameters::threshold`], if they are
+    /// above it.
+    Normal { above_threshold_since: Option<Us> },
+    /// `below_recovery_since` is when the requests in flight fell below [`ChokeParameters::recovery_threshold`], if
+    /// they are below it.
+    Choked { since: Us, below_recovery_since: Option<Us> },
 }
 
 /// Simulated app server.
@@ -113,7 +121,7 @@
     now: Us,
     /// Start time; `None` if the server has been warm from the start of the run.
     started_at: Option<Us>,
-    running: Vec<Running>,
+    running: Vec<RunningRequest>,
     waiting: VecDeque<(u64, f64)>,
     slowdown: f64,
     stolen_share: f64,
@@ -142,7 +150,7 @@
             stolen_share: 0.0,
             open_connections: 0,
             pending_handshake_work: 0.0,
-            choke_state: ChokeState::Normal { crowded_since: None },
+            choke_state: ChokeState::Normal { above_threshold_since: None },
             cold_arrivals: VecDeque::new(),
             cold_load: ColdLoad::default(),
             work_done: 0.0,
@@ -166,17 +174,21 @@
 
     /// Remaining work of all requests that run or wait.
     pub fn backlog(&self) -> f64 {
-        self.running.iter().map(|r| r.remaining).sum::<f64>() + self.waiting.iter().map(|w| w.1).sum::<f64>()
+        self.running.iter().map(|r| r.remaining_work).sum::<f64>()
+            + self.waiting.iter().map(|w| w.1).sum::<f64>()
     }
 
     /// Work received while cold, and the capacity over that time, up to `now`.
     pub fn cold_load(&self, now: Us) -> ColdLoad {
-        let (f, age) =
+        let (parameters, age) =
             (&self.parameters, self.started_at.map_or(0, |started_at| now.saturating_sub(started_at)));
-        let age = age.min(f.warm_up) as f64;
-        let average_warmth_time =
-            f.initial_warmth * age + (1.0 - f.initial_warmth) * age * age / (2.0 * f.warm_up.max(1) as f64);
-        ColdLoad { capacity: f.speed * f.cores as f64 * average_warmth_time, ..self.cold_load }
+        let age = age.min(parameters.warm_up) as f64;
+        let average_warmth_time = parameters.initial_warmth * age
+            + (1.0 - parameters.initial_warmth) * age * age / (2.0 * parameters.warm_up.max(1) as f64);
+        ColdLoad {
+            capacity: parameters.speed * parameters.cores as f64 * average_warmth_time,
+            ..self.cold_load
+        }
     }
 
     /// Whether the server is still warming up.
@@ -197,13 +209,20 @@
 
     /// Work that one core does per microsecond in the current state.
     fn rate(&self, now: Us) -> f64 {
-        let f = &self.parameters;
-        let excess = (self.in_flight() as f64 / f.cores as f64 - f.thrash_threshold).max(0.0);
-        let table_fill = (self.open_connections as f64 / f.max_connections.max(1) as f64).min(1.0);
-        let choke =
-            if matches!(self.choke_state, ChokeState::Choked { .. }) { f.choke.slowdown } else { 1.0 };
-        f.speed * self.warmth(now) * (1.0 - self.stolen_share) * (1.0 - f.connection_overhead * table_fill)
-            / (self.slowdown * choke * (1.0 + f.thrash_slowdown * excess))
+        let parameters = &self.parameters;
+        let excess =
+            (self.in_flight() as f64 / parameters.cores as f64 - parameters.thrash_threshold).max(0.0);
+        let table_fill = (self.open_connections as f64 / parameters.max_connections.max(1) as f64).min(1.0);
+        let choke = if matches!(self.choke_state, ChokeState::Choked { .. }) {
+            parameters.choke.slowdown
+        } else {
+            1.0
+        };
+        parameters.speed
+            * self.warmth(now)
+            * (1.0 - self.stolen_share)
+            * (1.0 - parameters.connection_overhead * table_fill)
+            / (self.slowdown * choke * (1.0 + parameters.thrash_slowdown * excess))
     }
 
     /// Work done per microsecond with all cores busy.
@@ -271,8 +290,8 @@
 
     /// Starts a request on a free core.
     fn start(&mut self, request: u64, work: f64) {
-        let remaining = work + std::mem::take(&mut self.pending_handshake_work);
-        self.running.push(Running { request, remaining });
+        let remaining_work = work + std::mem::take(&mut self.pending_handshake_work);
+        self.running.push(RunningRequest { request, remaining_work });
     }
 
     /// Cancels a request for its node; returns true if it was waiting and was dropped.
@@ -286,51 +305,61 @@
         dropped
     }
 
-    /// Updates the choke state from the current crowding and its duration.
+    /// Updates the choke state from the current number of requests in flight, and from how long it has been above or
+    /// below the thresholds.
     fn update_choke_state(&mut self) {
         let (now, choke) = (self.now, &self.parameters.choke);
         let in_flight = self.in_flight() as f64 / self.parameters.cores as f64;
         self.choke_state = match self.choke_state {
-            ChokeState::Normal { crowded_since } if in_flight > choke.threshold => match crowded_since {
-                Some(since) if now >= since + choke.onset => {
-                    ChokeState::Choked { since: now, relieved_since: None }
+            ChokeState::Normal { above_threshold_since } if in_flight > choke.threshold => {
+                match above_threshold_since {
+                    Some(since) if now >= since + choke.onset => {
+                        ChokeState::Choked { since: now, below_recovery_since: None }
+                    }
+                    since => ChokeState::Normal { above_threshold_since: since.or(Some(now)) },
                 }
-                since => ChokeState::Normal { crowded_since: since.or(Some(now)) },
-            },
-            ChokeState::Normal { .. } => ChokeState::Normal { crowded_since: None },
+            }
+            ChokeState::Normal { .. } => ChokeState::Normal { above_threshold_since: None },
             ChokeState::Choked { since, .. } if now >= since + choke.max_duration => {
-                ChokeState::Normal { crowded_since: None }
+                ChokeState::Normal { above_threshold_since: None }
             }
-            ChokeState::Choked { since, relieved_since } if in_flight < choke.recovery_threshold => {
-                match relieved_since {
-                    Some(relieved) if now >= relieved + choke.recovery => {
-                        ChokeState::Normal { crowded_since: None }
+            ChokeState::Choked { since, below_recovery_since } if in_flight < choke.recovery_threshold => {
+                match below_recovery_since {
+                    Some(below_since) if now >= below_since + choke.recovery => {
+                        ChokeState::Normal { above_threshold_since: None }
+                    }
+                    below_since => {
+                        ChokeState::Choked { since, below_recovery_since: below_since.or(Some(now)) }
                     }
-                    relieved => ChokeState::Choked { since, relieved_since: relieved.or(Some(now)) },
                 }
             }
-            ChokeState::Choked { since, .. } => ChokeState::Choked { since, relieved_since: None },
+            ChokeState::Choked { since, .. } => ChokeState::Choked { since, below_recovery_since: None },
         };
     }
 
-    /// Whether the server is choked by crowding.
+    /// Whether the server is in congestion collapse.
     pub fn is_choked(&self) -> bool {
         matches!(self.choke_state, ChokeState::Choked { .. })
     }
 
     /// Time of the next state change if no request arrives before it.
     pub fn next_due(&self) -> Option<Us> {
-        let f = &self.parameters;
+        let parameters = &self.parameters;
         let choke = match self.choke_state {
-            ChokeState::Normal { crowded_since } => crowded_since.map(|since| since + f.choke.onset),
-            ChokeState::Choked { since, relieved_since } => {
-                let latest = since + f.choke.max_duration;
-                Some(relieved_since.map_or(latest, |relieved| latest.min(relieved + f.choke.recovery)))
+            ChokeState::Normal { above_threshold_since } => {
+                above_threshold_since.map(|since| since + parameters.choke.onset)
+            }
+            ChokeState::Choked { since, below_recovery_since } => {
+                let latest = since + parameters.choke.max_duration;
+                Some(
+                    below_recovery_since
+                        .map_or(latest, |below_since| latest.min(below_since + parameters.choke.recovery)),
+                )
             }
         };
-        let least_remaining = self.running.iter().map(|r| r.remaining).min_by(f64::total_cmp);
-        let done = least_remaining.map(|remaining| {
-            let end = self.now + ((remaining / self.rate(self.now)).ceil() as Us).max(1);
+        let min_remaining_work = self.running.iter().map(|r| r.remaining_work).min_by(f64::total_cmp);
+        let done = min_remaining_work.map(|remaining_work| {
+            let end = self.now + ((remaining_work / self.rate(self.now)).ceil() as Us).max(1);
             if self.is_cold(self.now) {
                 end.min(self.now + WARM_UP_STEP_US)
             } else {
@@ -354,10 +383,10 @@
         let step = span * self.rate(self.now);
         self.now = self.now.max(to);
         for running in &mut self.running {
-            self.work_done += step.min(running.remaining);
-            running.remaining -= step;
+            self.work_done += step.min(running.remaining_work);
+            running.remaining_work -= step;
         }
-        let is_done = |r: &Running| r.remaining <= 1e-6;
+        let is_done = |r: &RunningRequest| r.remaining_work <= 1e-6;
         ended.extend(self.running.iter().filter(|r| is_done(r)).map(|r| (r.request, to)));
         self.running.retain(|r| !is_done(r));
         while self.running.len() < self.parameters.cores {
@@ -470,7 +499,7 @@
     }
 
     #[test]
-    fn sustained_crowding_chokes_a_server_until_it_recovers() {
+    fn too_many_requests_in_flight_choke_a_server_until_it_recovers() {
         let mut server = Server::new(parameters(), None);
         for request in 0..6 {
             server.arrive(request, 200_000.0, true);
