--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -19,7 +19,8 @@
     pub fn connect(&mut self, now: Us, server: usize) -> Option<u32> {
         self.advance(now);
         self.advance_server(server);
-        let accepted = self.servers[server].power != Power::Off && self.servers[server].model.connect();
+        let accepted = self.servers[server].process_state != ProcessState::NotRunning
+            && self.servers[server].model.connect();
         let second = self.tally.second_mut(now);
         second.connections += 1;
         second.refused_connections += u64::from(!accepted);
@@ -79,7 +80,9 @@
                 let arrival = now + self.jittered(self.draw.delays[zone][to]);
                 self.schedule_event(arrival, Event::ReplyAtNode(attempt, ServerReply::Reset));
             }
-        } else if self.is_link_open(zone, to) && self.servers[server].power != Power::Silent {
+        } else if self.is_link_open(zone, to)
+            && self.servers[server].process_state != ProcessState::Unreachable
+        {
             let trips = if fresh { 2.0 * self.draw.handshake_trips } else { 0.0 };
             let sent = now + (self.draw.delays[zone][to] as f64 * trips) as Us;
             let arrival = self.link_arrival_time(sent, zone, to, REQUEST_BYTES);
@@ -165,7 +168,8 @@
     /// Whether the process to which an attempt was sent is still up.
     fn is_same_process(&self, attempt: usize) -> bool {
         let a = &self.attempts[attempt];
-        self.servers[a.server].incarnation == a.incarnation && self.servers[a.server].power == Power::Up
+        self.servers[a.server].incarnation == a.incarnation
+            && self.servers[a.server].process_state == ProcessState::Up
     }
 
     /// The server was overloaded while cold: it crashes and stays down. A breach if at least two thirds of the work
@@ -212,7 +216,7 @@
 
     /// Advances a server to the current time, and sends the replies to requests that it has completed.
     pub(super) fn advance_server(&mut self, server: usize) {
-        if self.servers[server].power == Power::Off {
+        if self.servers[server].process_state == ProcessState::NotRunning {
             return;
         }
         let mut ended = Vec::new();
@@ -250,7 +254,7 @@
     /// Schedules a server's next state change if it is earlier than the scheduled one.
     pub(super) fn schedule_server(&mut self, server: usize) {
         let instance = &mut self.servers[server];
-        if instance.power == Power::Off {
+        if instance.process_state == ProcessState::NotRunning {
             return;
         }
         if let Some(due) = instance.model.next_due().filter(|due| instance.next_step.is_none_or(|d| *due < d))
@@ -265,7 +269,7 @@
         self.attempts[attempt].stage = Stage::Answered(reply);
         let a = &self.attempts[attempt];
         let (from, to) = (self.servers[a.server].spec.zone, a.zone);
-        if self.servers[a.server].power == Power::Up && self.is_link_open(from, to) {
+        if self.servers[a.server].process_state == ProcessState::Up && self.is_link_open(from, to) {
             let arrival = self.link_arrival_time(at, from, to, ANSWER_BYTES);
             self.schedule_event(arrival, Event::ReplyAtNode(attempt, reply));
         }
@@ -304,17 +308,18 @@
     use super::*;
     use crate::plan::Plan;
 
-    /// A lightly loaded world at the moment when a client's request reaches its node, and the number of the try.
+    /// Returns a lightly loaded world at the moment when the first client's request at or after `from` reaches its
+    /// node, and the number of the try. `more` is added to the experiment's file.
     fn first_request(more: &str, from: Us) -> (World, usize) {
         let text = format!("schema = 1\nname = \"x\"\nlength_s = 20\n[load]\nper_s = 0.5\n{more}");
         let plan = Plan::read("x.toml", &text).expect("a valid plan");
-        let dial = Rc::new(|server, _| SocketAddr::from(([127, 0, 0, 1], server as u16)));
-        let mut world = World::new(Rc::new(Draw::new(&plan, 4)), plan.rules, 0.0, dial);
+        let server_address = Rc::new(|server, _| SocketAddr::from(([127, 0, 0, 1], server as u16)));
+        let mut world = World::new(Rc::new(Draw::new(&plan, 4)), plan.rules, 0.0, server_address);
         loop {
             let due = world.next_due().expect("a client arrives");
             world.advance(due);
-            while let Some(out) = world.next_effect() {
-                match out {
+            while let Some(effect) = world.next_effect() {
+                match effect {
                     Effect::DeliverRequest(try_id) if due >= from => return (world, try_id),
                     _ => {}
                 }
@@ -327,9 +332,9 @@
         let from = world.now();
         while let Some(due) = world.next_due().filter(|due| *due < from + 1_000_000) {
             world.advance(due);
-            while let Some(out) = world.next_effect() {
-                match out {
-                    Effect::DeliverReply { attempt: a, reply } if a == attempt => {
+            while let Some(effect) = world.next_effect() {
+                match effect {
+                    Effect::DeliverReply { attempt: replied, reply } if replied == attempt => {
                         return Some((due - from, reply))
                     }
                     _ => {}
@@ -374,20 +379,28 @@
         assert_eq!(world.tally.failed_attempts[0], 0);
     }
 
+    /// Releases begin at 1 s, with a release that fails all requests, and at 9 s, with a good one. A server drains for
+    /// 2.5 s and restarts 0.5 s later, so that it runs the first release at 6 s and the second at 14 s.
     #[test]
     fn a_bad_release_fails_requests_until_the_next_release() {
         let release = |at: u32, more: &str| {
             format!("[[fault]]\nkind = \"release\"\nat_s = {at}\nfor_s = 1\nids = [0]\n{more}")
         };
         let plan = format!("[discovery]\nnotice_s = 0\n{}{}", release(1, "factor = 1\n"), release(9, ""));
-        for (from, reply, wrong) in [(6, ServerReply::Error, true), (14, ServerReply::Served, false)] {
-            let (mut world, try_id) = first_request(&plan, from * 1_000_000);
+        for (from_s, expected_reply, faulty) in
+            [(6, ServerReply::Error, true), (14, ServerReply::Served, false)]
+        {
+            let (mut world, try_id) = first_request(&plan, from_s * 1_000_000);
             let txn = world.txn(try_id);
             let attempt = world.start_attempt(world.now(), 0, 0, &txn, false).expect("a known request");
-            assert_eq!(reply_to(&mut world, attempt).map(|got| got.1), Some(reply), "{from} s");
+            assert_eq!(
+                reply_to(&mut world, attempt).map(|(_, reply)| reply),
+                Some(expected_reply),
+                "{from_s} s"
+            );
             assert_eq!(
                 (world.removals.is_faulty(0, 0), world.tally.failed_attempts[0]),
-                (wrong, u64::from(wrong))
+                (faulty, u64::from(faulty))
             );
         }
     }
@@ -398,8 +411,9 @@
             zone = \"a\"\nto = \"b\"\nway = \"out\"\n";
         let (mut world, try_id) = first_request(cut, 0);
         let txn = world.txn(try_id);
-        let of = |world: &World, zone| world.servers.iter().position(|s| s.spec.zone == zone).expect("one");
-        let servers = [0, 1, 2].map(|zone| of(&world, zone));
+        let server_in_zone =
+            |world: &World, zone| world.servers.iter().position(|s| s.spec.zone == zone).expect("one");
+        let servers = [0, 1, 2].map(|zone| server_in_zone(&world, zone));
         for (node, answered) in [(0, [true, false, true]), (1, [false, true, true]), (2, [true; 3])] {
             for (server, answered) in servers.into_iter().zip(answered) {
                 let attempt =
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -7,13 +7,17 @@
     pub(super) fn begin_fault(&mut self, n: usize) {
         let draw = self.draw.clone();
         let fault = &draw.faults[n];
-        let step = |k: usize| (k * fault.steps / fault.targets.len().max(1)) as u64;
+        // The step of the fault in which the target with this index is handled.
+        let step_of_target = |k: usize| (k * fault.steps / fault.targets.len().max(1)) as u64;
         let step_length = (fault.until - fault.at) / fault.steps as u64;
         match fault.kind {
             FaultKind::Kill => fault.targets.iter().for_each(|t| self.kill(*t)),
             FaultKind::Restart => {
                 for (k, node) in fault.targets.iter().enumerate() {
-                    self.schedule_event(self.now + step(k) * step_length, Event::RestartNode(*node));
+                    self.schedule_event(
+                        self.now + step_of_target(k) * step_length,
+                        Event::RestartNode(*node),
+                    );
                 }
             }
             FaultKind::Pause => {
@@ -33,7 +37,7 @@
             FaultKind::Vanish => {
                 for server in &fault.targets {
                     self.advance_server(*server);
-                    self.servers[*server].power = Power::Silent;
+                    self.servers[*server].process_state = ProcessState::Unreachable;
                     let incarnation = self.servers[*server].incarnation;
                     self.update_reachability(*server);
                     self.schedule_event(
@@ -51,7 +55,7 @@
                 let replace = fault.kind == FaultKind::Replace;
                 for (k, server) in fault.targets.iter().enumerate() {
                     self.servers[*server].next_release_error_rate = fault.factor;
-                    let listed = self.now + step(k) * step_length + draw.discovery.leave_delay;
+                    let listed = self.now + step_of_target(k) * step_length + draw.discovery.leave_delay;
                     self.schedule_event(listed, Event::ServerDrains(*server, replace));
                 }
             }
@@ -106,6 +110,8 @@
             | FaultKind::BreakConnections
             | FaultKind::Release
             | FaultKind::Replace
+            // Nothing to undo: their steps were scheduled at the beginning, idle connections carry their own end,
+            // broken connections stay closed, and a burst is part of the drawn arrivals.
             | FaultKind::Burst => {}
             FaultKind::Policy
             | FaultKind::ReplicaKill
@@ -142,7 +148,8 @@
         }
     }
 
-    /// A noisy neighbour starts or stops; the next toggle is scheduled until the fault ends.
+    /// Starts or stops the noisy neighbour of a fault, and schedules the next toggle, at the latest for the fault's
+    /// end. Does nothing once the fault has ended.
     pub(super) fn toggle_neighbour(&mut self, n: usize, on: bool) {
         let draw = self.draw.clone();
         let fault = &draw.faults[n];
@@ -172,8 +179,8 @@
         for zone in &fault.targets {
             let others = (0..self.draw.zones.len()).filter(|z| z != zone);
             for other in others.filter(|z| fault.peer_zone.is_none_or(|to| to == *z)) {
-                for (way, from, to) in [(Direction::Out, *zone, other), (Direction::In, other, *zone)] {
-                    if fault.direction.is_none_or(|w| w == way) {
+                for (direction, from, to) in [(Direction::Out, *zone, other), (Direction::In, other, *zone)] {
+                    if fault.direction.is_none_or(|affected| affected == direction) {
                         change(&mut self.links[from][to]);
                     }
                 }
--- a/crates/lab/src/world/fleet.rs
+++ b/crates/lab/src/world/fleet.rs
@@ -95,11 +95,11 @@
         let instance = &self.servers[server];
         let open_both_ways =
             self.is_link_open(zone, instance.spec.zone) && self.is_link_open(instance.spec.zone, zone);
-        match instance.power {
-            Power::Silent => Reachability::Unreachable,
+        match instance.process_state {
+            ProcessState::Unreachable => Reachability::Unreachable,
             _ if !open_both_ways => Reachability::Unreachable,
-            Power::Off => Reachability::Refused,
-            Power::Up => Reachability::Open,
+            ProcessState::NotRunning => Reachability::Refused,
+            ProcessState::Up => Reachability::Open,
         }
     }
 
@@ -117,7 +117,7 @@
     fn end_server_process(&mut self, server: usize) {
         self.advance_server(server);
         let instance = &mut self.servers[server];
-        (instance.power, instance.next_step) = (Power::Off, None);
+        (instance.process_state, instance.next_step) = (ProcessState::NotRunning, None);
         self.effects.push_back(Effect::CloseConnections { server, zone: None });
         self.update_reachability(server);
         self.update_faulty_servers();
@@ -127,15 +127,15 @@
     pub(super) fn start_server(&mut self, server: usize) {
         let (now, born_ms) = (self.now, self.unix_ms(self.now));
         let instance = &mut self.servers[server];
-        if instance.power == Power::Up {
+        if instance.process_state == ProcessState::Up {
             return;
         }
         instance.earlier_work_done += instance.model.work_done();
         self.earlier_cold_loads.push(instance.model.cold_load(now));
         instance.model = Server::new(instance.spec.parameters.clone(), Some(now));
         instance.model.set_slowdown(instance.slowdown, instance.stolen_share);
-        (instance.power, instance.born_ms, instance.incarnation, instance.next_step) =
-            (Power::Up, born_ms, instance.incarnation + 1, None);
+        (instance.process_state, instance.born_ms, instance.incarnation, instance.next_step) =
+            (ProcessState::Up, born_ms, instance.incarnation + 1, None);
         instance.release_error_rate = instance.next_release_error_rate;
         let incarnation = instance.incarnation;
         self.effects.push_back(Effect::CloseConnections { server, zone: None });
@@ -146,7 +146,7 @@
 
     /// Lists a server as leaving, and schedules its end.
     pub(super) fn drain_server(&mut self, server: usize, replace: bool) {
-        if self.servers[server].power != Power::Up {
+        if self.servers[server].process_state != ProcessState::Up {
             return;
         }
         let incarnation = self.servers[server].incarnation;
@@ -157,13 +157,15 @@
 
     /// Ends a drained server, and schedules its restart, or the start of a new server that replaces it.
     pub(super) fn end_server(&mut self, server: usize, incarnation: u32, replace: bool) {
-        if self.servers[server].incarnation != incarnation || self.servers[server].power != Power::Up {
+        if self.servers[server].incarnation != incarnation
+            || self.servers[server].process_state != ProcessState::Up
+        {
             return;
         }
         self.end_server_process(server);
         let next = if replace {
             let mut replacement = ServerInstance::new(self.servers[server].spec.clone(), None, 0.0);
-            replacement.power = Power::Off;
+            replacement.process_state = ProcessState::NotRunning;
             replacement.next_release_error_rate = self.servers[server].next_release_error_rate;
             self.servers.push(replacement);
             self.schedule_event(
--- a/crates/lab/src/world/list.rs
+++ b/crates/lab/src/world/list.rs
@@ -17,8 +17,8 @@
     pub(super) fn change_list_entry_if_current(&mut self, server: usize, incarnation: u32, health: Health) {
         let instance = &self.servers[server];
         let matches_power = match health {
-            Health::Left => instance.power != Power::Up,
-            Health::Active | Health::Leaving => instance.power == Power::Up,
+            Health::Left => instance.process_state != ProcessState::Up,
+            Health::Active | Health::Leaving => instance.process_state == ProcessState::Up,
         };
         if instance.incarnation == incarnation && matches_power {
             self.change_list_entry(server, health);
--- a/crates/lab/src/world/metrics.rs
+++ b/crates/lab/src/world/metrics.rs
@@ -81,7 +81,7 @@
     /// True capacity and backlog of a server, for the oracle; `None` if the server is not up, or if one more request
     /// would begin to crowd it.
     pub fn capacity_and_backlog(&self, server: usize) -> Option<(f64, f64)> {
-        let instance = self.servers.get(server).filter(|p| p.power == Power::Up)?;
+        let instance = self.servers.get(server).filter(|p| p.process_state == ProcessState::Up)?;
         let parameters = &instance.spec.parameters;
         let crowded = (instance.model.in_flight() + 1) as f64
             > parameters.choke.threshold.min(parameters.thrash_threshold) * parameters.cores as f64;
@@ -92,7 +92,7 @@
     pub fn fleet_state(&self) -> FleetState {
         let active = |n: &usize| self.list.newest_entry(*n).is_some_and(|e| e.health == Health::Active);
         let usable = (0..self.servers.len()).filter(active).map(|n| &self.servers[n]);
-        let usable: Vec<&ServerInstance> = usable.filter(|p| p.power == Power::Up).collect();
+        let usable: Vec<&ServerInstance> = usable.filter(|p| p.process_state == ProcessState::Up).collect();
         let in_flight_per_core =
             |p: &&ServerInstance| p.model.in_flight() as f64 / p.model.parameters().cores as f64;
         FleetState {
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -268,12 +268,13 @@
 
 /// State of a server process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Power {
+enum ProcessState {
+    /// The process runs and can be reached.
     Up,
-    /// Silent without closing its connections.
-    Silent,
-    /// No process.
-    Off,
+    /// The process cannot be reached: it sends nothing and its connections stay open.
+    Unreachable,
+    /// No process runs: it has ended, or has not started yet.
+    NotRunning,
 }
 
 /// A server and its state; a replacement is a new instance.
@@ -281,7 +282,7 @@
 struct ServerInstance {
     spec: ServerSpec,
     model: Server,
-    power: Power,
+    process_state: ProcessState,
     /// Number of restarts so far; identifies the process.
     incarnation: u32,
     born_ms: f64,
@@ -296,7 +297,7 @@
     release_error_rate: f64,
     next_release_error_rate: f64,
     reset_rate: f64,
-    /// Gray failure: share of late answers, their delay, and the share of truncated answers.
+    /// Gray failure, in this order: share of late answers, delay of these answers, and share of truncated answers.
     gray_failure: (f64, Us, f64),
 }
 
@@ -353,7 +354,7 @@
     served: bool,
 }
 
-/// Where an attempt is.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     /// On its way to the server.
@@ -386,11 +387,12 @@
 /// One direction of the link between two zones.
 #[derive(Clone, Copy, Debug, Default)]
 struct Link {
-    /// Number of faults that cut it.
+    /// Number of active partitions that cut the link; messages pass only if it is 0.
     cuts: u32,
-    /// Transmission time per byte if bandwidth is limited; 0 if it is not.
+    /// Transmission time per byte, in microseconds, if bandwidth is limited; 0 if it is not. If bandwidth limits
+    /// overlap in time, the last one to begin applies, and the first one to end removes it.
     us_per_byte: f64,
-    /// When the previous message has left the link.
+    /// Time at which the link is free to transmit the next message, if bandwidth is limited.
     free_at: Us,
 }
 
@@ -590,7 +592,7 @@
         Self {
             model: Server::new(spec.parameters.clone(), started_at),
             spec,
-            power: Power::Up,
+            process_state: ProcessState::Up,
             incarnation: 0,
             born_ms,
             earlier_work_done: 0.0,
--- a/crates/lab/src/world/votes.rs
+++ b/crates/lab/src/world/votes.rs
@@ -38,7 +38,7 @@
         let instance = &self.servers[server];
         let (late_share, _, truncated_share) = instance.gray_failure;
         let (to, from) = (self.links[zone][instance.spec.zone], self.links[instance.spec.zone][zone]);
-        instance.power != Power::Up
+        instance.process_state != ProcessState::Up
             || instance.slowdown > 1.0
             || [
                 instance.stolen_share,
