--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -28,7 +28,7 @@
 pub struct ConnectionPool {
     node: SocketAddr,
     idle: RefCell<Vec<ClientConnection>>,
-    /// One permit for each concurrent connection.
+    /// Each try in progress holds a permit, which limits the connections in use at a time.
     permits: Semaphore,
 }
 
@@ -50,7 +50,7 @@
         Self { node, idle: RefCell::default(), permits: Semaphore::new(max_connections) }
     }
 
-    /// Takes an idle connection that is still open.
+    /// Takes the newest idle connection that is still open, and drops the closed ones that come before it.
     fn take_idle(&self) -> Option<ClientConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
@@ -79,13 +79,13 @@
     run.try_finished(try_id);
 }
 
-/// Sends a request and reads its answer.
+/// Sends the request of a try on an idle or a new connection, and reads the answer.
 async fn exchange(run: &Rc<RunContext>, try_id: usize) -> TryOutcome {
     let pool = run.pool(try_id);
     let Ok(_permit) = pool.permits.acquire().await else { return TryOutcome::NoConnection };
     if let Some(mut connection) = pool.take_idle() {
-        // A node may close an idle connection just when a request is sent on it: the request is sent once more on a
-        // new connection.
+        // If sending fails, the node may have closed the idle connection at that moment: the request is sent again
+        // below, on a new connection.
         if let Ok(answer) = connection.send.send_request(request(run, try_id)).await {
             return read_answer(run, &pool, try_id, connection, answer).await;
         }
--- a/crates/lab/src/live/group.rs
+++ b/crates/lab/src/live/group.rs
@@ -38,7 +38,7 @@
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of a call that proposes a change and waits for its end.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Delay between an operator's calls.
+/// Delay before the operator repeats a call, or a faulty voter repeats a failed heartbeat.
 pub(super) const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Delay between two writes that measure for how long no write succeeds after a fault hit the leader.
 const WRITE_PROBE_INTERVAL: Duration = Duration::from_millis(20);
