--- a/crates/lab/src/modules/mod.rs
+++ b/crates/lab/src/modules/mod.rs
@@ -654,8 +654,10 @@
         assert_eq!(format!("{:?}", world.tally()), format!("{:?}", play_plan(calm).tally()));
     }
 
+    /// The faults are kills, restarts and pauses of nodes, a release, a replaced server and a vanished one, a
+    /// partition, broken connections, and resets.
     #[test]
-    fn no_rule_is_broken_under_any_kind_of_fault() {
+    fn no_rule_is_broken_under_nine_kinds_of_faults() {
         let fault = |kind: &str, rest: &str| format!("[[fault]]\nkind = \"{kind}\"\nfor_s = 2\n{rest}\n");
         let faults = [
             fault("kill", "at_s = 2\nids = [0]"),
--- a/crates/lab/src/modules/node.rs
+++ b/crates/lab/src/modules/node.rs
@@ -1,5 +1,5 @@
-//! One node around its decision module, as far as decisions depend on it: open requests, attempts, kept connections,
-//! the list.
+//! Model of one node: its decision module, and the state of the node that decisions depend on, namely open requests,
+//! attempts, kept connections and the list of servers.
 
 use std::collections::BTreeMap;
 
@@ -17,8 +17,8 @@
 use crate::server::Us;
 use crate::world::ClientTry;
 
-/// The module's deadline ends before the client's by this much: at most the first value (µs), and at most one part in
-/// the second value of the client's timeout.
+/// Margin by which the module's deadline ends before the client's: the first value (µs), but at most the client's
+/// timeout divided by the second value.
 const DEADLINE_MARGIN: (Us, Us) = (20_000, 8);
 /// Share of the servers' keep-alive time for which the node keeps an idle connection.
 const KEEP_ALIVE_SHARE: f64 = 0.5;
@@ -38,7 +38,7 @@
         status: u16,
         /// Retry-After, in microseconds.
         retry_after: Option<Us>,
-        /// The attempt that was served.
+        /// The world's number of the attempt that was served.
         attempt: Option<usize>,
     },
     /// Send an attempt to a server.
@@ -86,7 +86,7 @@
     /// Kept connections by server, each with the server's incarnation and the time since when it is idle.
     idle: BTreeMap<usize, Vec<(u32, Us)>>,
     servers: BTreeMap<ServerId, usize>,
-    /// Newest answer of the control group: its stamp, and the servers for which it requests ballots.
+    /// Newest reply of the control group: its stamp, and the names of the servers on which it requests ballots.
     pub group_answer: Option<(Stamp, Vec<String>)>,
     zones: Vec<String>,
     list: ListState,
@@ -213,12 +213,13 @@
                 }
             }
         }
-        let is_finished = |r: &OpenRequest| !r.answer_due && r.attempts.iter().all(|t| t.ended);
+        let is_finished = |r: &OpenRequest| !r.answer_due && r.attempts.iter().all(|a| a.ended);
         self.requests.retain(|_, r| !is_finished(r));
         effects
     }
 
-    /// Answers a request unless it has been answered or its client has left.
+    /// Returns the effect that answers a request, or `None` if it has been answered or its client has left.
+    /// `retry_after` is in microseconds; `attempt` is the world's number of the attempt that was served.
     fn answer(
         &mut self,
         id: RequestId,
@@ -241,11 +242,11 @@
     ) -> Option<(NodeEffect, Event)> {
         let open = self.requests.get_mut(&id)?;
         let answered = !open.answer_due;
-        let open_attempt = open.attempts.get_mut(attempt).filter(|t| !t.ended)?;
+        let open_attempt = open.attempts.get_mut(attempt).filter(|a| !a.ended)?;
         open_attempt.ended = true;
         let closed = NodeEffect::Close {
-            attempt: open_attempt.sent_as.map(|w| w.0),
-            connection: open_attempt.sent_as.map(|w| w.1),
+            attempt: open_attempt.sent_as.map(|(attempt_id, _)| attempt_id),
+            connection: open_attempt.sent_as.map(|(_, connection)| connection),
         };
         Some((closed, self.attempt_end_event(now, id, attempt, outcome, answered)?))
     }
@@ -300,14 +301,14 @@
         self.handle_event(now, Event::ClientGone(id))
     }
 
-    /// The module's timer.
+    /// Passes an expired timer to the module.
     pub fn timer(&mut self, now: Us) -> Vec<NodeEffect> {
         self.handle_event(now, Event::Timer)
     }
 
     /// Whether an attempt has no connection yet.
     pub fn is_connecting(&self, id: RequestId, attempt: usize) -> bool {
-        self.requests.get(&id).and_then(|r| r.attempts.get(attempt)).is_some_and(|t| t.sent_as.is_none())
+        self.requests.get(&id).and_then(|r| r.attempts.get(attempt)).is_some_and(|a| a.sent_as.is_none())
     }
 
     /// An attempt was sent to its server.
@@ -349,7 +350,7 @@
         outcome: Outcome,
     ) -> Vec<NodeEffect> {
         let Some(open) = self.requests.get_mut(&id) else { return Vec::new() };
-        let Some(open_attempt) = open.attempts.get_mut(attempt).filter(|t| !t.ended) else {
+        let Some(open_attempt) = open.attempts.get_mut(attempt).filter(|a| !a.ended) else {
             return Vec::new();
         };
         open_attempt.ended = true;
@@ -434,19 +435,19 @@
     /// attempts that were open.
     pub fn connections_lost(&mut self, server: usize) -> (Vec<u32>, Vec<(RequestId, usize)>) {
         let idle = self.idle.remove(&server).unwrap_or_default();
-        let is_open = |t: &Attempt| !t.ended && t.server == server && t.sent_as.is_some();
+        let is_open = |a: &Attempt| !a.ended && a.server == server && a.sent_as.is_some();
         let attempts =
-            self.requests.iter().flat_map(|(id, r)| r.attempts.iter().enumerate().map(|(n, t)| (*id, n, t)));
-        let broken = attempts.filter(|(.., t)| is_open(t)).map(|(id, n, _)| (id, n)).collect();
+            self.requests.iter().flat_map(|(id, r)| r.attempts.iter().enumerate().map(|(n, a)| (*id, n, a)));
+        let broken = attempts.filter(|(.., a)| is_open(a)).map(|(id, n, _)| (id, n)).collect();
         (idle.into_iter().map(|(incarnation, _)| incarnation).collect(), broken)
     }
 
     /// Ends the node. Returns the tries that wait for an answer, the open attempts, and all connections.
     pub fn into_open_work(self) -> (Vec<usize>, Vec<usize>, Vec<ConnectionId>) {
         let tries = self.requests.values().filter(|r| r.answer_due).map(|r| r.try_id).collect();
-        let open_attempts = self.requests.values().flat_map(|r| &r.attempts).filter(|t| !t.ended);
+        let open_attempts = self.requests.values().flat_map(|r| &r.attempts).filter(|a| !a.ended);
         let (attempts, busy): (Vec<usize>, Vec<ConnectionId>) =
-            open_attempts.filter_map(|t| t.sent_as).unzip();
+            open_attempts.filter_map(|a| a.sent_as).unzip();
         let idle = self.idle.iter().flat_map(|(server, connections)| {
             connections.iter().map(|(incarnation, _)| (*server, *incarnation))
         });
