--- a/crates/lab/tests/referee.rs
+++ b/crates/lab/tests/referee.rs
@@ -1,4 +1,5 @@
-//! The referee on real sockets: it reports each rule that a scripted node or replica breaks, and none for fair ones.
+//! The referee on real sockets: it reports each rule that a scripted node or replica breaks, and none for correct
+//! ones (script `fair`).
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -24,18 +25,18 @@
 /// Runs in which the lab itself was late are repeated for up to this time.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(240);
 
-/// Runs a script, with more text in the experiment's file, and returns what `observe` makes of the run. The run is
-/// repeated only if the result is not as expected and the lab was late.
+/// Runs nodes and replicas with these scripts, with more text in the experiment's file, and returns the value that
+/// `observe` derives from the run. The run is repeated only if that value is not as expected and the lab was late.
 fn observe_run<T>(
-    script: &str,
-    replica: &str,
+    node_script: &str,
+    replica_script: &str,
     more: &str,
     observe: impl Fn(World) -> T,
     as_expected: impl Fn(&T) -> bool,
 ) -> T {
     let started = Instant::now();
     loop {
-        let world = play(script, replica, more);
+        let world = play(node_script, replica_script, more);
         let late = world.event_lateness_us().iter().filter(|late| **late > 5000).count() * 100
             > world.event_lateness_us().len();
         let observed = observe(world);
@@ -55,27 +56,28 @@
 }
 
 /// Checks that a node's script breaks these rules and no others.
-fn assert_breaks<const N: usize>(script: &str, more: &str, broken: [Rule; N]) {
+fn assert_breaks<const N: usize>(node_script: &str, more: &str, broken: [Rule; N]) {
     let broken = BTreeSet::from(broken);
-    assert_eq!(observe_run(script, "fair", more, broken_rules, |rules| *rules == broken), broken);
+    assert_eq!(observe_run(node_script, "fair", more, broken_rules, |rules| *rules == broken), broken);
 }
 
 /// Checks that a node's script breaks this rule, and maybe others.
-fn assert_breaks_at_least(script: &str, more: &str, broken: Rule) {
-    let rules = observe_run(script, "fair", more, broken_rules, |rules| rules.contains(&broken));
+fn assert_breaks_at_least(node_script: &str, more: &str, broken: Rule) {
+    let rules = observe_run(node_script, "fair", more, broken_rules, |rules| rules.contains(&broken));
     assert!(rules.contains(&broken));
 }
 
-/// Runs the fleet with a node's and a replica's script.
-fn play(script: &str, replica: &str, more: &str) -> World {
+/// Runs the fleet with a node's and a replica's script. A scripted program reads its script from the name of its own
+/// file, so it is run through a link with that name.
+fn play(node_script: &str, replica_script: &str, more: &str) -> World {
     let folder = tempfile::tempdir().expect("a folder");
     let link = |name: String, program: &str| {
         let link = folder.path().join(name);
         std::os::unix::fs::symlink(program, &link).expect("a link");
         link
     };
-    let program = link(format!("scripted-node-{script}"), env!("CARGO_BIN_EXE_scripted-node"));
-    let control = link(format!("scripted-replica-{replica}"), env!("CARGO_BIN_EXE_scripted-replica"));
+    let program = link(format!("scripted-node-{node_script}"), env!("CARGO_BIN_EXE_scripted-node"));
+    let control = link(format!("scripted-replica-{replica_script}"), env!("CARGO_BIN_EXE_scripted-replica"));
     let plan = Plan::read("x.toml", &format!("{FLEET}{more}")).expect("it can be played");
     let options = Options { program, control, logs: &folder.path().join("logs"), progress: &|_, _| {} };
     live::play(&plan, Rc::new(Draw::new(&plan, 1)), &options).expect("it is played").world
@@ -97,7 +99,7 @@
 }
 
 #[test]
-fn a_fair_node_breaks_no_rule() {
+fn a_correct_node_breaks_no_rule() {
     assert_breaks("fair", &fault_at_server_2("release"), []);
 }
 
@@ -165,15 +167,16 @@
 }
 
 /// Checks that nodes and a control group with these scripts break this rule and no other.
-fn assert_group_breaks(node: &str, replica: &str, promise_ms: u64, broken: Rule) {
+fn assert_group_breaks(node_script: &str, replica_script: &str, promise_ms: u64, broken: Rule) {
     let rules = |world: World| breaches(&world).iter().map(|b| b.rule).collect::<BTreeSet<_>>();
     let broken = BTreeSet::from([broken]);
-    let observed = observe_run(node, replica, &policy_change(promise_ms), rules, |rules| *rules == broken);
+    let observed =
+        observe_run(node_script, replica_script, &policy_change(promise_ms), rules, |rules| *rules == broken);
     assert_eq!(observed, broken);
 }
 
 #[test]
-fn fair_nodes_under_an_agreed_policy_break_no_rule() {
+fn correct_nodes_under_an_agreed_policy_break_no_rule() {
     let observe = |world: World| (breaches(&world), world.control_metrics().expect("a group"));
     let as_expected = |(breaches, control): &(Vec<Breach>, ControlMetrics)| {
         let change = &control.changes[0];
@@ -206,10 +209,10 @@
     assert_group_breaks("back", "fair", 60_000, Rule::Backward);
 }
 
-/// Runs fair nodes that may vote with a replica's script. Checks that exactly these expectations fail, and that the
+/// Runs correct nodes that may vote with a replica's script. Checks that exactly these expectations fail, and that the
 /// removals are exactly these: `true` for a wrong one.
 fn assert_fails<const N: usize, const M: usize>(
-    replica: &str,
+    replica_script: &str,
     more: &str,
     failed_keys: [&str; N],
     removals: [bool; M],
@@ -232,7 +235,7 @@
         (failed, wrong)
     };
     let expected = (failed_keys.map(String::from).to_vec(), removals.to_vec());
-    let observed = observe_run("fair", replica, &more, observe, |observed| *observed == expected);
+    let observed = observe_run("fair", replica_script, &more, observe, |observed| *observed == expected);
     assert_eq!(observed, expected);
 }
 
--- a/crates/stoneshift/tests/control.rs
+++ b/crates/stoneshift/tests/control.rs
@@ -1,4 +1,4 @@
-//! A replica as a process: its exit codes and messages, its end by a signal, and what it keeps on disk.
+//! `stoneshift control` as a process: exit codes and error messages, shutdown by signals, and the state on disk.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -10,8 +10,8 @@
 use nix::unistd::Pid;
 
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind((Ipv4Addr::new(127, 3, 0, 1), 0)).expect("a free port");
-    listener.local_addr().expect("it is bound")
+    let listener = TcpListener::bind((Ipv4Addr::new(127, 3, 0, 1), 0)).expect("a free port is bound");
+    listener.local_addr().expect("the listener has an address")
 }
 
 /// Writes a replica's configuration, for a group of this replica alone. All share one state folder.
@@ -21,7 +21,7 @@
         "cluster = \"{cluster}\"\nid = {id}\nlisten = \"{at}\"\ndir = {dir:?}\n[peers]\n{id} = \"{at}\"\n{more}"
     );
     let path = folder.join(format!("{cluster}.toml"));
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("the configuration is written");
     path
 }
 
@@ -39,9 +39,9 @@
 }
 
 /// A replica's process, which is killed when this is dropped.
-struct Running(Child);
+struct ReplicaProcess(Child);
 
-impl Drop for Running {
+impl Drop for ReplicaProcess {
     fn drop(&mut self) {
         // An error means that the process has ended.
         let _ = self.0.kill();
@@ -49,12 +49,12 @@
     }
 }
 
-impl Running {
+impl ReplicaProcess {
     /// Starts a replica and waits until it is ready.
     fn start(file: &Path, at: SocketAddr) -> Self {
-        let running = Self(control(file).stderr(Stdio::piped()).spawn().expect("it starts"));
+        let running = Self(control(file).stderr(Stdio::piped()).spawn().expect("the program is started"));
         let deadline = Instant::now() + Duration::from_secs(40);
-        while !call(at, "GET /ready").starts_with("HTTP/1.1 200") {
+        while !send_request(at, "GET /ready").starts_with("HTTP/1.1 200") {
             assert!(Instant::now() < deadline, "the replica is not ready in time");
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -63,16 +63,17 @@
 
     /// Sends a signal and waits for the end. Returns the exit code and the text on standard error.
     fn end(mut self, signal: Signal) -> (Option<i32>, String) {
-        kill(Pid::from_raw(self.0.id() as i32), signal).expect("it runs");
+        kill(Pid::from_raw(self.0.id() as i32), signal).expect("the signal is sent");
         let mut text = String::new();
-        let read = self.0.stderr.take().expect("a pipe").read_to_string(&mut text);
-        read.expect("UTF-8");
-        (self.0.wait().expect("it ends").code(), text)
+        let read = self.0.stderr.take().expect("standard error is a pipe").read_to_string(&mut text);
+        read.expect("standard error is UTF-8");
+        (self.0.wait().expect("the exit code is read").code(), text)
     }
 }
 
-/// The answer to a call; empty if there is none.
-fn call(at: SocketAddr, request: &str) -> String {
+/// Sends a request with a fixed policy as its body, and returns the raw response: empty if there is none, and partial
+/// if the connection breaks off.
+fn send_request(at: SocketAddr, request: &str) -> String {
     let mut answer = String::new();
     if let Ok(mut stream) = TcpStream::connect(at) {
         let head = format!("{request} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n");
@@ -85,28 +86,28 @@
 
 #[test]
 fn a_replica_keeps_acknowledged_changes_and_ends_on_signals() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let at = free_address();
     let east = write_config(folder.path(), "east", 1, at, "");
-    let running = Running::start(&east, at);
-    let answer = call(at, "PUT /v1/policy");
+    let running = ReplicaProcess::start(&east, at);
+    let answer = send_request(at, "PUT /v1/policy");
     assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("\"committed\""), "{answer}");
 
-    let (code, message) = failure_of(&control(&east).output().expect("it runs"));
+    let (code, message) = failure_of(&control(&east).output().expect("the program is started"));
     assert!(code == Some(1) && message.contains(&format!("listen: {at}: ")), "{message}");
     let second = write_config(folder.path(), "east2", 1, free_address(), "");
-    let text = std::fs::read_to_string(&second).expect("its file").replace("east2", "east");
-    std::fs::write(&second, text).expect("its file");
-    let (code, message) = failure_of(&control(&second).output().expect("it runs"));
+    let text = std::fs::read_to_string(&second).expect("the configuration is read").replace("east2", "east");
+    std::fs::write(&second, text).expect("the configuration is written");
+    let (code, message) = failure_of(&control(&second).output().expect("the program is started"));
     assert!(code == Some(1) && message.contains("end the process that has it open"), "{message}");
 
     assert_eq!(running.end(Signal::SIGTERM).0, Some(0));
     let west = write_config(folder.path(), "west", 1, at, "");
-    let (code, message) = failure_of(&control(&west).output().expect("it runs"));
+    let (code, message) = failure_of(&control(&west).output().expect("the program is started"));
     assert!(code == Some(1) && message.contains("give this replica its own directory"), "{message}");
 
-    let running = Running::start(&east, at);
-    let answer = call(at, "GET /v1/policy");
+    let running = ReplicaProcess::start(&east, at);
+    let answer = send_request(at, "GET /v1/policy");
     assert!(answer.contains("\"epoch\":1,\"policy\":{\"Limits\":{\"AttemptsCap\":2}}"), "{answer}");
     // A start on an intact disk logs nothing at warn or above.
     assert_eq!(running.end(Signal::SIGINT), (Some(0), String::new()));
@@ -114,10 +115,11 @@
 
 #[test]
 fn a_wrong_configuration_gives_one_line_and_exit_code_2() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let wrong = write_config(folder.path(), "east", 1, free_address(), "[terms]\nlease = 3\n");
-    let (code, message) = failure_of(&control(&wrong).output().expect("it runs"));
+    let (code, message) = failure_of(&control(&wrong).output().expect("the program is started"));
     assert!(code == Some(2) && message.contains("east.toml: terms.lease: unknown field"), "{message}");
-    let (code, message) = failure_of(&control(&folder.path().join("none")).output().expect("it runs"));
+    let (code, message) =
+        failure_of(&control(&folder.path().join("none")).output().expect("the program is started"));
     assert!(code == Some(2) && message.contains("none: No such file"), "{message}");
 }
--- a/crates/stoneshift/tests/hard.rs
+++ b/crates/stoneshift/tests/hard.rs
@@ -1,5 +1,5 @@
-//! Changes of policy while links between single nodes and replicas fail: links cut one way, a leader that was deposed and
-//! does not know it, an upgrade during a change, and messages that come late or twice.
+//! Policy changes while links between single nodes and replicas fail: links cut in one direction, a deposed leader that
+//! does not know that it was deposed, an upgrade during a change, and messages that arrive late or twice.
 //!
 //! Each test was seen to fail with a faulty build: nodes that serve on after their promise has expired (nodes cut off
 //! after staging), nodes that ignore their lease (the fenced fleet), a leader that answers without confirming that it
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn nodes_cut_off_before_a_change_abort_it_are_named_and_serve_on() {
+fn nodes_cut_off_before_a_change_abort_it_are_reported_and_keep_serving() {
     let fleet = Fleet::start(4, GroupTimings::SHORT);
     let epoch = fleet.commit();
     fleet.wait_until_all_serve_under(epoch);
--- a/crates/stoneshift/tests/votes.rs
+++ b/crates/stoneshift/tests/votes.rs
@@ -1,5 +1,6 @@
-//! Votes on servers between real nodes and real replicas: a faulty server is removed at all nodes and comes back, one
-//! faulty voter removes nothing, and neither a killed leader nor a lost group leaves the fleet with wrong verdicts.
+//! Votes on servers between real nodes and real replicas: a faulty server is removed at all nodes and returned once it
+//! has recovered, one faulty voter removes nothing, and neither a killed leader nor a lost group leaves the fleet with
+//! wrong verdicts.
 
 #[path = "../../../tests/peers/mod.rs"]
 mod peers;
@@ -336,7 +337,7 @@
         for node in &self.nodes {
             wait_for("a node applies the verdict", || (metric(node, "votes.removed") == 1).then_some(()));
             let line = format!("{FAULTY_SERVER} is removed by votes");
-            wait_for("the node logs it", || node.has_logged(&line).then_some(()));
+            wait_for("the node logs the removal", || node.has_logged(&line).then_some(()));
         }
         known
     }
@@ -350,14 +351,15 @@
         before == self.requests_to_faulty_server()
     }
 
-    /// Waits until no server is removed, and the first server gets requests again.
+    /// Waits until the leader has no removed server, each node reports none in its metric and has logged the return,
+    /// and the faulty server gets requests again. Returns the leader's verdicts.
     fn wait_until_back(&self) -> Value {
         let known = wait_for("the server is back", || {
             verdicts(&self.client, self.client.leader()?).filter(|known| known["removed"] == json!({}))
         });
         for node in &self.nodes {
             wait_for("a node applies the return", || (metric(node, "votes.removed") == 0).then_some(()));
-            wait_for("the node logs it", || {
+            wait_for("the node logs the return", || {
                 node.has_logged(&format!("{FAULTY_SERVER} is back")).then_some(())
             });
         }
@@ -389,7 +391,7 @@
 }
 
 #[test]
-fn a_server_that_has_recovered_returns_by_the_votes_of_its_probers() {
+fn a_recovered_server_is_returned_by_its_probers_votes() {
     let mut fleet = Fleet::start(&vote_policy(2, 2000, 30_000));
     fleet.start_load(3);
     fleet.faulty.store(true, Ordering::SeqCst);
@@ -407,7 +409,7 @@
 fn one_faulty_voter_removes_nothing() {
     let mut fleet = Fleet::start(&vote_policy(2, LONG_TERM_MS, 30_000));
     fleet.start_load(3);
-    let mut faulty_voter = ScriptedMember::new("liar");
+    let mut faulty_voter = ScriptedMember::new("faulty-voter");
     let mut answered = 0;
     wait_for("the leader has answered the faulty voter 50 times", || {
         let leader = fleet.client.leader()?;
