--- a/crates/stoneshift/src/main.rs
+++ b/crates/stoneshift/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line of the lab, and of a control group's replicas.
 //!
 //! Exit codes: 0 all expectations hold, 1 one does not or the run does not count, 2 a flag or a file is wrong. Of a
-//! replica: 0 it ended on a signal, 1 it can't go on, 2 its configuration is wrong.
+//! replica: 0 it ended on a signal, 1 it cannot go on, 2 its configuration is wrong.
 
 mod control;
 mod curve;
